--- a/crates/core/src/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -9,16 +9,16 @@
 
 use quartzgate_overload::Turned;
 use quartzgate_wire::http::Response;
-use quartzgate_wire::msg::{ErrorAnswer, Rank};
+use quartzgate_wire::msg::{ErrorAnswer, Priority};
 use quartzgate_wire::to_cbor;
 
-use crate::budget::Budget;
 use crate::controller::Controller;
+use crate::storage::rate_limiter::RateLimiter;
 use crate::RequestId;
 
 /// How the state service's changes stand to what there is to write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Supply {
+pub(crate) enum WriteSupply {
     Ample,
     /// Changes that tasks wait for have been left behind since then.
     Tight {
@@ -33,17 +33,17 @@
 /// Part of the changes that acceptances get while they are short.
 const ACCEPT_SHARE: f64 = 0.5;
 
-pub(crate) struct Admission {
-    pub supply: Supply,
-    accepts: Budget,
+pub(crate) struct AdmissionControl {
+    pub supply: WriteSupply,
+    accepts: RateLimiter,
     pub turned: Turned,
 }
 
-impl Admission {
+impl AdmissionControl {
     pub fn new(write_rate: f64) -> Self {
-        Admission {
-            supply: Supply::Ample,
-            accepts: Budget::new(write_rate * ACCEPT_SHARE),
+        AdmissionControl {
+            supply: WriteSupply::Ample,
+            accepts: RateLimiter::new(write_rate * ACCEPT_SHARE),
             turned: Turned::default(),
         }
     }
@@ -53,21 +53,21 @@
     }
 
     pub fn short(&self) -> bool {
-        matches!(self.supply, Supply::Short { .. })
+        matches!(self.supply, WriteSupply::Short { .. })
     }
 }
 
 impl Controller {
     /// The one function that changes how changes are thought to suffice.
-    fn supply_to(&mut self, supply: Supply) {
+    fn set_write_supply(&mut self, supply: WriteSupply) {
         let old = std::mem::replace(&mut self.admission.supply, supply);
         match (old, supply) {
-            (Supply::Short { .. }, Supply::Ample) => {
+            (WriteSupply::Short { .. }, WriteSupply::Ample) => {
                 tracing::info!("writes suffice again: all submissions are taken");
             }
-            (Supply::Tight { since_ms }, Supply::Short { .. }) => {
-                let behind_ms = self.now.steady_ms - since_ms;
-                let records = self.store.behind();
+            (WriteSupply::Tight { since_ms }, WriteSupply::Short { .. }) => {
+                let behind_ms = self.context.now.steady_ms - since_ms;
+                let records = self.record_writer.unwritten_records();
                 tracing::info!(behind_ms, records, "writes are short: submissions are held back");
             }
             _ => {}
@@ -76,30 +76,32 @@
 
     /// Whether, at a look at what there is to write, changes that tasks wait for had to
     /// be left behind.
-    pub(crate) fn weigh_supply(&mut self, left: bool) {
-        let (now, moment) = (self.now.steady_ms, 2 * self.cfg.batch_ms());
+    pub(crate) fn update_write_supply(&mut self, left: bool) {
+        let (now, moment) = (self.context.now.steady_ms, 2 * self.context.config.write_batch_ms());
         let next = match (self.admission.supply, left) {
-            (Supply::Ample, true) => Supply::Tight { since_ms: now },
-            (Supply::Tight { since_ms }, true) if now >= since_ms + moment => {
-                Supply::Short { left_ms: now }
+            (WriteSupply::Ample, true) => WriteSupply::Tight { since_ms: now },
+            (WriteSupply::Tight { since_ms }, true) if now >= since_ms + moment => {
+                WriteSupply::Short { left_ms: now }
+            }
+            (WriteSupply::Tight { .. }, false) => WriteSupply::Ample,
+            (WriteSupply::Short { .. }, true) => WriteSupply::Short { left_ms: now },
+            (WriteSupply::Short { left_ms }, false) if now >= left_ms + moment => {
+                WriteSupply::Ample
             }
-            (Supply::Tight { .. }, false) => Supply::Ample,
-            (Supply::Short { .. }, true) => Supply::Short { left_ms: now },
-            (Supply::Short { left_ms }, false) if now >= left_ms + moment => Supply::Ample,
             (same, _) => same,
         };
-        self.supply_to(next);
+        self.set_write_supply(next);
     }
 
     /// Takes the change that accepts a job, if one is to be had. While they are short,
     /// what is urgent is taken as it comes, and all else from acceptances' part.
-    pub(crate) fn may_accept(&mut self, rank: Rank) -> bool {
-        let now = self.now.steady_ms;
-        let held = self.admission.short() && rank < Rank::High;
+    pub(crate) fn may_accept(&mut self, priority: Priority) -> bool {
+        let now = self.context.now.steady_ms;
+        let held = self.admission.short() && priority < Priority::High;
         if held && self.admission.accepts.room(now, 0.0) < 1.0 {
             return false;
         }
-        let taken = self.store.writes.take(now, 1.0, 0.0);
+        let taken = self.record_writer.writes.take(now, 1.0, 0.0);
         if taken {
             self.admission.accepts.force(now, 1.0);
         }
@@ -108,15 +110,16 @@
 
     /// Whether a job's first deal goes with its acceptance: while changes are short it
     /// would go ahead of what has waited for longer.
-    pub(crate) fn may_deal_at_once(&mut self, rank: Rank) -> bool {
-        let now = self.now.steady_ms;
-        (!self.admission.short() || rank >= Rank::High) && self.store.writes.take(now, 1.0, 0.0)
+    pub(crate) fn may_place_immediately(&mut self, priority: Priority) -> bool {
+        let now = self.context.now.steady_ms;
+        (!self.admission.short() || priority >= Priority::High)
+            && self.record_writer.writes.take(now, 1.0, 0.0)
     }
 
     /// Turns a submission away, with the time after which it may be taken.
-    pub(crate) fn turn_away(&mut self, id: RequestId) {
-        let (now, rate) = (self.now.steady_ms, self.admission.accepts.rate());
-        let later = self.admission.turned.turn(now, rate, &mut self.rng);
+    pub(crate) fn reject_overloaded(&mut self, id: RequestId) {
+        let (now, rate) = (self.context.now.steady_ms, self.admission.accepts.rate());
+        let later = self.admission.turned.turn(now, rate, &mut self.context.rng);
         let error = "the state service takes no more writes at present".to_string();
         let mut response = Response::new(429, to_cbor(&ErrorAnswer { error }));
         response.retry_after_s = Some(later);
--- a/crates/core/src/api.rs
+++ b/crates/core/src/api/mod.rs
@@ -4,26 +4,30 @@
 //! A state that can still change is told only after a fresh read of the state
 //! service; an end never changes and may be told from memory.
 
+pub(crate) mod admission;
+pub(crate) mod status_queries;
+
 use std::collections::BTreeSet;
 
 use quartzgate_ladder::Feature;
 use quartzgate_wire::http::{Request, Response};
 use quartzgate_wire::msg::{
-    valid_job_id, Change, Forward, Guard, JobAnswer, JobSpec, JobStatus, MachineType, MachineTypes,
-    Pair, Shape, Transaction, TransactionAnswer,
+    valid_job_id, Change, Forward, Guard, JobAnswer, JobKind, JobSpec, JobStatus, KeyValue,
+    MachineType, MachineTypes, Transaction, TransactionAnswer,
 };
 use quartzgate_wire::{from_cbor, to_cbor};
 
-use crate::controller::{Controller, Pending, UserWork};
-use crate::ids::JobIx;
+use crate::api::status_queries::live_answer;
+use crate::controller::{Controller, InFlight, UserRequest};
+use crate::ids::JobIndex;
 use crate::jobs::JobState;
-use crate::latency::Span;
-use crate::polls::live_answer;
-use crate::records::{
-    checked_size, decode, encode, inbox_key, job_key, page_key, JobRecord, RecordedStatus, INBOX,
+use crate::latency::LatencySpan;
+use crate::storage::placement_records::{PlacementWrite, RecordLocation};
+use crate::storage::record_writer::{FlushItem, Purpose};
+use crate::storage::records::{
+    batch_key, checked_size, decode, encode, handoff_key, job_key, JobRecord, RecordedStatus,
+    HANDOFF_PREFIX,
 };
-use crate::shares::{Placed, ShareWrite};
-use crate::store::{FlushItem, Purpose};
 use crate::{Outcome, Peer, RequestId};
 
 /// Changes past the leader: a record, and the note of it.
@@ -38,13 +42,13 @@
 }
 
 /// Where siblings tell one another of aborts that stand on record.
-pub(crate) const ABORTED: &str = "/aborted/";
+pub(crate) const ABORTED_PATH: &str = "/aborted/";
 
 impl Controller {
     pub(crate) fn on_client(&mut self, id: RequestId, request: Request) {
         let path = request.target.split('?').next().unwrap_or("");
         match (request.method.as_str(), path) {
-            ("POST", "/checkin") => self.on_checkin(id, request.body, None),
+            ("POST", "/checkin") => self.on_heartbeat(id, request.body, None),
             ("GET", "/ready") => {
                 if self.ready() {
                     self.answer(id, Response::new(200, Vec::new()))
@@ -75,9 +79,9 @@
         let parts: Vec<&str> = rest.split('/').skip(1).collect();
         let work = match (method, rest.is_empty(), parts.as_slice()) {
             ("POST", true, _) => match parse_job(&body) {
-                Ok(spec) => UserWork::Submit(Box::new(spec), body),
+                Ok(spec) => UserRequest::Submit(Box::new(spec), body),
                 Err(why) => match named_job(&body) {
-                    Some(job) => UserWork::Malformed { job, why, body },
+                    Some(job) => UserRequest::Malformed { job, why, body },
                     None => return self.answer_error(id, 400, &why),
                 },
             },
@@ -87,24 +91,24 @@
                     return self.answer_error(id, 400, "malformed ref");
                 }
                 match parts.len() {
-                    1 => UserWork::Poll(job.to_string()),
-                    _ => UserWork::Abort(job.to_string()),
+                    1 => UserRequest::Poll(job.to_string()),
+                    _ => UserRequest::Abort(job.to_string()),
                 }
             }
             (_, _, [_] | [_, "abort"]) => return self.answer_error(id, 405, "method not allowed"),
             _ => return self.answer_error(id, 404, "no such path"),
         };
         let span = match &work {
-            UserWork::Submit(..) | UserWork::Malformed { .. } => Span::Submit,
-            UserWork::Poll(_) => Span::Poll,
-            UserWork::Abort(_) => Span::Abort,
+            UserRequest::Submit(..) | UserRequest::Malformed { .. } => LatencySpan::Submit,
+            UserRequest::Poll(_) => LatencySpan::Poll,
+            UserRequest::Abort(_) => LatencySpan::Abort,
         };
-        self.latencies.begin(id, span, self.now.steady_ms);
-        if let Some(status) = self.finals.get(work.id()) {
-            return self.answer_final(id, work.id(), status);
+        self.context.latencies.begin(id, span, self.context.now.steady_ms);
+        if let Some(status) = self.terminal_jobs.get(work.id()) {
+            return self.answer_terminal(id, work.id(), status);
         }
         // Nothing that the first version would not understand before it is gone.
-        let chained = matches!(&work, UserWork::Submit(s, _) if !s.dependencies.is_empty());
+        let chained = matches!(&work, UserRequest::Submit(s, _) if !s.dependencies.is_empty());
         if chained && !self.has(Feature::Chains) {
             return self.answer_busy(id);
         }
@@ -120,19 +124,19 @@
         }
     }
 
-    fn pass_on(&mut self, id: RequestId, at: usize, work: UserWork) {
+    fn pass_on(&mut self, id: RequestId, at: usize, work: UserRequest) {
         let mut message = self.mesh_message();
         let (method, path, body) = match &work {
-            UserWork::Submit(_, body) | UserWork::Malformed { body, .. } => {
+            UserRequest::Submit(_, body) | UserRequest::Malformed { body, .. } => {
                 ("POST", "/api/jobs".to_string(), body.clone())
             }
-            UserWork::Poll(job) => ("GET", format!("/api/jobs/{job}"), Vec::new()),
-            UserWork::Abort(job) => ("POST", format!("/api/jobs/{job}/abort"), Vec::new()),
+            UserRequest::Poll(job) => ("GET", format!("/api/jobs/{job}"), Vec::new()),
+            UserRequest::Abort(job) => ("POST", format!("/api/jobs/{job}/abort"), Vec::new()),
         };
         message.forward = Some(Forward { method: method.into(), path, body });
         let body = to_cbor(&message);
-        let timeout = self.cfg.pass_on_ms();
-        let pending = Pending::Forward { request: id, sibling: at, work: Box::new(work) };
+        let timeout = self.context.config.forward_timeout_ms();
+        let pending = InFlight::Forward { request: id, sibling: at, work: Box::new(work) };
         self.call(Peer::Sibling(at), "POST", "/mesh".into(), body, timeout, pending);
     }
 
@@ -140,22 +144,22 @@
         &mut self,
         id: RequestId,
         sibling: usize,
-        work: UserWork,
+        work: UserRequest,
         outcome: Outcome,
     ) {
         match outcome {
             Outcome::Answer(r) if matches!(r.status, 200 | 201 | 404 | 422) => {
                 if let Ok(a) = from_cbor::<JobAnswer>(&r.body) {
                     match a.status {
-                        JobStatus::Done => self.learn_final(&a.id, RecordedStatus::Done),
+                        JobStatus::Done => self.learn_terminal_state(&a.id, RecordedStatus::Done),
                         // It may lead by now, and have read the record before that.
-                        JobStatus::Aborted => self.abort_stands(&a.id),
+                        JobStatus::Aborted => self.on_abort_recorded(&a.id),
                         _ => {}
                     }
                 }
                 // Its end may have been learnt while the answer was on its way.
-                if let Some(status) = self.finals.get(work.id()) {
-                    return self.answer_final(id, work.id(), status);
+                if let Some(status) = self.terminal_jobs.get(work.id()) {
+                    return self.answer_terminal(id, work.id(), status);
                 }
                 let mut response = Response::new(r.status, r.body);
                 response.retry_after_s = r.retry_after_s;
@@ -176,10 +180,10 @@
     }
 
     /// Without the leader: by the state service alone.
-    fn decide_alone(&mut self, id: RequestId, work: UserWork, last: bool) {
-        if !self.has_state() {
+    fn decide_alone(&mut self, id: RequestId, work: UserRequest, last: bool) {
+        if !self.store_reachable() {
             // A sibling that still has the state service can do it.
-            if let (false, Some(at)) = (last, self.sibling_with_state()) {
+            if let (false, Some(at)) = (last, self.sibling_with_store()) {
                 return self.pass_on(id, at, work);
             }
             return self.answer_busy(id);
@@ -189,11 +193,11 @@
             return self.answer_busy(id);
         }
         match work {
-            UserWork::Submit(spec, _) => self.consider(id, *spec),
-            UserWork::Malformed { job, why, .. } => self.refuse(id, job, 400, &why),
-            UserWork::Poll(job) => self.poll(id, job),
-            UserWork::Abort(job) => {
-                self.read_job(id, &job, Pending::AbortRead { request: id, id: job.clone() })
+            UserRequest::Submit(spec, _) => self.consider(id, *spec),
+            UserRequest::Malformed { job, why, .. } => self.refuse(id, job, 400, &why),
+            UserRequest::Poll(job) => self.query_status(id, job),
+            UserRequest::Abort(job) => {
+                self.read_job(id, &job, InFlight::AbortRead { request: id, id: job.clone() })
             }
         }
     }
@@ -245,7 +249,9 @@
     ) {
         match self.read_outcome(outcome) {
             // No page that was looked through holds it; none may have come since.
-            Ok(None) => self.record_alone(id, spec, cancelled, Some(self.pages.looked_last + 1)),
+            Ok(None) => {
+                self.record_alone(id, spec, cancelled, Some(self.job_batches.looked_last + 1))
+            }
             Ok(Some(pair)) => self.answer_record(id, &spec.id, pair),
             Err(()) => self.answer_busy(id),
         }
@@ -258,28 +264,28 @@
         cancelled: bool,
         no_page: Option<u64>,
     ) {
-        let now = self.now.steady_ms;
-        if !self.store.writes.take(now, ALONE_CHANGES, 0.0) {
+        let now = self.context.now.steady_ms;
+        if !self.record_writer.writes.take(now, ALONE_CHANGES, 0.0) {
             return self.answer_busy(id);
         }
         let job = spec.id.clone();
         let record = self.job_record(spec);
-        let mut guards = vec![Guard { path: job_key(&job), stamp: 0 }];
-        guards.extend(no_page.map(|n| Guard { path: page_key(n), stamp: 0 }));
+        let mut guards = vec![Guard { path: job_key(&job), revision: 0 }];
+        guards.extend(no_page.map(|n| Guard { path: batch_key(n), revision: 0 }));
         let body = to_cbor(&Transaction {
             guards,
             apply: vec![
-                Change::Set { set: job_key(&job), value: encode(&record), permit: None },
-                Change::Set { set: inbox_key(&job), value: encode(&false), permit: None },
+                Change::Set { set: job_key(&job), value: encode(&record), lease_id: None },
+                Change::Set { set: handoff_key(&job), value: encode(&false), lease_id: None },
             ],
         });
-        let pending = Pending::AcceptAlone { request: id, id: job, cancelled };
-        self.state_call("POST", "/multi".into(), body, pending);
+        let pending = InFlight::AcceptAlone { request: id, id: job, cancelled };
+        self.call_store("POST", "/multi".into(), body, pending);
     }
 
     /// Looks whether a job is known before it is refused.
     fn read_known(&mut self, id: RequestId, job: String, refusal: Option<(u16, String)>) {
-        let pending = Pending::Known { request: id, job: job.clone(), refusal };
+        let pending = InFlight::Known { request: id, job: job.clone(), refusal };
         self.read_job(id, &job, pending);
     }
 
@@ -293,7 +299,7 @@
         JobRecord {
             status: RecordedStatus::Live,
             spec: Some(spec),
-            at_ms: self.now.wall_ms,
+            at_ms: self.context.now.wall_ms,
             done_chunks: Vec::new(),
             service: false,
             share: None,
@@ -309,26 +315,26 @@
     ) {
         match outcome {
             Outcome::Answer(r) if r.status == 200 => {
-                self.state_answered();
+                self.note_store_answer();
                 tracing::info!(job = %job, "accepted past the leader");
                 if cancelled {
-                    self.learn_final(&job, RecordedStatus::Aborted);
+                    self.learn_terminal_state(&job, RecordedStatus::Aborted);
                 }
                 let status = if cancelled { JobStatus::Aborted } else { JobStatus::Queued };
                 let answer = JobAnswer { id: job, status, done: None, running: None };
                 self.answer(id, Response::new(201, to_cbor(&answer)));
             }
             Outcome::Answer(r) if r.status == 409 => {
-                self.state_answered();
+                self.note_store_answer();
                 let failed = from_cbor::<TransactionAnswer>(&r.body).map(|a| a.failed);
                 // A page has come meanwhile, of this job or of others.
                 if !failed.is_ok_and(|f| f.contains(&job_key(&job))) {
                     return self.answer_busy(id);
                 }
-                self.read_job(id, &job, Pending::Poll { request: id, id: job.clone() });
+                self.read_job(id, &job, InFlight::Poll { request: id, id: job.clone() });
             }
             Outcome::Answer(r) => {
-                self.state_busy(r.status);
+                self.on_store_throttled(r.status);
                 self.answer_busy(id)
             }
             _ => self.answer_busy(id),
@@ -336,19 +342,19 @@
     }
 
     /// The leader decides a user's request.
-    fn decide(&mut self, id: RequestId, work: UserWork) {
+    fn decide(&mut self, id: RequestId, work: UserRequest) {
         match work {
-            UserWork::Submit(spec, _) => self.submit(id, *spec),
-            UserWork::Malformed { job, why, .. } => {
+            UserRequest::Submit(spec, _) => self.submit(id, *spec),
+            UserRequest::Malformed { job, why, .. } => {
                 if !self.submitted_before(id, &job) {
                     self.refuse(id, job, 400, &why)
                 }
             }
-            UserWork::Poll(job) => self.poll(id, job),
-            UserWork::Abort(job) => match self.jobs.find(&job) {
+            UserRequest::Poll(job) => self.query_status(id, job),
+            UserRequest::Abort(job) => match self.jobs.find(&job) {
                 Some(ix) => self.abort(id, ix),
                 None => {
-                    self.read_job(id, &job, Pending::AbortRead { request: id, id: job.clone() })
+                    self.read_job(id, &job, InFlight::AbortRead { request: id, id: job.clone() })
                 }
             },
         }
@@ -363,7 +369,7 @@
 
     /// A job that memory knows: what stands is told.
     fn submitted_before(&mut self, id: RequestId, job: &str) -> bool {
-        if self.pages.unreadable(job) {
+        if self.job_batches.unreadable(job) {
             self.answer_busy(id);
             return true;
         }
@@ -371,7 +377,7 @@
             // While the first submission is being recorded, a second can't be told more.
             match known.state {
                 JobState::Recording => self.answer_busy(id),
-                _ => self.poll(id, job.to_string()),
+                _ => self.query_status(id, job.to_string()),
             }
             return true;
         }
@@ -385,33 +391,33 @@
                 return self.record_alone(id, spec, cancelled, None);
             }
             // No look is worth it where it couldn't be recorded.
-            if self.store.writes.room(self.now.steady_ms, 0.0) < ALONE_CHANGES {
+            if self.record_writer.writes.room(self.context.now.steady_ms, 0.0) < ALONE_CHANGES {
                 return self.answer_busy(id);
             }
             // It may stand in a page: it is looked for first.
             let job = spec.id.clone();
-            let pending = Pending::AloneRead { request: id, spec: Box::new(spec), cancelled };
-            return self.look_in_pages(&job, pending);
+            let pending = InFlight::AloneRead { request: id, spec: Box::new(spec), cancelled };
+            return self.look_up_in_batches(&job, pending);
         }
-        let now = self.now.steady_ms;
+        let now = self.context.now.steady_ms;
         if self.submitted_before(id, &spec.id) {
             return;
         }
-        let Some(team) = self.cfg.team(&spec.team) else { return self.answer_busy(id) };
-        if !cancelled && self.shares_page(&spec) {
-            if !self.take_in(id, spec, team) {
-                self.turn_away(id);
+        let Some(team) = self.context.config.team(&spec.team) else { return self.answer_busy(id) };
+        if !cancelled && self.belongs_in_batch(&spec) {
+            if !self.add_to_intake(id, spec, team) {
+                self.reject_overloaded(id);
             }
             return;
         }
-        if !self.may_accept(spec.rank) {
-            return self.turn_away(id);
+        if !self.may_accept(spec.priority) {
+            return self.reject_overloaded(id);
         }
-        self.store.note(Purpose::Accept, 1);
+        self.record_writer.note(Purpose::Accept, 1);
         let record = self.job_record(spec.clone());
         let (key, job_id) = (job_key(&spec.id), spec.id.clone());
-        let rank = spec.rank;
-        let done = |d: &String| self.finals.get(d) == Some(RecordedStatus::Done);
+        let priority = spec.priority;
+        let done = |d: &String| self.terminal_jobs.get(d) == Some(RecordedStatus::Done);
         let ready = spec.dependencies.iter().all(done);
         let job = self.new_job(spec, team, JobState::Recording, 0, record.at_ms);
         let ix = self.jobs.insert(job);
@@ -419,29 +425,32 @@
         // another is left.
         let inline = self.inlines(ix);
         let mut share = None;
-        if ready && (inline || self.may_deal_at_once(rank)) {
+        if ready && (inline || self.may_place_immediately(priority)) {
             let prepaid = if inline { 0.0 } else { 1.0 };
             let mut spent = 0.0;
-            if !self.backlog().full(rank) && self.deal_job(ix) {
+            if !self.backlog().full(priority) && self.place_job(ix) {
                 let room = self.limits().txn_ops - 1;
-                let fits = |s: &ShareWrite| s.placed.inline || !inline && s.changes() <= room;
-                share = self.share_write(ix, 0).filter(fits);
+                let fits = |s: &PlacementWrite| s.placed.inline || !inline && s.changes() <= room;
+                share = self.placement_write(ix, 0).filter(fits);
                 match &share {
                     Some(s) if !s.placed.inline => spent = s.changes() as f64,
                     Some(_) => {}
                     // A share that needs more room follows in a write of its own.
-                    None => self.press(ix, 0),
+                    None => self.mark_blocking_starts(ix, 0),
                 }
             }
-            self.store.writes.force(now, spent - prepaid);
-            self.store.note(Purpose::Deal, spent as usize);
+            self.record_writer.writes.force(now, spent - prepaid);
+            self.record_writer.note(Purpose::Deal, spent as usize);
         }
-        let view = Guard { path: crate::records::VIEW.into(), stamp: self.member.view_stamp };
+        let view = Guard {
+            path: crate::storage::records::EPOCH_KEY.into(),
+            revision: self.membership.epoch_revision,
+        };
         let (mut guards, mut apply) = (vec![view], Vec::new());
-        let placed = share.as_ref().map_or(Placed::default(), |s| s.placed);
+        let placed = share.as_ref().map_or(RecordLocation::default(), |s| s.placed);
         if !placed.own {
-            apply.push(Change::Set { set: key.clone(), value: encode(&record), permit: None });
-            guards.push(Guard { path: key, stamp: 0 });
+            apply.push(Change::Set { set: key.clone(), value: encode(&record), lease_id: None });
+            guards.push(Guard { path: key, revision: 0 });
         }
         if let Some(share) = share {
             share.enter(&job_id, 0, &mut guards, &mut apply);
@@ -452,34 +461,40 @@
         }
         let body = to_cbor(&Transaction { guards, apply });
         let epoch = self.epoch();
-        let pending = Pending::Accept { request: id, job: ix, placed, epoch };
-        self.state_call("POST", "/multi".into(), body, pending);
+        let pending = InFlight::Accept { request: id, job: ix, placed, epoch };
+        self.call_store("POST", "/multi".into(), body, pending);
     }
 
-    pub(crate) fn on_accept(&mut self, id: RequestId, ix: JobIx, placed: Placed, outcome: Outcome) {
+    pub(crate) fn on_accept(
+        &mut self,
+        id: RequestId,
+        ix: JobIndex,
+        placed: RecordLocation,
+        outcome: Outcome,
+    ) {
         let done = match &outcome {
             Outcome::Answer(r) if r.status == 200 => from_cbor::<TransactionAnswer>(&r.body).ok(),
             _ => None,
         };
         if let Some(done) = done {
-            self.state_answered();
+            self.note_store_answer();
             let Some(job) = self.jobs.get_mut(ix) else { return self.answer_busy(id) };
-            (job.stamp, job.busy) = (done.ledger_rev, false);
+            (job.revision, job.busy) = (done.store_revision, false);
             let job_id = job.id.clone();
-            if placed != Placed::default() {
-                self.chunk_stands(ix, 0, placed, done.ledger_rev);
+            if placed != RecordLocation::default() {
+                self.chunk_stands(ix, 0, placed, done.store_revision);
             }
             self.link(ix);
-            self.job_to(ix, JobState::Live);
+            self.set_job_state(ix, JobState::Live);
             // It may have been accepted behind one that is cancelled.
-            let status = match self.finals.get(&job_id) {
+            let status = match self.terminal_jobs.get(&job_id) {
                 Some(RecordedStatus::Aborted) => JobStatus::Aborted,
                 _ => JobStatus::Queued,
             };
             let answer = JobAnswer { id: job_id, status, done: None, running: None };
             self.answer(id, Response::new(201, to_cbor(&answer)));
             self.touch_probed(ix);
-            self.deal_due = true;
+            self.placement_due = true;
             self.preempt_due = true;
             return;
         }
@@ -489,30 +504,30 @@
         self.drop_job(ix);
         match outcome {
             Outcome::Answer(r) if r.status == 409 => {
-                self.state_answered();
+                self.note_store_answer();
                 let failed = from_cbor::<TransactionAnswer>(&r.body).map(|a| a.failed);
-                if failed.is_ok_and(|f| f.iter().any(|p| p == crate::records::VIEW)) {
-                    self.superseded();
+                if failed.is_ok_and(|f| f.iter().any(|p| p == crate::storage::records::EPOCH_KEY)) {
+                    self.step_down();
                     return self.answer_busy(id);
                 }
-                self.poll(id, job_id)
+                self.query_status(id, job_id)
             }
             Outcome::Answer(r) => {
-                self.state_busy(r.status);
+                self.on_store_throttled(r.status);
                 self.answer_busy(id)
             }
             Outcome::NotSent => self.answer_busy(id),
             Outcome::Lost => {
-                self.doubt_acceptance(job_id);
+                self.track_indeterminate_submission(job_id);
                 self.answer_busy(id)
             }
         }
     }
 
-    pub(crate) fn read_job(&mut self, id: RequestId, job: &str, pending: Pending) {
+    pub(crate) fn read_job(&mut self, id: RequestId, job: &str, pending: InFlight) {
         let may = match pending {
-            Pending::Poll { .. } => self.may_read_to_tell(),
-            _ => self.may_read(),
+            InFlight::Poll { .. } => self.may_read_for_status(),
+            _ => self.may_read_for_request(),
         };
         if !may {
             return self.answer_busy(id);
@@ -521,29 +536,29 @@
     }
 
     /// What a read of a job's record says: `Ok(None)` if there is none.
-    pub(crate) fn read_outcome(&mut self, outcome: Outcome) -> Result<Option<Pair>, ()> {
+    pub(crate) fn read_outcome(&mut self, outcome: Outcome) -> Result<Option<KeyValue>, ()> {
         match outcome {
             Outcome::Answer(r) if r.status == 200 => {
-                self.state_answered();
-                from_cbor::<Pair>(&r.body).map(Some).map_err(|_| ())
+                self.note_store_answer();
+                from_cbor::<KeyValue>(&r.body).map(Some).map_err(|_| ())
             }
             Outcome::Answer(r) if r.status == 404 => {
-                self.state_answered();
+                self.note_store_answer();
                 Ok(None)
             }
             Outcome::Answer(r) => {
-                self.state_busy(r.status);
+                self.on_store_throttled(r.status);
                 Err(())
             }
             _ => Err(()),
         }
     }
 
-    pub(crate) fn on_poll_read(&mut self, id: RequestId, job: String, outcome: Outcome) {
+    pub(crate) fn on_status_read(&mut self, id: RequestId, job: String, outcome: Outcome) {
         match self.read_outcome(outcome) {
             // It may have been accepted, or have ended, while the record was read.
-            Ok(None) => match (self.finals.get(&job), self.jobs.find(&job)) {
-                (Some(status), _) => self.answer_final(id, &job, status),
+            Ok(None) => match (self.terminal_jobs.get(&job), self.jobs.find(&job)) {
+                (Some(status), _) => self.answer_terminal(id, &job, status),
                 (None, Some(_)) => self.answer_busy(id),
                 (None, None) => self.answer_error(id, 404, "no such job"),
             },
@@ -553,19 +568,19 @@
     }
 
     /// Tells what a job's record says, with the counts that the leader knows.
-    fn answer_record(&mut self, id: RequestId, job: &str, pair: Pair) {
+    fn answer_record(&mut self, id: RequestId, job: &str, pair: KeyValue) {
         let Some(record) = decode::<JobRecord>(&pair.value) else {
             tracing::error!(job, "the job's record can't be read; it is left as it is");
             return self.answer_busy(id);
         };
         // Its end may have been learnt while the record was on its way.
-        if let Some(status) = self.finals.get(job) {
-            return self.answer_final(id, job, status);
+        if let Some(status) = self.terminal_jobs.get(job) {
+            return self.answer_terminal(id, job, status);
         }
         match record.status {
             RecordedStatus::Live => {
                 let named = record.spec.as_ref().map(|s| s.dependencies.clone());
-                let known = self.adopt(job, record, pair.stamp);
+                let known = self.adopt(job, record, pair.revision);
                 let answer = known.and_then(|ix| self.jobs.get(ix)).map(live_answer);
                 let answer = answer.unwrap_or_else(|| JobAnswer {
                     id: job.to_string(),
@@ -580,15 +595,15 @@
             }
             ended => {
                 if ended == RecordedStatus::Aborted {
-                    self.learn_abort(job, pair.stamp);
+                    self.learn_abort(job, pair.revision);
                 }
-                self.learn_final(job, ended);
-                self.answer_final(id, job, ended);
+                self.learn_terminal_state(job, ended);
+                self.answer_terminal(id, job, ended);
             }
         }
     }
 
-    pub(crate) fn answer_final(&mut self, id: RequestId, job: &str, status: RecordedStatus) {
+    pub(crate) fn answer_terminal(&mut self, id: RequestId, job: &str, status: RecordedStatus) {
         let status = match status {
             RecordedStatus::Done => JobStatus::Done,
             _ => JobStatus::Aborted,
@@ -608,8 +623,8 @@
         match self.read_outcome(outcome) {
             // It may have been accepted while the record was read.
             Ok(None) if self.jobs.find(&job).is_some() => self.answer_busy(id),
-            Ok(None) => match (self.finals.get(&job), refusal) {
-                (Some(status), _) => self.answer_final(id, &job, status),
+            Ok(None) => match (self.terminal_jobs.get(&job), refusal) {
+                (Some(status), _) => self.answer_terminal(id, &job, status),
                 (None, Some((status, why))) => {
                     tracing::info!(job = %job, why, "refused");
                     self.answer_error(id, status, &why)
@@ -622,37 +637,40 @@
     }
 
     /// The leader aborts a job that it knows.
-    fn abort(&mut self, id: RequestId, ix: JobIx) {
+    fn abort(&mut self, id: RequestId, ix: JobIndex) {
         let Some(job) = self.jobs.get(ix) else { return self.answer_busy(id) };
         // While its record is being written or looked at, an abort can't be decided.
         if job.busy || !matches!(job.state, JobState::Live | JobState::Waiting) {
             return self.answer_busy(id);
         }
-        if !self.write_abort(Some(id), ix) {
+        if !self.record_abort(Some(id), ix) {
             self.answer_busy(id)
         }
     }
 
     /// Records that a job is cancelled; false if that has to wait.
-    pub(crate) fn write_abort(&mut self, request: Option<RequestId>, ix: JobIx) -> bool {
-        let now = self.now.steady_ms;
+    pub(crate) fn record_abort(&mut self, request: Option<RequestId>, ix: JobIndex) -> bool {
+        let now = self.context.now.steady_ms;
         let Some(job) = self.jobs.get(ix) else { return false };
         let inline = job.chunks.get(&0).is_some_and(|c| c.inline);
-        if !self.store.writes.take(now, 1.0, 0.0) {
+        if !self.record_writer.writes.take(now, 1.0, 0.0) {
             return false;
         }
-        self.store.note(Purpose::Abort, 1);
+        self.record_writer.note(Purpose::Abort, 1);
         if job.state != JobState::Doubtful {
-            self.job_to(ix, JobState::Aborting);
+            self.set_job_state(ix, JobState::Aborting);
         }
         let Some(job) = self.jobs.get(ix) else { return false };
-        let (stamp, job_id) = (job.stamp, job.id.clone());
+        let (revision, job_id) = (job.revision, job.id.clone());
         let record = self.own_record(job);
-        let view = Guard { path: crate::records::VIEW.into(), stamp: self.member.view_stamp };
+        let view = Guard {
+            path: crate::storage::records::EPOCH_KEY.into(),
+            revision: self.membership.epoch_revision,
+        };
         let (mut guards, mut apply) = (vec![view], Vec::new());
         // A record that says where its tasks may be goes on saying so.
-        let share = if inline { self.share_write(ix, 0) } else { None };
-        let placed = share.as_ref().map_or(Placed::default(), |s| s.placed);
+        let share = if inline { self.placement_write(ix, 0) } else { None };
+        let placed = share.as_ref().map_or(RecordLocation::default(), |s| s.placed);
         match share {
             Some(share) => {
                 share.enter(&job_id, 0, &mut guards, &mut apply);
@@ -660,8 +678,8 @@
             }
             None => {
                 let key = job_key(&job_id);
-                guards.push(Guard { path: key.clone(), stamp });
-                apply.push(Change::Set { set: key, value: encode(&record), permit: None });
+                guards.push(Guard { path: key.clone(), revision });
+                apply.push(Change::Set { set: key, value: encode(&record), lease_id: None });
             }
         }
         if let Some(j) = self.jobs.get_mut(ix) {
@@ -669,33 +687,33 @@
         }
         let body = to_cbor(&Transaction { guards, apply });
         let epoch = self.epoch();
-        let pending = Pending::AbortWrite { request, job: ix, placed, epoch };
-        self.state_call("POST", "/multi".into(), body, pending);
+        let pending = InFlight::AbortWrite { request, job: ix, placed, epoch };
+        self.call_store("POST", "/multi".into(), body, pending);
         true
     }
 
     pub(crate) fn on_abort_write(
         &mut self,
         request: Option<RequestId>,
-        ix: JobIx,
-        placed: Placed,
+        ix: JobIndex,
+        placed: RecordLocation,
         outcome: Outcome,
     ) {
         let share = FlushItem::Chunk { job: ix, chunk: 0, placed };
         let unknown = self.jobs.get(ix).is_some_and(|j| j.state == JobState::Doubtful);
         if let Outcome::Answer(r) = &outcome {
             if let (200, Ok(done)) = (r.status, from_cbor::<TransactionAnswer>(&r.body)) {
-                self.state_answered();
+                self.note_store_answer();
                 let Some(job) = self.jobs.get_mut(ix) else { return self.not_cancelled(request) };
-                (job.busy, job.stamp) = (false, done.ledger_rev);
+                (job.busy, job.revision) = (false, done.store_revision);
                 let job_id = job.id.clone();
                 if placed.own {
-                    self.chunk_stands(ix, 0, placed, done.ledger_rev);
+                    self.chunk_stands(ix, 0, placed, done.store_revision);
                 }
-                self.job_to(ix, JobState::Aborted);
-                self.store.touch_job(ix);
+                self.set_job_state(ix, JobState::Aborted);
+                self.record_writer.touch_job(ix);
                 if let Some(id) = request {
-                    self.answer_final(id, &job_id, RecordedStatus::Aborted);
+                    self.answer_terminal(id, &job_id, RecordedStatus::Aborted);
                 }
                 return;
             }
@@ -704,11 +722,11 @@
                 if r.status != 503 && r.status != 429 {
                     tracing::error!(status = r.status, "an abort was refused by the state service");
                 }
-                self.state_busy(r.status);
+                self.on_store_throttled(r.status);
                 if let Some(j) = self.jobs.get_mut(ix) {
                     j.busy = false;
                 }
-                self.job_to(ix, JobState::Live);
+                self.set_job_state(ix, JobState::Live);
                 if placed.own {
                     self.unwritten(share);
                 }
@@ -718,11 +736,11 @@
         // Perhaps executed, or the record has changed: it is read before anything else.
         self.not_cancelled(request);
         if !matches!(&outcome, Outcome::Answer(r) if r.status == 409) {
-            self.job_to(ix, JobState::Doubtful);
+            self.set_job_state(ix, JobState::Doubtful);
         }
         match placed.own {
-            true => self.restamp(share),
-            false => self.restamp_job(ix),
+            true => self.reread_record(share),
+            false => self.reread_job(ix),
         }
     }
 
@@ -748,39 +766,39 @@
             return self.answer_record(id, &job, pair);
         }
         if self.leads() {
-            return match self.adopt(&job, record, pair.stamp) {
+            return match self.adopt(&job, record, pair.revision) {
                 Some(ix) => self.abort(id, ix),
                 None => self.answer_busy(id),
             };
         }
-        let now = self.now.steady_ms;
-        if !self.store.writes.take(now, ALONE_CHANGES, 0.0) {
+        let now = self.context.now.steady_ms;
+        if !self.record_writer.writes.take(now, ALONE_CHANGES, 0.0) {
             return self.answer_busy(id);
         }
         record.status = RecordedStatus::Aborted;
         record.end_within(self.value_most());
         let body = to_cbor(&Transaction {
-            guards: vec![Guard { path: job_key(&job), stamp: pair.stamp }],
+            guards: vec![Guard { path: job_key(&job), revision: pair.revision }],
             apply: vec![
-                Change::Set { set: job_key(&job), value: encode(&record), permit: None },
-                Change::Set { set: inbox_key(&job), value: encode(&true), permit: None },
+                Change::Set { set: job_key(&job), value: encode(&record), lease_id: None },
+                Change::Set { set: handoff_key(&job), value: encode(&true), lease_id: None },
             ],
         });
-        let pending = Pending::AbortAlone { request: id, id: job };
-        self.state_call("POST", "/multi".into(), body, pending);
+        let pending = InFlight::AbortAlone { request: id, id: job };
+        self.call_store("POST", "/multi".into(), body, pending);
     }
 
     pub(crate) fn on_abort_alone(&mut self, id: RequestId, job: String, outcome: Outcome) {
         match outcome {
             Outcome::Answer(r) if r.status == 200 => {
-                self.state_answered();
+                self.note_store_answer();
                 tracing::info!(job = %job, "aborted past the leader");
-                self.abort_stands(&job);
-                self.tell_abort(&job);
-                self.answer_final(id, &job, RecordedStatus::Aborted)
+                self.on_abort_recorded(&job);
+                self.notify_abort(&job);
+                self.answer_terminal(id, &job, RecordedStatus::Aborted)
             }
             Outcome::Answer(r) if r.status != 409 => {
-                self.state_busy(r.status);
+                self.on_store_throttled(r.status);
                 self.answer_busy(id)
             }
             _ => self.answer_busy(id),
@@ -790,56 +808,63 @@
     /// Tells the others of an abort that stands on record, so that its tasks are stopped at once
     /// even by a leader that the state service does not answer. Nothing rests on its arrival: the
     /// note in the inbox and the horizon hold without it.
-    fn tell_abort(&mut self, job: &str) {
-        for at in 0..self.cfg.platform.siblings.len() {
+    fn notify_abort(&mut self, job: &str) {
+        for at in 0..self.context.config.platform.siblings.len() {
             let mut message = self.mesh_message();
-            let (method, path) = ("POST".to_string(), format!("{ABORTED}{job}"));
+            let (method, path) = ("POST".to_string(), format!("{ABORTED_PATH}{job}"));
             message.forward = Some(Forward { method, path, body: Vec::new() });
-            let (peer, timeout) = (Peer::Sibling(at), self.cfg.mesh_timeout_ms());
+            let (peer, timeout) = (Peer::Sibling(at), self.context.config.mesh_timeout_ms());
             let body = to_cbor(&message);
-            self.call(peer, "POST", "/mesh".into(), body, timeout, Pending::Told);
+            self.call(peer, "POST", "/mesh".into(), body, timeout, InFlight::Told);
         }
     }
 
     /// A sibling says that a job's abort stands on record. It says so however late it comes.
-    pub(crate) fn told_of_abort(&mut self, id: RequestId, job: &str) {
+    pub(crate) fn on_abort_notice(&mut self, id: RequestId, job: &str) {
         if !valid_job_id(job) {
             return self.answer_error(id, 400, "malformed ref");
         }
-        self.keeper_learns_abort(job);
-        self.abort_stands(job);
+        self.proxy_learns_abort(job);
+        self.on_abort_recorded(job);
         let body = to_cbor(&self.mesh_message());
         self.answer(id, Response::new(200, body));
     }
 
     /// An abort that others recorded stands; its stamp is read when needed.
-    pub(crate) fn abort_stands(&mut self, job: &str) {
+    pub(crate) fn on_abort_recorded(&mut self, job: &str) {
         if let Some(ix) = self.jobs.find(job) {
             if self.jobs.get(ix).is_some_and(|j| j.state != JobState::Aborted) {
-                self.job_to(ix, JobState::Aborted);
-                self.restamp_job(ix);
+                self.set_job_state(ix, JobState::Aborted);
+                self.reread_job(ix);
             }
         }
-        self.learn_final(job, RecordedStatus::Aborted);
+        self.learn_terminal_state(job, RecordedStatus::Aborted);
     }
 
     /// What was recorded past the leader.
-    pub(crate) fn on_inbox(&mut self, path: &str, value: &ciborium::value::Value, stamp: u64) {
-        let Some(job) = path.strip_prefix(INBOX).filter(|j| valid_job_id(j)) else { return };
+    pub(crate) fn on_handoff_entry(
+        &mut self,
+        path: &str,
+        value: &ciborium::value::Value,
+        revision: u64,
+    ) {
+        let Some(job) = path.strip_prefix(HANDOFF_PREFIX).filter(|j| valid_job_id(j)) else {
+            return;
+        };
         let aborted = decode::<bool>(value).unwrap_or(false);
-        self.store.remove_note(path.to_string(), stamp);
+        self.record_writer.remove_note(path.to_string(), revision);
         if aborted {
             // The abort stands in the same transaction.
-            self.abort_stands(job);
+            self.on_abort_recorded(job);
         } else if self.jobs.find(job).is_none() {
-            let pending = Pending::InboxRead { job: job.to_string(), epoch: self.epoch() };
-            self.state_call("GET", format!("/keys/{}", job_key(job)), Vec::new(), pending);
+            let pending = InFlight::InboxRead { job: job.to_string(), epoch: self.epoch() };
+            self.call_store("GET", format!("/keys/{}", job_key(job)), Vec::new(), pending);
         }
     }
 
     pub(crate) fn tick_types(&mut self) {
-        let now = self.now.steady_ms;
-        let lag = (self.cfg.platform.params.cloud.list_lag_s * 1000.0) as u64;
+        let now = self.context.now.steady_ms;
+        let lag = (self.context.config.platform.params.cloud.list_lag_s * 1000.0) as u64;
         let every = match self.types_at_ms {
             None => 500,
             Some(_) if self.leads() => (lag * 5).max(10_000),
@@ -847,7 +872,7 @@
         };
         if self.types_asked_ms == 0 || now >= self.types_asked_ms + every {
             self.types_asked_ms = now.max(1);
-            let pending = Pending::Types;
+            let pending = InFlight::Types;
             self.call(Peer::Cloud, "GET", "/machine_types".into(), Vec::new(), 2000, pending);
         }
     }
@@ -858,31 +883,33 @@
             return;
         }
         let Ok(list) = from_cbor::<MachineTypes>(&r.body) else { return };
-        let sane = |a: f64| (0.0..1e9).contains(&a);
+        let is_plausible = |a: f64| (0.0..1e9).contains(&a);
         if list.types.is_empty()
             || !list.types.iter().all(|t| {
-                sane(t.cpus)
-                    && sane(t.gpus)
-                    && sane(t.memory_gb)
-                    && sane(t.price)
-                    && sane(t.spot_price)
-                    && sane(t.boot_s)
-                    && sane(t.fetch_gb_per_s)
+                is_plausible(t.cpus)
+                    && is_plausible(t.gpus)
+                    && is_plausible(t.memory_gb)
+                    && is_plausible(t.price)
+                    && is_plausible(t.spot_price)
+                    && is_plausible(t.boot_s)
+                    && is_plausible(t.fetch_gb_per_s)
             })
         {
             return;
         }
         self.types = list.types;
-        self.types_at_ms = Some(self.now.steady_ms);
+        self.types_at_ms = Some(self.context.now.steady_ms);
         self.supply_changed = true;
     }
 
     /// Whether a job can ever run.
     pub(crate) fn verdict(&self, spec: &JobSpec) -> Verdict {
-        let Some(team) = self.cfg.platform.params.teams.iter().find(|t| t.name == spec.team) else {
+        let Some(team) =
+            self.context.config.platform.params.teams.iter().find(|t| t.name == spec.team)
+        else {
             return Verdict::Never("unknown team");
         };
-        let counted = if spec.shape == Shape::Array { 1.0 } else { spec.tasks as f64 };
+        let counted = if spec.shape == JobKind::Array { 1.0 } else { spec.tasks as f64 };
         let over = |each: f64, limit: f64| limit > 0.0 && each * counted > limit + 1e-6;
         if over(spec.cpus, team.cpus_max) || over(spec.gpus, team.gpus_max) {
             return Verdict::Never("the job needs more than the team's limit");
@@ -904,7 +931,7 @@
         }
         // What runs all at once needs a second zone for the other half; an array goes on with
         // what may run.
-        let at_once = spec.shape != Shape::Array && spec.tasks > 1;
+        let at_once = spec.shape != JobKind::Array && spec.tasks > 1;
         if at_once && spec.spread && (spec.together || zones.len() < 2) {
             return Verdict::Never("its tasks may not all be in the only zone that they may be in");
         }
@@ -912,12 +939,12 @@
     }
 }
 
-impl UserWork {
+impl UserRequest {
     fn id(&self) -> &str {
         match self {
-            UserWork::Submit(spec, _) => &spec.id,
-            UserWork::Malformed { job, .. } => job,
-            UserWork::Poll(id) | UserWork::Abort(id) => id,
+            UserRequest::Submit(spec, _) => &spec.id,
+            UserRequest::Malformed { job, .. } => job,
+            UserRequest::Poll(id) | UserRequest::Abort(id) => id,
         }
     }
 }
--- a/crates/core/src/polls.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -8,29 +8,29 @@
 use quartzgate_wire::msg::{Guard, JobAnswer, JobStatus, Transaction, TransactionAnswer};
 use quartzgate_wire::{from_cbor, to_cbor};
 
-use crate::controller::{Controller, Pending};
-use crate::ids::JobIx;
+use crate::controller::{Controller, InFlight};
+use crate::ids::JobIndex;
 use crate::jobs::Job;
-use crate::records::{job_key, JOBS};
+use crate::storage::records::{job_key, JOB_PREFIX};
 use crate::{Outcome, RequestId};
 
 /// Who asked about which job.
-type Asked = BTreeMap<JobIx, Vec<RequestId>>;
+type Asked = BTreeMap<JobIndex, Vec<RequestId>>;
 
 /// A comparison of what answers rest on with what stands.
 #[derive(Debug, Default)]
-pub(crate) struct Compared {
+pub(crate) struct ValidatedRead {
     asked: Asked,
     /// Records, with the stamps that memory rests on, that are still to be compared.
-    open: BTreeMap<JobIx, u64>,
+    open: BTreeMap<JobIndex, u64>,
     /// Those of them that are being compared.
-    sent: BTreeMap<JobIx, u64>,
+    sent: BTreeMap<JobIndex, u64>,
     /// Jobs whose records have changed.
-    changed: BTreeSet<JobIx>,
+    changed: BTreeSet<JobIndex>,
 }
 
 #[derive(Default)]
-pub(crate) struct Polls {
+pub(crate) struct StatusQueries {
     asked: Asked,
     waiting: usize,
     sent_ms: u64,
@@ -43,33 +43,35 @@
 
 impl Controller {
     /// Answers with a job's state after a fresh read.
-    pub(crate) fn poll(&mut self, id: RequestId, job: String) {
+    pub(crate) fn query_status(&mut self, id: RequestId, job: String) {
         let known = self.jobs.find(&job).filter(|_| self.leads());
         match known.filter(|ix| self.jobs.get(*ix).is_some_and(comparable)) {
-            Some(_) if self.polls.waiting >= WAITING_MOST => self.answer_busy(id),
+            Some(_) if self.status_queries.waiting >= WAITING_MOST => self.answer_busy(id),
             Some(ix) => {
-                self.polls.asked.entry(ix).or_default().push(id);
-                self.polls.waiting += 1;
+                self.status_queries.asked.entry(ix).or_default().push(id);
+                self.status_queries.waiting += 1;
             }
             None => self.read_for(id, job),
         }
     }
 
     fn read_for(&mut self, id: RequestId, job: String) {
-        self.read_job(id, &job, Pending::Poll { request: id, id: job.clone() });
+        self.read_job(id, &job, InFlight::Poll { request: id, id: job.clone() });
     }
 
     /// Sends one read for all that has been asked since the last.
-    pub(crate) fn tick_polls(&mut self) {
-        let now = self.now.steady_ms;
-        if self.polls.asked.is_empty() || now < self.polls.sent_ms + self.cfg.batch_ms() / 4 {
+    pub(crate) fn tick_status_queries(&mut self) {
+        let now = self.context.now.steady_ms;
+        if self.status_queries.asked.is_empty()
+            || now < self.status_queries.sent_ms + self.context.config.write_batch_ms() / 4
+        {
             return;
         }
-        self.polls.sent_ms = now;
-        self.polls.waiting = 0;
+        self.status_queries.sent_ms = now;
+        self.status_queries.waiting = 0;
         let most = GUARDS_PER_OP * self.limits().txn_ops;
-        let mut batch = Compared::default();
-        for (ix, ids) in std::mem::take(&mut self.polls.asked) {
+        let mut batch = ValidatedRead::default();
+        for (ix, ids) in std::mem::take(&mut self.status_queries.asked) {
             let Some(rests_on) = self.rests_on(ix) else {
                 // A record is under way, or has ended meanwhile.
                 self.ask_singly(ix, ids);
@@ -88,41 +90,42 @@
 
     /// The records, with their stamps, on which what memory says of a job rests: its own,
     /// and those of the jobs that it waits for, directly or through others.
-    fn rests_on(&self, ix: JobIx) -> Option<BTreeMap<JobIx, u64>> {
+    fn rests_on(&self, ix: JobIndex) -> Option<BTreeMap<JobIndex, u64>> {
         let mut all = self.before(ix)?;
         all.push(ix);
-        let stamp = |j: &JobIx| self.jobs.get(*j).filter(|j| comparable(j)).map(|j| j.stamp);
-        all.into_iter().map(|j| Some((j, stamp(&j)?))).collect()
+        let revision =
+            |j: &JobIndex| self.jobs.get(*j).filter(|j| comparable(j)).map(|j| j.revision);
+        all.into_iter().map(|j| Some((j, revision(&j)?))).collect()
     }
 
-    fn compare(&mut self, mut compared: Compared) {
+    fn compare(&mut self, mut compared: ValidatedRead) {
         if compared.asked.is_empty() {
             return;
         }
-        if !self.may_read() {
+        if !self.may_read_for_request() {
             return compared.asked.into_values().flatten().for_each(|id| self.answer_busy(id));
         }
         let most = GUARDS_PER_OP * self.limits().txn_ops;
-        let now: Vec<(JobIx, u64)> =
+        let now: Vec<(JobIndex, u64)> =
             compared.open.iter().take(most).map(|(j, s)| (*j, *s)).collect();
         let mut guards = Vec::with_capacity(now.len());
-        for (ix, stamp) in now {
+        for (ix, revision) in now {
             compared.open.remove(&ix);
             match self.jobs.get(ix) {
                 Some(j) => {
-                    guards.push(Guard { path: job_key(&j.id), stamp });
-                    compared.sent.insert(ix, stamp);
+                    guards.push(Guard { path: job_key(&j.id), revision });
+                    compared.sent.insert(ix, revision);
                 }
                 // It has ended since.
                 None => drop(compared.changed.insert(ix)),
             }
         }
         let body = to_cbor(&Transaction { guards, apply: Vec::new() });
-        let pending = Pending::Compare { compared, epoch: self.epoch() };
-        self.state_call("POST", "/multi".into(), body, pending);
+        let pending = InFlight::Compare { compared, epoch: self.epoch() };
+        self.call_store("POST", "/multi".into(), body, pending);
     }
 
-    fn ask_singly(&mut self, ix: JobIx, ids: Vec<RequestId>) {
+    fn ask_singly(&mut self, ix: JobIndex, ids: Vec<RequestId>) {
         let job = self.jobs.get(ix).map(|j| j.id.clone());
         for id in ids {
             match &job {
@@ -132,14 +135,14 @@
         }
     }
 
-    pub(crate) fn on_compare(&mut self, mut compared: Compared, epoch: u64, outcome: Outcome) {
+    pub(crate) fn on_compare(&mut self, mut compared: ValidatedRead, epoch: u64, outcome: Outcome) {
         let failed = match &outcome {
             Outcome::Answer(r) if r.status == 200 => Some(Vec::new()),
             Outcome::Answer(r) if r.status == 409 => {
                 from_cbor::<TransactionAnswer>(&r.body).ok().map(|a| a.failed)
             }
             Outcome::Answer(r) => {
-                self.state_busy(r.status);
+                self.on_store_throttled(r.status);
                 None
             }
             _ => None,
@@ -148,23 +151,23 @@
         let Some(failed) = failed.filter(|_| epoch == self.epoch()) else {
             return compared.asked.into_values().flatten().for_each(|id| self.answer_busy(id));
         };
-        self.state_answered();
+        self.note_store_answer();
         for path in failed {
-            let found = path.strip_prefix(JOBS).and_then(|id| self.jobs.find(id));
+            let found = path.strip_prefix(JOB_PREFIX).and_then(|id| self.jobs.find(id));
             let Some(ix) = found else { continue };
             compared.changed.insert(ix);
             // Memory is behind its record, or the record behind a late write; unless we wrote
             // it meanwhile.
             let sent = compared.sent.get(&ix).copied();
-            if self.jobs.get(ix).is_some_and(|j| comparable(j) && Some(j.stamp) == sent) {
-                self.restamp_job(ix);
+            if self.jobs.get(ix).is_some_and(|j| comparable(j) && Some(j.revision) == sent) {
+                self.reread_job(ix);
             }
         }
         if !compared.open.is_empty() {
             return self.compare(compared);
         }
         for (ix, ids) in compared.asked {
-            let changed = |j: &JobIx| compared.changed.contains(j);
+            let changed = |j: &JobIndex| compared.changed.contains(j);
             let changed = changed(&ix) || self.before(ix).is_none_or(|b| b.iter().any(changed));
             let stands = |j: &&Job| j.state.lives() && !changed;
             match self.jobs.get(ix).filter(stands).map(live_answer) {
@@ -178,15 +181,15 @@
     }
 
     /// What waits for an answer when this controller no longer leads.
-    pub(crate) fn drop_polls(&mut self) {
-        let polls = std::mem::take(&mut self.polls);
+    pub(crate) fn drop_status_queries(&mut self) {
+        let polls = std::mem::take(&mut self.status_queries);
         polls.asked.into_values().flatten().for_each(|id| self.answer_busy(id));
     }
 }
 
 /// Memory rests on a record of the job whose stamp is known.
 fn comparable(job: &Job) -> bool {
-    job.state.lives() && !job.busy && (job.stamp > 0 || job.page.is_some())
+    job.state.lives() && !job.busy && (job.revision > 0 || job.page.is_some())
 }
 
 /// What is told of a job that had not ended at the time of a read: its end is told
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -111,7 +111,7 @@
         Config { platform, operator, lowest, table: &TABLE }
     }
 
-    pub fn report_ms(&self) -> u64 {
+    pub fn heartbeat_interval_ms(&self) -> u64 {
         ms(self.platform.params.workers.report_s)
     }
 
@@ -132,50 +132,50 @@
     /// may go on answering reports. A worker's lease counts from when it sent the
     /// report that was answered, so the time after which it drops an answer
     /// (PROTOCOL) needs no place here.
-    pub fn horizon_ms(&self) -> u64 {
+    pub fn lease_bound_ms(&self) -> u64 {
         self.cancel_ms().saturating_sub(self.lease_ms() + 2 * self.margin_ms())
     }
 
     /// How long after our last answer a machine that knows our token must have
     /// given up all its tasks.
-    pub fn silence_ms(&self) -> u64 {
+    pub fn lease_expiry_ms(&self) -> u64 {
         self.lease_ms() + self.margin_ms()
     }
 
     /// How long after a view began a machine that never knew its token must have
     /// given up all its tasks: its former owner has stopped answering, and the
     /// lease that it last gave has run out.
-    pub fn inheritance_ms(&self) -> u64 {
-        self.horizon_ms() + self.lease_ms() + 2 * self.margin_ms()
+    pub fn inherited_lease_expiry_ms(&self) -> u64 {
+        self.lease_bound_ms() + self.lease_ms() + 2 * self.margin_ms()
     }
 
     /// Time to live of a controller's lease at the state service.
-    pub fn member_ttl_ms(&self) -> u64 {
+    pub fn controller_lease_ttl_ms(&self) -> u64 {
         (self.lease_ms() / 4).max(1000)
     }
 
-    pub fn renew_every_ms(&self) -> u64 {
-        self.member_ttl_ms() / 4
+    pub fn lease_renewal_ms(&self) -> u64 {
+        self.controller_lease_ttl_ms() / 4
     }
 
     pub fn watch_block_ms(&self) -> u64 {
         // Contact must be proven several times within the horizon.
-        self.report_ms().clamp(1000, 3000).min((self.horizon_ms() / 4).max(100))
+        self.heartbeat_interval_ms().clamp(1000, 3000).min((self.lease_bound_ms() / 4).max(100))
     }
 
     /// Time between two events past which this process must have stood still: it is
     /// told the time far more often, and a lease outlasts it.
-    pub fn pause_ms(&self) -> u64 {
-        self.member_ttl_ms() / 3
+    pub fn stall_threshold_ms(&self) -> u64 {
+        self.controller_lease_ttl_ms() / 3
     }
 
     /// Time for an ordinary answer of the state service.
-    pub fn state_timeout_ms(&self) -> u64 {
-        (self.member_ttl_ms() / 3).clamp(400, 1000)
+    pub fn store_timeout_ms(&self) -> u64 {
+        (self.controller_lease_ttl_ms() / 3).clamp(400, 1000)
     }
 
     pub fn worker_timeout_ms(&self) -> u64 {
-        self.report_ms().clamp(800, ANSWER_DROP_MS / 2)
+        self.heartbeat_interval_ms().clamp(800, ANSWER_DROP_MS / 2)
     }
 
     /// How long a worker waits for the answer to its report.
@@ -185,7 +185,7 @@
 
     /// How long a worker's report may wait for an answer: well within the time
     /// after which the worker looks elsewhere.
-    pub fn park_ms(&self) -> u64 {
+    pub fn max_heartbeat_hold_ms(&self) -> u64 {
         ANSWER_DROP_MS * 3 / 4
     }
 
@@ -197,17 +197,17 @@
 
     /// Time for a sibling to decide a user's request: what is left must do to decide
     /// it here, by the records.
-    pub fn pass_on_ms(&self) -> u64 {
+    pub fn forward_timeout_ms(&self) -> u64 {
         self.mesh_timeout_ms() * 2 / 5
     }
 
     /// Longest time for which recorded ends of tasks are gathered into one write.
-    pub fn batch_ms(&self) -> u64 {
-        self.report_ms() / 10
+    pub fn write_batch_ms(&self) -> u64 {
+        self.heartbeat_interval_ms() / 10
     }
 
     /// Longest time for which a write that nothing waits for makes way for others.
-    pub fn patience_ms(&self) -> u64 {
+    pub fn max_write_delay_ms(&self) -> u64 {
         self.lease_ms() / 2
     }
 
--- /dev/null
+++ b/crates/core/src/context.rs
@@ -0,0 +1,104 @@
+//! What every module of the core may use: settings, the present time, random numbers, and the
+//! way out for answers and calls.
+//!
+//! A module that owns its state takes a `&mut Context` beside its arguments instead of the whole
+//! controller. Calls that it makes are noted in its own [`CallTable`]; the controller routes each
+//! outcome to the module whose table has the call.
+
+use std::collections::HashMap;
+
+use quartzgate_wire::http::Response;
+use quartzgate_wire::msg::ErrorAnswer;
+use quartzgate_wire::to_cbor;
+use rand::rngs::SmallRng;
+
+use crate::config::Config;
+use crate::latency::Latencies;
+use crate::{Action, Call, CallId, Now, Peer, RequestId};
+
+/// Settings, clocks and effects, shared by all modules of one controller.
+pub(crate) struct Context {
+    pub config: Config,
+    /// The time of the event that is being handled.
+    pub now: Now,
+    pub rng: SmallRng,
+    pub latencies: Latencies,
+    actions: Vec<Action>,
+    next_call: CallId,
+}
+
+impl Context {
+    pub fn new(config: Config, rng: SmallRng) -> Self {
+        let latencies = Latencies::new();
+        Context { config, now: Now::default(), rng, latencies, actions: Vec::new(), next_call: 1 }
+    }
+
+    /// The actions that came of the event, in the order in which they were asked for.
+    pub fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
+    }
+
+    /// Asks for a call; its outcome comes back under the identifier returned.
+    pub fn call(
+        &mut self,
+        peer: Peer,
+        method: &'static str,
+        target: String,
+        body: Vec<u8>,
+        timeout_ms: u64,
+    ) -> CallId {
+        let id = self.next_call;
+        self.next_call += 1;
+        self.actions.push(Action::Call(Call { id, peer, method, target, body, timeout_ms }));
+        id
+    }
+
+    /// A call to the key-value store with the timeout for ordinary answers.
+    pub fn call_store(&mut self, method: &'static str, target: String, body: Vec<u8>) -> CallId {
+        let timeout_ms = self.config.store_timeout_ms();
+        self.call(Peer::State, method, target, body, timeout_ms)
+    }
+
+    /// Answers a request, and ends the measurement of its latency.
+    pub fn answer(&mut self, id: RequestId, response: Response) {
+        self.latencies.end(id, self.now.steady_ms);
+        self.actions.push(Action::Answer { id, response });
+    }
+
+    /// Answers a request with an error status and its reason.
+    pub fn answer_error(&mut self, id: RequestId, status: u16, error: &str) {
+        let body = to_cbor(&ErrorAnswer { error: error.to_string() });
+        self.answer(id, Response::new(status, body));
+    }
+
+    /// Answers at once that the request can't be decided now, and when to retry it.
+    pub fn answer_busy(&mut self, id: RequestId) {
+        let body = to_cbor(&ErrorAnswer { error: "can't decide at present".into() });
+        let mut response = Response::new(503, body);
+        response.retry_after_s = Some(1);
+        self.answer(id, response);
+    }
+}
+
+/// Calls of one module whose outcomes have not come yet, and what each was for.
+pub(crate) struct CallTable<Purpose> {
+    in_flight: HashMap<CallId, Purpose>,
+}
+
+impl<Purpose> Default for CallTable<Purpose> {
+    fn default() -> Self {
+        CallTable { in_flight: HashMap::new() }
+    }
+}
+
+impl<Purpose> CallTable<Purpose> {
+    /// Notes what a call is for.
+    pub fn insert(&mut self, call: CallId, purpose: Purpose) {
+        self.in_flight.insert(call, purpose);
+    }
+
+    /// Takes out what a call was for, if this module made it.
+    pub fn take(&mut self, call: CallId) -> Option<Purpose> {
+        self.in_flight.remove(&call)
+    }
+}
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -4,43 +4,43 @@
 
 use quartzgate_ladder::StandingRecord;
 use quartzgate_wire::http::Response;
-use quartzgate_wire::msg::{ErrorAnswer, JobSpec, MachineType, Report};
-use quartzgate_wire::to_cbor;
+use quartzgate_wire::msg::{Heartbeat, JobSpec, MachineType};
 use rand::rngs::SmallRng;
 
-use crate::admission::Admission;
-use crate::chains::Chains;
-use crate::cloud::Cloud;
+use crate::api::admission::AdmissionControl;
+use crate::api::status_queries::{StatusQueries, ValidatedRead};
 use crate::config::Config;
-use crate::dispatch::Ratios;
-use crate::field::Effort;
-use crate::format::Format;
-use crate::gang::Held;
-use crate::ids::{JobIx, MachineIx, TaskKey};
+use crate::context::{CallTable, Context};
+use crate::fleet::machines::{Machines, Resources};
+use crate::fleet::provisioning::Provisioner;
+use crate::ids::{JobIndex, MachineIndex, TaskKey};
+use crate::jobs::dependencies::DependencyGraph;
 use crate::jobs::Jobs;
-use crate::keeper::Keeper;
-use crate::latency::{Latencies, Span};
-use crate::machines::{Machines, Room};
-use crate::member::{Member, Role};
-use crate::pages::{LookUp, Pages};
-use crate::pause::Pause;
-use crate::polls::{Compared, Polls};
-use crate::post::PostBox;
-use crate::records::RecordedStatus;
-use crate::restore::Restore;
-use crate::shares::Placed;
-use crate::store::{FlushItem, Store};
-use crate::{Action, Call, CallId, Event, LoadState, Now, Outcome, Peer, RequestId};
+use crate::latency::LatencySpan;
+use crate::lease_proxy::mailbox::Mailbox;
+use crate::lease_proxy::LeaseProxy;
+use crate::membership::stall::ProcessStall;
+use crate::membership::{Membership, Role};
+use crate::placement::candidates::SearchBudget;
+use crate::placement::dispatch::DemandRatios;
+use crate::placement::gangs::GangHold;
+use crate::recovery::Recovery;
+use crate::storage::feature_state::FeatureState;
+use crate::storage::job_batches::{BatchLookup, JobBatches};
+use crate::storage::placement_records::RecordLocation;
+use crate::storage::record_writer::{FlushItem, RecordWriter};
+use crate::storage::records::RecordedStatus;
+use crate::{Action, Event, LoadState, Now, Outcome, Peer, RequestId};
 
 /// What a call of ours was for.
 #[derive(Debug)]
-pub(crate) enum Pending {
+pub(crate) enum InFlight {
     LeaseNew { sent_ms: u64 },
     LeaseRenew { sent_ms: u64 },
     MemberKey,
-    KeepClaim { epoch: u64, permit: u64 },
+    KeepClaim { epoch: u64, lease_id: u64 },
     KeepRead { job: String, sent_ms: u64 },
-    Post { ids: Vec<u64> },
+    MailboxRecord { ids: Vec<u64> },
     HandedOn { sibling: usize, id: u64 },
     OrdersRelayed { request: RequestId },
     ReadAgain { job: String, epoch: u64 },
@@ -50,14 +50,14 @@
     InboxWatch { sent_ms: u64, epoch: u64 },
     InboxRead { job: String, epoch: u64 },
     InboxList { rev: Option<u64>, epoch: u64 },
-    Restore { epoch: u64 },
-    Orders { machine: MachineIx, token: u64, starts: Vec<(TaskKey, u64)> },
-    Inspect { machine: MachineIx, epoch: u64 },
+    Recovery { epoch: u64 },
+    Orders { machine: MachineIndex, fencing_token: u64, starts: Vec<(TaskKey, u64)> },
+    Inspect { machine: MachineIndex, epoch: u64 },
     Flush { items: Vec<FlushItem>, sent_ms: u64, epoch: u64 },
     Restamp { item: FlushItem, epoch: u64 },
-    Accept { request: RequestId, job: JobIx, placed: Placed, epoch: u64 },
+    Accept { request: RequestId, job: JobIndex, placed: RecordLocation, epoch: u64 },
     AcceptAlone { request: RequestId, id: String, cancelled: bool },
-    AbortWrite { request: Option<RequestId>, job: JobIx, placed: Placed, epoch: u64 },
+    AbortWrite { request: Option<RequestId>, job: JobIndex, placed: RecordLocation, epoch: u64 },
     AbortRead { request: RequestId, id: String },
     AbortAlone { request: RequestId, id: String },
     Known { request: RequestId, job: String, refusal: Option<(u16, String)> },
@@ -68,28 +68,28 @@
     Step { record: StandingRecord, epoch: u64 },
     Poll { request: RequestId, id: String },
     AloneRead { request: RequestId, spec: Box<JobSpec>, cancelled: bool },
-    LookFirst(LookUp),
-    LookLast(LookUp),
-    LookAbsent { look: LookUp, epoch: u64 },
+    LookFirst(BatchLookup),
+    LookLast(BatchLookup),
+    LookAbsent { look: BatchLookup, epoch: u64 },
     PageScan,
     PageChanges,
     PageWrite { number: u64, epoch: u64 },
     PageRead { number: u64, epoch: u64 },
-    Compare { compared: Compared, epoch: u64 },
-    Forward { request: RequestId, sibling: usize, work: Box<UserWork> },
+    Compare { compared: ValidatedRead, epoch: u64 },
+    Forward { request: RequestId, sibling: usize, work: Box<UserRequest> },
     Beat { sibling: usize },
     Told,
-    Relay { request: RequestId, report: Box<Report> },
-    Adopt { job: JobIx, epoch: u64 },
+    Relay { request: RequestId, report: Box<Heartbeat> },
+    Adopt { job: JobIndex, epoch: u64 },
     Types,
     List { since: Option<String> },
     Hire { kind: String, zone: u16, spot: bool, wanted: u32, name: String, epoch: u64 },
-    Return { machines: Vec<MachineIx>, epoch: u64 },
+    Return { machines: Vec<MachineIndex>, epoch: u64 },
 }
 
 /// A user's request, parsed.
 #[derive(Clone, Debug)]
-pub(crate) enum UserWork {
+pub(crate) enum UserRequest {
     Submit(Box<JobSpec>, Vec<u8>),
     /// A submission that names a job and is wrong in something else: refused unless it is known.
     Malformed {
@@ -103,19 +103,19 @@
 
 /// Ends of jobs, which never change again. Bounded: the oldest are read anew.
 #[derive(Default)]
-pub(crate) struct Finals {
+pub(crate) struct TerminalJobs {
     known: HashMap<String, RecordedStatus>,
     order: VecDeque<String>,
 }
 
 /// How many ends are kept in memory.
-const FINALS: usize = 20_000;
+const MAX_TERMINAL_JOBS: usize = 20_000;
 
-impl Finals {
+impl TerminalJobs {
     pub fn insert(&mut self, id: String, status: RecordedStatus) {
         if self.known.insert(id.clone(), status).is_none() {
             self.order.push_back(id);
-            if self.order.len() > FINALS {
+            if self.order.len() > MAX_TERMINAL_JOBS {
                 if let Some(old) = self.order.pop_front() {
                     self.known.remove(&old);
                 }
@@ -129,208 +129,198 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct TeamUse {
+pub(crate) struct TeamUsage {
     /// Dealt and not provably ended: what the limit is held against.
-    pub licensed: Room,
+    pub reserved: Resources,
     /// On machines.
-    pub placed: Room,
+    pub placed: Resources,
     /// Perhaps on machines: not proven free yet.
-    pub unproven: Room,
+    pub unproven: Resources,
 }
 
 pub struct Controller {
-    pub(crate) cfg: Config,
-    pub(crate) now: Now,
-    pub(crate) rng: SmallRng,
-    pub(crate) out: Vec<Action>,
-    next_call: CallId,
-    pending: HashMap<CallId, Pending>,
-    pub(crate) member: Member,
-    pub(crate) finals: Finals,
-    pub(crate) chains: Chains,
-    pub(crate) format: Format,
-    pub(crate) latencies: Latencies,
-    pub(crate) keeper: Keeper,
-    pub(crate) polls: Polls,
-    pub(crate) pages: Pages,
-    pub(crate) pages_retry: Vec<u64>,
-    pub(crate) post: PostBox,
+    pub(crate) context: Context,
+    calls: CallTable<InFlight>,
+    pub(crate) membership: Membership,
+    pub(crate) terminal_jobs: TerminalJobs,
+    pub(crate) dependency_graph: DependencyGraph,
+    pub(crate) feature_state: FeatureState,
+    pub(crate) lease_proxy: LeaseProxy,
+    pub(crate) status_queries: StatusQueries,
+    pub(crate) job_batches: JobBatches,
+    pub(crate) batch_reads_to_retry: Vec<u64>,
+    pub(crate) mailbox: Mailbox,
     /// Workers of other zones: since when they report here, and when they were last sent
     /// to the leader.
-    pub(crate) strays: HashMap<String, (u64, u64)>,
-    pub(crate) pause: Pause,
+    pub(crate) out_of_zone_workers: HashMap<String, (u64, u64)>,
+    pub(crate) stall: ProcessStall,
     pub(crate) types: Vec<MachineType>,
     pub(crate) types_at_ms: Option<u64>,
     pub(crate) types_asked_ms: u64,
     // The leader's memory, emptied when it is superseded.
     pub(crate) jobs: Jobs,
     pub(crate) machines: Machines,
-    pub(crate) teams: Vec<TeamUse>,
-    pub(crate) store: Store,
-    pub(crate) cloud: Cloud,
-    pub(crate) restore: Restore,
-    pub(crate) ratios: Ratios,
-    pub(crate) effort: Effort,
+    pub(crate) teams: Vec<TeamUsage>,
+    pub(crate) record_writer: RecordWriter,
+    pub(crate) provisioner: Provisioner,
+    pub(crate) recovery: Recovery,
+    pub(crate) ratios: DemandRatios,
+    pub(crate) search_budget: SearchBudget,
     pub(crate) load: LoadState,
     /// What the daemon tells of requests that waited.
     pub(crate) intake: Vec<(String, f64)>,
-    pub(crate) admission: Admission,
+    pub(crate) admission: AdmissionControl,
     pub(crate) epoch_began_ms: u64,
     pub(crate) attempts: u64,
     pub(crate) arrivals: u64,
-    pub(crate) touched: BTreeSet<MachineIx>,
-    pub(crate) needs_orders: BTreeSet<MachineIx>,
-    pub(crate) deal_due: bool,
+    pub(crate) machines_to_dispatch: BTreeSet<MachineIndex>,
+    pub(crate) machines_to_command: BTreeSet<MachineIndex>,
+    pub(crate) placement_due: bool,
     pub(crate) reprobe_due: bool,
     pub(crate) drain_due: bool,
     pub(crate) preempt_due: bool,
-    dealt_ms: u64,
+    placed_at_ms: u64,
     reprobed_ms: u64,
     preempted_ms: u64,
     pub(crate) supply_changed: bool,
     pub(crate) round_at_ms: u64,
     pub(crate) second_at_ms: u64,
     /// Reads of records that failed and are tried again.
-    pub(crate) store_retry: Vec<FlushItem>,
-    pub(crate) inbox_again: Vec<String>,
+    pub(crate) record_reads_to_retry: Vec<FlushItem>,
+    pub(crate) handoff_reads_to_retry: Vec<String>,
     /// Jobs whose acceptance got no answer, and until when they are looked for.
-    pub(crate) doubted: BTreeMap<String, u64>,
+    pub(crate) indeterminate_submissions: BTreeMap<String, u64>,
     /// Reports whose workers were sent elsewhere.
     pub(crate) let_go: u64,
     /// Room that is kept for gangs, by machine.
-    pub(crate) held: BTreeMap<MachineIx, Held>,
+    pub(crate) gang_holds: BTreeMap<MachineIndex, GangHold>,
     /// Late copies of reports that were dropped.
-    pub(crate) copies_dropped: u64,
+    pub(crate) duplicates_dropped: u64,
 }
 
 impl Controller {
     pub fn new(cfg: Config, rng: SmallRng) -> Self {
-        let teams = vec![TeamUse::default(); cfg.platform.params.teams.len()];
-        let store = Store::new(&cfg.platform.params.state);
-        let cloud = Cloud::new(&cfg);
-        let admission = Admission::new(Store::write_rate(&cfg.platform.params.state));
-        let member = Member::new(&cfg);
-        let format = Format::new(&cfg);
-        let effort = Effort::new(cfg.platform.params.limits.cpu_share);
+        let teams = vec![TeamUsage::default(); cfg.platform.params.teams.len()];
+        let record_writer = RecordWriter::new(&cfg.platform.params.state);
+        let provisioner = Provisioner::new(&cfg);
+        let admission = AdmissionControl::new(RecordWriter::write_rate(&cfg.platform.params.state));
+        let membership = Membership::new(&cfg);
+        let feature_state = FeatureState::new(&cfg);
+        let search_budget = SearchBudget::new(cfg.platform.params.limits.cpu_share);
         Controller {
-            cfg,
-            now: Now::default(),
-            rng,
-            out: Vec::new(),
-            next_call: 1,
-            pending: HashMap::new(),
-            member,
-            finals: Finals::default(),
-            chains: Chains::default(),
-            format,
-            latencies: Latencies::new(),
-            keeper: Keeper::new(),
-            polls: Polls::default(),
-            pages: Pages::default(),
-            pages_retry: Vec::new(),
-            post: PostBox::default(),
-            strays: HashMap::new(),
-            pause: Pause::new(),
+            context: Context::new(cfg, rng),
+            calls: CallTable::default(),
+            membership,
+            terminal_jobs: TerminalJobs::default(),
+            dependency_graph: DependencyGraph::default(),
+            feature_state,
+            lease_proxy: LeaseProxy::new(),
+            status_queries: StatusQueries::default(),
+            job_batches: JobBatches::default(),
+            batch_reads_to_retry: Vec::new(),
+            mailbox: Mailbox::default(),
+            out_of_zone_workers: HashMap::new(),
+            stall: ProcessStall::new(),
             types: Vec::new(),
             types_at_ms: None,
             types_asked_ms: 0,
             jobs: Jobs::default(),
             machines: Machines::default(),
             teams,
-            store,
-            cloud,
-            restore: Restore::default(),
-            ratios: Ratios::default(),
-            effort,
+            record_writer,
+            provisioner,
+            recovery: Recovery::default(),
+            ratios: DemandRatios::default(),
+            search_budget,
             load: LoadState::Normal,
             intake: Vec::new(),
             admission,
             epoch_began_ms: 0,
             attempts: 0,
             arrivals: 0,
-            touched: BTreeSet::new(),
-            needs_orders: BTreeSet::new(),
-            deal_due: false,
+            machines_to_dispatch: BTreeSet::new(),
+            machines_to_command: BTreeSet::new(),
+            placement_due: false,
             reprobe_due: false,
             drain_due: false,
             preempt_due: false,
-            dealt_ms: 0,
+            placed_at_ms: 0,
             reprobed_ms: 0,
             preempted_ms: 0,
             supply_changed: false,
             round_at_ms: 0,
             second_at_ms: 0,
-            store_retry: Vec::new(),
-            inbox_again: Vec::new(),
-            doubted: BTreeMap::new(),
+            record_reads_to_retry: Vec::new(),
+            handoff_reads_to_retry: Vec::new(),
+            indeterminate_submissions: BTreeMap::new(),
             let_go: 0,
-            held: BTreeMap::new(),
-            copies_dropped: 0,
+            gang_holds: BTreeMap::new(),
+            duplicates_dropped: 0,
         }
     }
 
     /// Takes in what has happened; returns what is to be done.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
-        let before_ms = std::mem::replace(&mut self.now, now).steady_ms;
+        let before_ms = std::mem::replace(&mut self.context.now, now).steady_ms;
         let gap_ms = now.steady_ms.saturating_sub(before_ms);
-        if before_ms > 0 && gap_ms > self.cfg.pause_ms() {
-            self.woke(gap_ms);
+        if before_ms > 0 && gap_ms > self.context.config.stall_threshold_ms() {
+            self.on_process_stall(gap_ms);
         }
         match event {
             Event::Tick => self.on_tick(),
             Event::Client { id, request } => self.on_client(id, request),
             Event::Mesh { id, request } => self.on_mesh(id, request),
             Event::Load { state, figures } => {
-                self.effort.fit(state);
+                self.search_budget.fit(state);
                 (self.load, self.intake) = (state, figures);
             }
             Event::Outcome { call, outcome } => {
-                if let Some(pending) = self.pending.remove(&call) {
+                if let Some(pending) = self.calls.take(call) {
                     self.on_outcome(pending, outcome);
                 }
             }
         }
         self.pump();
-        std::mem::take(&mut self.out)
+        self.context.take_actions()
     }
 
     fn on_tick(&mut self) {
         self.tick_member();
-        self.settle_doubt();
-        self.tick_held();
+        self.verify_leadership();
+        self.tick_held_heartbeats();
         self.tick_format();
         self.tick_types();
-        self.tick_keeper();
-        self.tick_restore();
-        self.tick_post();
-        self.tick_polls();
-        self.tick_chains();
-        self.look_through();
+        self.tick_lease_proxy();
+        self.tick_recovery();
+        self.tick_mailbox();
+        self.tick_status_queries();
+        self.tick_dependencies();
+        self.scan_batches();
         if !self.leads() {
             return;
         }
-        let now = self.now.steady_ms;
+        let now = self.context.now.steady_ms;
         if now >= self.second_at_ms {
-            self.second_at_ms = now + 1000.min(self.cfg.report_ms());
-            self.presume_silent();
-            self.inspect_quiet();
-            self.return_silent();
-            self.fence_aborted();
+            self.second_at_ms = now + 1000.min(self.context.config.heartbeat_interval_ms());
+            self.expire_silent_leases();
+            self.inspect_silent();
+            self.release_silent();
+            self.fence_aborted_tasks();
             self.read_again();
-            self.tick_cloud();
+            self.tick_provisioning();
             self.drain();
             self.retry_reads();
             self.read_unsure();
-            self.retry_inbox();
-            self.retry_pages();
-            self.deal_due = true;
+            self.retry_handoff_reads();
+            self.retry_batch_reads();
+            self.placement_due = true;
             self.touch_waiting();
             self.log_pulse();
             self.preempt_due = true;
         }
         if now >= self.round_at_ms {
-            self.round_at_ms = now + self.cfg.report_ms();
-            self.weigh();
+            self.round_at_ms = now + self.context.config.heartbeat_interval_ms();
+            self.update_demand_ratios();
             self.reprobe_due = true;
         }
     }
@@ -340,16 +330,16 @@
         if !self.leads() {
             return;
         }
-        self.settle_chains();
-        self.flush_intake();
+        self.settle_dependencies();
+        self.flush_batch_intake();
         if std::mem::take(&mut self.drain_due) {
             self.drain();
         }
-        let (now, pause) = (self.now.steady_ms, self.cfg.batch_ms());
+        let (now, pause) = (self.context.now.steady_ms, self.context.config.write_batch_ms());
         // What has become possible within a moment is dealt in one go.
-        if self.deal_due && now >= self.dealt_ms + pause / 10 {
-            (self.deal_due, self.dealt_ms) = (false, now);
-            self.deal_all();
+        if self.placement_due && now >= self.placed_at_ms + pause / 10 {
+            (self.placement_due, self.placed_at_ms) = (false, now);
+            self.place_all();
             self.tick_gangs();
         }
         // These two look at all that waits: once in a while is enough.
@@ -363,64 +353,66 @@
             self.preempt_due = false;
             self.preempt();
         }
-        for ix in std::mem::take(&mut self.needs_orders) {
+        for ix in std::mem::take(&mut self.machines_to_command) {
             self.send_orders(ix);
         }
         self.flush();
     }
 
-    pub(crate) fn on_outcome(&mut self, pending: Pending, outcome: Outcome) {
+    pub(crate) fn on_outcome(&mut self, pending: InFlight, outcome: Outcome) {
         let current = self.epoch();
         match pending {
-            Pending::LeaseNew { sent_ms } => self.on_lease_new(sent_ms, outcome),
-            Pending::LeaseRenew { sent_ms } => self.on_lease_renew(sent_ms, outcome),
-            Pending::MemberKey | Pending::Told => {}
-            Pending::KeepClaim { epoch, permit } => self.on_keep_claim(epoch, permit, outcome),
-            Pending::KeepRead { job, sent_ms } => self.on_keep_read(job, sent_ms, outcome),
-            Pending::Post { ids } => self.on_post_written(ids, outcome),
-            Pending::HandedOn { sibling, id } => self.on_handed_on(sibling, id, outcome),
-            Pending::OrdersRelayed { request } => self.on_orders_relayed(request, outcome),
-            Pending::ControlRead { sent_ms } => self.on_control_read(sent_ms, outcome),
-            Pending::ControlWatch { sent_ms } => self.on_control_watch(sent_ms, outcome),
-            Pending::Elect { epoch } => self.on_elect(epoch, outcome),
-            Pending::AcceptAlone { request, id, cancelled } => {
+            InFlight::LeaseNew { sent_ms } => self.on_lease_new(sent_ms, outcome),
+            InFlight::LeaseRenew { sent_ms } => self.on_lease_renew(sent_ms, outcome),
+            InFlight::MemberKey | InFlight::Told => {}
+            InFlight::KeepClaim { epoch, lease_id } => {
+                self.on_proxy_claim(epoch, lease_id, outcome)
+            }
+            InFlight::KeepRead { job, sent_ms } => self.on_proxy_job_read(job, sent_ms, outcome),
+            InFlight::MailboxRecord { ids } => self.on_mailbox_written(ids, outcome),
+            InFlight::HandedOn { sibling, id } => self.on_orders_forwarded(sibling, id, outcome),
+            InFlight::OrdersRelayed { request } => self.on_orders_relayed(request, outcome),
+            InFlight::ControlRead { sent_ms } => self.on_control_read(sent_ms, outcome),
+            InFlight::ControlWatch { sent_ms } => self.on_control_watch(sent_ms, outcome),
+            InFlight::Elect { epoch } => self.on_elect(epoch, outcome),
+            InFlight::AcceptAlone { request, id, cancelled } => {
                 self.on_accept_alone(request, id, cancelled, outcome)
             }
-            Pending::AbortRead { request, id } => self.on_abort_read(request, id, outcome),
-            Pending::AbortAlone { request, id } => self.on_abort_alone(request, id, outcome),
-            Pending::Known { request, job, refusal } => {
+            InFlight::AbortRead { request, id } => self.on_abort_read(request, id, outcome),
+            InFlight::AbortAlone { request, id } => self.on_abort_alone(request, id, outcome),
+            InFlight::Known { request, job, refusal } => {
                 self.on_known(request, job, refusal, outcome)
             }
-            Pending::WalkRead { request, job } => self.on_walk_read(request, job, outcome),
-            Pending::FormatRead => self.on_format_read(outcome),
-            Pending::MembersRead => self.on_members_read(outcome),
-            Pending::Step { record, epoch } => {
+            InFlight::WalkRead { request, job } => self.on_walk_read(request, job, outcome),
+            InFlight::FormatRead => self.on_format_read(outcome),
+            InFlight::MembersRead => self.on_members_read(outcome),
+            InFlight::Step { record, epoch } => {
                 self.on_step((epoch == current).then_some(record), outcome)
             }
-            Pending::Compare { compared, epoch } => self.on_compare(compared, epoch, outcome),
-            Pending::Poll { request, id } => self.on_poll_read(request, id, outcome),
-            Pending::AloneRead { request, spec, cancelled } => {
+            InFlight::Compare { compared, epoch } => self.on_compare(compared, epoch, outcome),
+            InFlight::Poll { request, id } => self.on_status_read(request, id, outcome),
+            InFlight::AloneRead { request, spec, cancelled } => {
                 self.on_alone_read(request, *spec, cancelled, outcome)
             }
-            Pending::LookFirst(look) => self.on_look_first(look, outcome),
-            Pending::LookLast(look) => self.on_look_last(look, outcome),
-            Pending::LookAbsent { look, epoch } => self.on_look_absent(look, epoch, outcome),
-            Pending::PageScan => self.on_page_scan(outcome),
-            Pending::PageChanges => self.on_page_changes(outcome),
-            Pending::Forward { request, sibling, work } => {
+            InFlight::LookFirst(look) => self.on_look_first(look, outcome),
+            InFlight::LookLast(look) => self.on_look_last(look, outcome),
+            InFlight::LookAbsent { look, epoch } => self.on_look_absent(look, epoch, outcome),
+            InFlight::PageScan => self.on_batch_scan(outcome),
+            InFlight::PageChanges => self.on_batch_changes(outcome),
+            InFlight::Forward { request, sibling, work } => {
                 self.on_forwarded(request, sibling, *work, outcome)
             }
-            Pending::Relay { request, report } => self.on_relayed(request, *report, outcome),
-            Pending::Beat { sibling } => self.on_beat(sibling, outcome),
-            Pending::Types => self.on_types(outcome),
-            Pending::Accept { request, job, placed, epoch } => {
+            InFlight::Relay { request, report } => self.on_relayed(request, *report, outcome),
+            InFlight::Beat { sibling } => self.on_peer_heartbeat(sibling, outcome),
+            InFlight::Types => self.on_types(outcome),
+            InFlight::Accept { request, job, placed, epoch } => {
                 if epoch == current {
                     self.on_accept(request, job, placed, outcome)
                 } else {
                     self.answer_busy(request)
                 }
             }
-            Pending::AbortWrite { request, job, placed, epoch } => {
+            InFlight::AbortWrite { request, job, placed, epoch } => {
                 if epoch == current {
                     self.on_abort_write(request, job, placed, outcome)
                 } else if let Some(request) = request {
@@ -428,46 +420,48 @@
                 }
             }
             // What follows concerns a memory that is gone if the epoch has changed.
-            Pending::Restore { epoch }
-            | Pending::InboxWatch { epoch, .. }
-            | Pending::PageWrite { epoch, .. }
-            | Pending::PageRead { epoch, .. }
-            | Pending::InboxRead { epoch, .. }
-            | Pending::InboxList { epoch, .. }
-            | Pending::ReadAgain { epoch, .. }
-            | Pending::ChainRead { epoch, .. }
-            | Pending::Inspect { epoch, .. }
-            | Pending::Flush { epoch, .. }
-            | Pending::Restamp { epoch, .. }
-            | Pending::Adopt { epoch, .. }
-            | Pending::Hire { epoch, .. }
-            | Pending::Return { epoch, .. }
+            InFlight::Recovery { epoch }
+            | InFlight::InboxWatch { epoch, .. }
+            | InFlight::PageWrite { epoch, .. }
+            | InFlight::PageRead { epoch, .. }
+            | InFlight::InboxRead { epoch, .. }
+            | InFlight::InboxList { epoch, .. }
+            | InFlight::ReadAgain { epoch, .. }
+            | InFlight::ChainRead { epoch, .. }
+            | InFlight::Inspect { epoch, .. }
+            | InFlight::Flush { epoch, .. }
+            | InFlight::Restamp { epoch, .. }
+            | InFlight::Adopt { epoch, .. }
+            | InFlight::Hire { epoch, .. }
+            | InFlight::Return { epoch, .. }
                 if epoch != current => {}
-            Pending::Restore { .. } => self.on_restore(outcome),
-            Pending::InboxWatch { sent_ms, .. } => self.on_inbox_watch(sent_ms, outcome),
-            Pending::ChainRead { job, .. } => self.on_chain_read(job, outcome),
-            Pending::ReadAgain { job, .. } => self.on_read_again(job, outcome),
-            Pending::PageWrite { number, .. } => self.on_page_write(number, outcome),
-            Pending::PageRead { number, .. } => self.on_page_read(number, outcome),
-            Pending::InboxRead { job, .. } => self.on_inbox_read(job, outcome),
-            Pending::InboxList { rev, .. } => self.on_inbox_list(rev, outcome),
-            Pending::Orders { machine, token, starts } => {
-                if crate::ids::epoch_of(token) == current {
-                    self.on_orders_outcome(machine, token, starts, outcome)
+            InFlight::Recovery { .. } => self.on_recovery_list(outcome),
+            InFlight::InboxWatch { sent_ms, .. } => self.on_handoff_watch(sent_ms, outcome),
+            InFlight::ChainRead { job, .. } => self.on_dependency_read(job, outcome),
+            InFlight::ReadAgain { job, .. } => self.on_read_again(job, outcome),
+            InFlight::PageWrite { number, .. } => self.on_batch_written(number, outcome),
+            InFlight::PageRead { number, .. } => self.on_batch_read(number, outcome),
+            InFlight::InboxRead { job, .. } => self.on_handoff_job_read(job, outcome),
+            InFlight::InboxList { rev, .. } => self.on_handoff_list(rev, outcome),
+            InFlight::Orders { machine, fencing_token, starts } => {
+                if crate::ids::epoch_of(fencing_token) == current {
+                    self.on_orders_outcome(machine, fencing_token, starts, outcome)
                 }
             }
-            Pending::Inspect { machine, .. } => self.on_inspect(machine, outcome),
-            Pending::Flush { items, sent_ms, .. } => {
-                self.latencies.note(Span::Write, self.now.steady_ms.saturating_sub(sent_ms));
+            InFlight::Inspect { machine, .. } => self.on_inspect(machine, outcome),
+            InFlight::Flush { items, sent_ms, .. } => {
+                self.context
+                    .latencies
+                    .note(LatencySpan::Write, self.context.now.steady_ms.saturating_sub(sent_ms));
                 self.on_flush(items, outcome)
             }
-            Pending::Restamp { item, .. } => self.on_restamp(item, outcome),
-            Pending::Adopt { job, .. } => self.on_adopt(job, outcome),
-            Pending::List { since } => self.on_list(since, outcome),
-            Pending::Hire { kind, zone, spot, wanted, name, .. } => {
-                self.on_hire(kind, zone, spot, wanted, name, outcome)
+            InFlight::Restamp { item, .. } => self.on_record_reread(item, outcome),
+            InFlight::Adopt { job, .. } => self.on_adopt(job, outcome),
+            InFlight::List { since } => self.on_list(since, outcome),
+            InFlight::Hire { kind, zone, spot, wanted, name, .. } => {
+                self.on_provisioned(kind, zone, spot, wanted, name, outcome)
             }
-            Pending::Return { machines, .. } => self.on_return(machines, outcome),
+            InFlight::Return { machines, .. } => self.on_released(machines, outcome),
         }
     }
 
@@ -478,126 +472,119 @@
         target: String,
         body: Vec<u8>,
         timeout_ms: u64,
-        pending: Pending,
+        pending: InFlight,
     ) {
-        let id = self.next_call;
-        self.next_call += 1;
-        self.pending.insert(id, pending);
-        self.out.push(Action::Call(Call { id, peer, method, target, body, timeout_ms }));
+        let id = self.context.call(peer, method, target, body, timeout_ms);
+        self.calls.insert(id, pending);
     }
 
     pub(crate) fn answer(&mut self, id: RequestId, response: Response) {
-        self.latencies.end(id, self.now.steady_ms);
-        self.out.push(Action::Answer { id, response });
+        self.context.answer(id, response);
     }
 
     pub(crate) fn answer_error(&mut self, id: RequestId, status: u16, error: &str) {
-        let body = to_cbor(&ErrorAnswer { error: error.to_string() });
-        self.answer(id, Response::new(status, body));
+        self.context.answer_error(id, status, error);
     }
 
     /// Can't be decided now: says so at once, and when to come back.
     pub(crate) fn answer_busy(&mut self, id: RequestId) {
-        let body = to_cbor(&ErrorAnswer { error: "can't decide at present".into() });
-        let mut response = Response::new(503, body);
-        response.retry_after_s = Some(1);
-        self.answer(id, response);
+        self.context.answer_busy(id);
     }
 
     pub(crate) fn next_attempt(&mut self) -> u64 {
         self.attempts += 1;
-        crate::ids::in_epoch(self.epoch(), self.attempts)
+        crate::ids::scoped_to_epoch(self.epoch(), self.attempts)
     }
 
     /// Another controller has taken over: everything that the leader kept goes.
-    pub(crate) fn superseded(&mut self) {
-        if !matches!(self.member.role, Role::Follower) {
+    pub(crate) fn step_down(&mut self) {
+        if !matches!(self.membership.role, Role::Follower) {
             tracing::info!(epoch = self.epoch(), "no longer leading");
         }
-        self.role_to(Role::Follower);
+        self.set_role(Role::Follower);
     }
 
-    pub(crate) fn forget_leadership(&mut self) {
-        self.drop_polls();
-        self.forget_pages();
+    pub(crate) fn clear_leader_state(&mut self) {
+        self.drop_status_queries();
+        self.forget_batches();
         self.jobs = Jobs::default();
         self.machines = Machines::default();
-        self.teams.iter_mut().for_each(|t| *t = TeamUse::default());
-        self.store = Store::new(self.limits());
-        self.admission = Admission::new(Store::write_rate(self.limits()));
-        self.chains.forget_graph();
-        self.cloud = Cloud::new(&self.cfg);
-        self.restore = Restore::default();
-        self.ratios = Ratios::default();
-        self.touched.clear();
-        self.needs_orders.clear();
+        self.teams.iter_mut().for_each(|t| *t = TeamUsage::default());
+        self.record_writer = RecordWriter::new(self.limits());
+        self.admission = AdmissionControl::new(RecordWriter::write_rate(self.limits()));
+        self.dependency_graph.forget_graph();
+        self.provisioner = Provisioner::new(&self.context.config);
+        self.recovery = Recovery::default();
+        self.ratios = DemandRatios::default();
+        self.machines_to_dispatch.clear();
+        self.machines_to_command.clear();
         self.attempts = 0;
-        self.store_retry.clear();
-        self.inbox_again.clear();
-        self.doubted.clear();
-        self.held.clear();
-        self.clear_post();
+        self.record_reads_to_retry.clear();
+        self.handoff_reads_to_retry.clear();
+        self.indeterminate_submissions.clear();
+        self.gang_holds.clear();
+        self.clear_mailbox();
     }
 
     pub(crate) fn touch_all(&mut self) {
-        self.touched.extend(self.machines.indexes());
+        self.machines_to_dispatch.extend(self.machines.indexes());
     }
 
     /// Machines whose queues hold something that may have become due.
     fn touch_waiting(&mut self) {
-        let waiting: Vec<MachineIx> =
+        let waiting: Vec<MachineIndex> =
             self.machines.iter().filter(|(_, m)| !m.queue.is_empty()).map(|(ix, _)| ix).collect();
-        self.touched.extend(waiting);
+        self.machines_to_dispatch.extend(waiting);
     }
 
-    pub(crate) fn state_call(
+    pub(crate) fn call_store(
         &mut self,
         method: &'static str,
         target: String,
         body: Vec<u8>,
-        pending: Pending,
+        pending: InFlight,
     ) {
-        let timeout = self.cfg.state_timeout_ms();
-        self.call(Peer::State, method, target, body, timeout, pending);
+        let id = self.context.call_store(method, target, body);
+        self.calls.insert(id, pending);
     }
 
     /// Whether a read for a user may be made now.
-    pub(crate) fn may_read(&mut self) -> bool {
-        let now = self.now.steady_ms;
-        self.member.reads.take(now, 1.0, 0.1)
+    pub(crate) fn may_read_for_request(&mut self) -> bool {
+        let now = self.context.now.steady_ms;
+        self.membership.reads.take(now, 1.0, 0.1)
     }
 
     /// The same for a question, which can be asked again: it leaves some for what is submitted
     /// or cancelled.
-    pub(crate) fn may_read_to_tell(&mut self) -> bool {
-        let now = self.now.steady_ms;
-        self.member.reads.take(now, 1.0, 0.3)
+    pub(crate) fn may_read_for_status(&mut self) -> bool {
+        let now = self.context.now.steady_ms;
+        self.membership.reads.take(now, 1.0, 0.3)
     }
 
     /// The state service asked for a pause.
-    pub(crate) fn state_busy(&mut self, status: u16) {
+    pub(crate) fn on_store_throttled(&mut self, status: u16) {
         use rand::Rng;
-        let pause = self.rng.random_range(100..300);
-        let now = self.now.steady_ms;
+        let pause = self.context.rng.random_range(100..300);
+        let now = self.context.now.steady_ms;
         if status == 429 {
-            self.member.reads.close(now, pause);
+            self.membership.reads.close(now, pause);
         }
-        self.store.writes.close(now, pause);
+        self.record_writer.writes.close(now, pause);
     }
 }
 
 impl Controller {
     /// Sets the budgets by the limits that are to be kept now.
-    pub(crate) fn fit_budgets(&mut self) {
+    pub(crate) fn fit_rate_limits(&mut self) {
         let limits = self.limits().clone();
-        let controllers = self.cfg.platform.siblings.len() + 1;
-        let reads = match self.member.role {
-            Role::Restoring | Role::Leading => leader_share(limits.rps),
+        let controllers = self.context.config.platform.siblings.len() + 1;
+        let reads = match self.membership.role {
+            Role::Recovering | Role::Leader => leader_share(limits.rps),
             _ => follower_share(limits.rps, controllers),
         };
-        self.member.reads.set_rate(reads);
-        self.store.writes.set_rate(Store::write_rate(&limits));
-        self.admission.set_rate(Store::write_rate(&limits));
+        self.membership.reads.set_rate(reads);
+        self.record_writer.writes.set_rate(RecordWriter::write_rate(&limits));
+        self.admission.set_rate(RecordWriter::write_rate(&limits));
     }
 }
 
--- a/crates/core/src/blame.rs
+++ b/crates/core/src/fleet/fault_attribution.rs
@@ -6,18 +6,18 @@
 //! task at a time, after ever longer pauses, until it succeeds or its user cancels it.
 
 use crate::controller::Controller;
-use crate::ids::{JobIx, MachineIx, TaskKey};
+use crate::ids::{JobIndex, MachineIndex, TaskKey};
 use crate::jobs::Job;
 
 /// What is known of whether a job can run at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trust {
+pub enum JobHealth {
     /// Nothing of it has run well yet.
     Untried,
     /// It has run well somewhere.
     Proven,
     /// It fails wherever it is tried.
-    Mistaken,
+    FailingEverywhere,
 }
 
 /// Machines on which a job must fail, without success on any, to be taken for mistaken.
@@ -30,19 +30,19 @@
 const PAUSE_MOST: u32 = 5;
 
 impl Job {
-    pub fn mistaken(&self) -> bool {
-        self.trust == Trust::Mistaken
+    pub fn failing_everywhere(&self) -> bool {
+        self.health == JobHealth::FailingEverywhere
     }
 
     /// Its turn to be tried, if it is taken for mistaken.
     pub fn may_try(&self, now_ms: u64) -> bool {
-        !self.mistaken() || self.bound == 0 && now_ms >= self.trial_ms
+        !self.failing_everywhere() || self.bound == 0 && now_ms >= self.trial_ms
     }
 
     /// How many of these tasks ask for room: of a mistaken job's one, when nothing of
     /// it is being tried.
     pub fn asking(&self, tasks: u32) -> u32 {
-        match self.mistaken() {
+        match self.failing_everywhere() {
             true => tasks.min(u32::from(self.bound == 0)),
             false => tasks,
         }
@@ -51,30 +51,30 @@
 
 impl Controller {
     /// The one function that changes what is thought of a job.
-    pub(crate) fn trust_to(&mut self, ix: JobIx, trust: Trust) {
-        let now = self.now.steady_ms;
-        let first = now + self.cfg.report_ms();
+    pub(crate) fn set_job_health(&mut self, ix: JobIndex, health: JobHealth) {
+        let now = self.context.now.steady_ms;
+        let first = now + self.context.config.heartbeat_interval_ms();
         let Some(job) = self.jobs.get_mut(ix) else { return };
-        if job.trust == trust {
+        if job.health == health {
             return;
         }
-        let old = std::mem::replace(&mut job.trust, trust);
-        match trust {
-            Trust::Mistaken => {
+        let old = std::mem::replace(&mut job.health, health);
+        match health {
+            JobHealth::FailingEverywhere => {
                 (job.trials, job.trial_ms) = (0, first);
                 tracing::info!(job = %job.id, machines = job.errors_on.len(),
                     "taken for mistaken: it fails wherever it is tried");
             }
-            Trust::Proven if old == Trust::Mistaken => {
+            JobHealth::Proven if old == JobHealth::FailingEverywhere => {
                 tracing::info!(job = %job.id, "no longer taken for mistaken: it has run well");
             }
             _ => {}
         }
-        self.blame_machines(ix, trust == Trust::Proven);
+        self.attribute_failures_to_machines(ix, health == JobHealth::Proven);
     }
 
     /// Counts a job's failures against the machines where it failed, or no longer does.
-    fn blame_machines(&mut self, ix: JobIx, guilty: bool) {
+    fn attribute_failures_to_machines(&mut self, ix: JobIndex, guilty: bool) {
         let Some(job) = self.jobs.get(ix) else { return };
         for machine in job.errors_on.clone() {
             if let Some(m) = self.machines.get_mut(machine) {
@@ -83,70 +83,76 @@
                     false => m.failures.remove(&ix),
                 };
             }
-            self.judge(machine);
+            self.update_quarantine(machine);
         }
     }
 
     /// A task has failed on a machine.
-    pub(crate) fn task_failed(&mut self, ix: MachineIx, key: TaskKey) {
+    pub(crate) fn task_failed(&mut self, ix: MachineIndex, key: TaskKey) {
         self.back_off(key);
-        let (now, round) = (self.now.steady_ms, self.cfg.report_ms());
+        let (now, round) =
+            (self.context.now.steady_ms, self.context.config.heartbeat_interval_ms());
         let Some(job) = self.jobs.get_mut(key.job) else { return };
         if !job.errors_on.contains(&ix) {
             job.errors_on.push(ix);
         }
-        let trust = job.trust;
+        let health = job.health;
         let spread = job.errors_on.len() >= MISTAKEN_ON;
         tracing::debug!(machine = ?ix, job = %job.id, task = key.task, "task failed");
-        match trust {
-            Trust::Mistaken => job.trial_ms = now + (round << job.trials.min(PAUSE_MOST)),
-            Trust::Untried if spread => self.trust_to(key.job, Trust::Mistaken),
+        match health {
+            JobHealth::FailingEverywhere => {
+                job.trial_ms = now + (round << job.trials.min(PAUSE_MOST))
+            }
+            JobHealth::Untried if spread => {
+                self.set_job_health(key.job, JobHealth::FailingEverywhere)
+            }
             _ => {
                 if let Some(m) = self.machines.get_mut(ix) {
                     m.failures.insert(key.job);
                 }
-                self.judge(ix);
+                self.update_quarantine(ix);
             }
         }
     }
 
     /// A task has completed on a machine: what failed here before was not its fault.
-    pub(crate) fn task_ran_well(&mut self, ix: MachineIx) {
+    pub(crate) fn clear_machine_failures(&mut self, ix: MachineIndex) {
         if let Some(m) = self.machines.get_mut(ix).filter(|m| !m.quarantined) {
             m.failures.clear();
         }
     }
 
     /// A job is over: what failed of it without a verdict blames nobody.
-    pub(crate) fn absolve(&mut self, ix: JobIx) {
-        if self.jobs.get(ix).is_some_and(|j| j.trust == Trust::Untried) {
-            self.blame_machines(ix, false);
+    pub(crate) fn clear_unattributed_failures(&mut self, ix: JobIndex) {
+        if self.jobs.get(ix).is_some_and(|j| j.health == JobHealth::Untried) {
+            self.attribute_failures_to_machines(ix, false);
         }
     }
 
     /// The one function that quarantines a machine, or takes it back.
-    fn judge(&mut self, ix: MachineIx) {
+    fn update_quarantine(&mut self, ix: MachineIndex) {
         let Some(m) = self.machines.get_mut(ix) else { return };
         let faulty = m.failures.len() >= FAULTY;
         if m.quarantined == faulty {
             return;
         }
         m.quarantined = faulty;
-        m.empty_from_ms = self.now.steady_ms + 2 * self.cfg.report_ms();
+        m.empty_from_ms =
+            self.context.now.steady_ms + 2 * self.context.config.heartbeat_interval_ms();
         let jobs = m.failures.len();
         if faulty {
             tracing::info!(machine = %m.name, jobs, "quarantined: different jobs fail here");
             self.requeue_probes(ix);
         } else {
             tracing::info!(machine = %m.name, "no longer quarantined: the jobs were at fault");
-            self.touched.insert(ix);
+            self.machines_to_dispatch.insert(ix);
             self.supply_changed = true;
         }
     }
 
     /// A failed start or task waits longer every time.
     pub(crate) fn back_off(&mut self, key: TaskKey) {
-        let (now, step) = (self.now.steady_ms, self.cfg.report_ms());
+        let (now, step) = (self.context.now.steady_ms, self.context.config.heartbeat_interval_ms());
         if let Some(t) = self.jobs.task_mut(key) {
             t.failures += 1;
             t.not_before_ms = now + (step << t.failures.min(6)) / 4;
--- a/crates/core/src/machines.rs
+++ b/crates/core/src/fleet/machines.rs
@@ -7,41 +7,44 @@
 use quartzgate_hearing::{Age, Copies, Hearing, Limits};
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
-    Cause, Forward, Order, OrdersRequest, Rank, Redirect, Report, ReportAnswer, Shape,
+    ExitCause, Forward, Heartbeat, HeartbeatAnswer, JobKind, Order, OrdersRequest, Priority,
+    Redirect,
 };
-use quartzgate_wire::msg::{ReportTask, TaskStatus};
+use quartzgate_wire::msg::{HeartbeatTask, TaskStatus};
 use quartzgate_wire::{from_cbor, to_cbor};
 
-use crate::blame::Trust;
-use crate::controller::{Controller, Pending};
-use crate::ids::{epoch_of, in_epoch, parse_task, task_name, ImageKey, JobIx, MachineIx, TaskKey};
+use crate::controller::{Controller, InFlight};
+use crate::fleet::fault_attribution::JobHealth;
+use crate::ids::{
+    epoch_of, parse_task, scoped_to_epoch, task_name, ImageKey, JobIndex, MachineIndex, TaskKey,
+};
 use crate::jobs::{JobState, TaskState};
-use crate::member::Role;
-use crate::post::Letter;
+use crate::lease_proxy::mailbox::Envelope;
+use crate::membership::Role;
 use crate::{Outcome, Peer, RequestId};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
 }
 
-impl Room {
-    pub fn add(&mut self, other: &Room, times: f64) {
+impl Resources {
+    pub fn add(&mut self, other: &Resources, times: f64) {
         self.cpus += other.cpus * times;
         self.gpus += other.gpus * times;
         self.memory_gb += other.memory_gb * times;
     }
 
-    pub fn minus(&self, other: &Room) -> Room {
+    pub fn minus(&self, other: &Resources) -> Resources {
         let mut r = *self;
         r.add(other, -1.0);
         r
     }
 
     /// Whether `need` fits, forgiving what binary fractions lose.
-    pub fn fits(&self, need: &Room) -> bool {
+    pub fn fits(&self, need: &Resources) -> bool {
         const DUST: f64 = 1e-6;
         self.cpus + DUST >= need.cpus
             && self.gpus + DUST >= need.gpus
@@ -49,7 +52,7 @@
     }
 
     /// How many tasks of `need` fit.
-    pub fn holds(&self, need: &Room) -> u32 {
+    pub fn holds(&self, need: &Resources) -> u32 {
         let part = |have: f64, want: f64| if want > 0.0 { (have + 1e-6) / want } else { 1e6 };
         let least = part(self.cpus, need.cpus)
             .min(part(self.gpus, need.gpus))
@@ -61,17 +64,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
     /// Hired or named in a record, never heard under this owner.
-    Unheard,
+    Provisioning,
     /// Heard, but has not shown our token yet.
-    Greeted,
+    Registering,
     /// Shows our token: its reports are the truth.
     Ready,
     /// Silent for longer than its lease: its tasks are gone.
-    Presumed,
+    LeaseExpired,
     /// Being returned.
     Returning,
     /// Returned, failed or taken: nothing can be on it.
-    Gone,
+    Terminated,
 }
 
 #[derive(Clone, Debug)]
@@ -82,50 +85,50 @@
     pub zone: Option<u16>,
     pub spot: bool,
     pub state: MachineState,
-    pub tenure: u64,
+    pub agent_epoch: u64,
     /// Where its messages stand, so that late copies say nothing.
     pub copies: Copies,
-    pub hearing: Hearing,
-    pub token_seen: u64,
+    pub reachability: Hearing,
+    pub acknowledged_token: u64,
     /// Token that we command it with: the epoch and a counter that rises whenever
     /// an order's fate is unknown, so that a late order can't match.
-    pub token: u64,
+    pub fencing_token: u64,
     /// When we last answered one of its reports.
     pub answered_ms: Option<u64>,
     /// When anything of its last reached us.
-    pub heard_ms: u64,
+    pub last_heard_ms: u64,
     pub since_ms: u64,
-    pub recall_ms: Option<u64>,
+    pub interruption_at_ms: Option<u64>,
     pub tasks: BTreeMap<TaskKey, u64>,
     pub queue: Vec<TaskKey>,
     /// E\[W\] of the queue, estimated anew each report round.
     pub wait_s: f64,
     /// Tasks that an earlier owner may have started here.
     pub unproven: Vec<TaskKey>,
-    pub used: Room,
+    pub used: Resources,
     /// What of it each priority uses and would give up, the lowest first.
-    pub yields: [Room; 4],
+    pub preemptible_by_priority: [Resources; 4],
     /// What services of each priority use, which don't end by themselves, as of this round.
-    pub lasting: [Room; 4],
+    pub services_by_priority: [Resources; 4],
     pub idle_since_ms: u64,
     /// Starts bound here and not sent yet.
-    pub outbox: Vec<(TaskKey, u64)>,
+    pub pending_starts: Vec<(TaskKey, u64)>,
     /// The last call to it was not answered, and since when that has been so.
     pub cut: bool,
-    pub cut_ms: u64,
+    pub unreachable_since_ms: u64,
     /// The sibling that passes its reports on, by its place in the settings.
-    pub relayer: Option<usize>,
+    pub relayed_by: Option<usize>,
     /// The keeper that posts its reports, by its place in the settings.
     pub via: Option<usize>,
     /// A call with orders is under way.
-    pub calling: bool,
-    pub reported: Vec<ReportTask>,
+    pub command_in_flight: bool,
+    pub reported: Vec<HeartbeatTask>,
     /// The newest report began a session: all of earlier ones is gone.
     pub fresh_session: bool,
     /// Images that tasks have run from here, by key.
     pub images: BTreeSet<ImageKey>,
     /// Jobs whose tasks failed here since one last completed.
-    pub failures: BTreeSet<JobIx>,
+    pub failures: BTreeSet<JobIndex>,
     pub quarantined: bool,
     /// When a machine that is quarantined is emptied and given back.
     pub empty_from_ms: u64,
@@ -142,64 +145,64 @@
     }
 
     /// What the lowest priority uses: it makes way for all others.
-    pub fn low(&self) -> Room {
-        self.yields[Rank::Low as usize]
+    pub fn low(&self) -> Resources {
+        self.preemptible_by_priority[Priority::Low as usize]
     }
 
     /// Room that work of this priority could make: below high priority only the lowest
     /// makes way.
-    pub fn yielding(&self, rank: Rank) -> Room {
-        let below = match rank {
-            Rank::Low => 0,
-            Rank::Normal => 1,
+    pub fn preemptible_for(&self, priority: Priority) -> Resources {
+        let below = match priority {
+            Priority::Low => 0,
+            Priority::Normal => 1,
             high => high as usize,
         };
-        let mut all = Room::default();
-        self.yields[..below].iter().for_each(|room| all.add(room, 1.0));
+        let mut all = Resources::default();
+        self.preemptible_by_priority[..below].iter().for_each(|room| all.add(room, 1.0));
         all
     }
 
     /// Room that services hold against work of this priority for as long as they run.
-    pub fn held_for_good(&self, rank: Rank) -> Room {
-        let mut all = Room::default();
-        self.lasting[rank as usize..].iter().for_each(|room| all.add(room, 1.0));
+    pub fn held_by_services(&self, priority: Priority) -> Resources {
+        let mut all = Resources::default();
+        self.services_by_priority[priority as usize..].iter().for_each(|room| all.add(room, 1.0));
         all
     }
 
     pub fn usable(&self) -> bool {
         self.state == MachineState::Ready
             && !self.quarantined
-            && self.recall_ms.is_none()
-            && !self.hearing.deaf()
+            && self.interruption_at_ms.is_none()
+            && !self.reachability.deaf()
     }
 
     /// May be given a start now.
     pub fn takes_work(&self, now_ms: u64) -> bool {
-        self.usable() && now_ms >= self.no_room_until_ms && self.hearing.takes_work()
+        self.usable() && now_ms >= self.no_room_until_ms && self.reachability.takes_work()
     }
 }
 
 #[derive(Default)]
 pub struct Machines {
-    table: BTreeMap<MachineIx, Machine>,
-    by_name: HashMap<String, MachineIx>,
+    table: BTreeMap<MachineIndex, Machine>,
+    by_name: HashMap<String, MachineIndex>,
     next: u32,
 }
 
 impl Machines {
-    pub fn get(&self, ix: MachineIx) -> Option<&Machine> {
+    pub fn get(&self, ix: MachineIndex) -> Option<&Machine> {
         self.table.get(&ix)
     }
 
-    pub fn get_mut(&mut self, ix: MachineIx) -> Option<&mut Machine> {
+    pub fn get_mut(&mut self, ix: MachineIndex) -> Option<&mut Machine> {
         self.table.get_mut(&ix)
     }
 
-    pub fn find(&self, name: &str) -> Option<MachineIx> {
+    pub fn find(&self, name: &str) -> Option<MachineIndex> {
         self.by_name.get(name).copied()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (MachineIx, &Machine)> {
+    pub fn iter(&self) -> impl Iterator<Item = (MachineIndex, &Machine)> {
         self.table.iter().map(|(ix, m)| (*ix, m))
     }
 
@@ -207,7 +210,7 @@
         self.table.len()
     }
 
-    pub fn indexes(&self) -> Vec<MachineIx> {
+    pub fn indexes(&self) -> Vec<MachineIndex> {
         self.table.keys().copied().collect()
     }
 
@@ -218,7 +221,7 @@
         }
     }
 
-    pub fn remove(&mut self, ix: MachineIx) {
+    pub fn remove(&mut self, ix: MachineIndex) {
         if let Some(m) = self.table.remove(&ix) {
             self.by_name.remove(&m.name);
         }
@@ -234,47 +237,47 @@
     /// By the sibling that passes its reports on.
     Relay(usize),
     /// By the state service and a keeper.
-    Post(usize),
+    MailboxRecord(usize),
 }
 
 impl Controller {
-    pub(crate) fn machine(&mut self, name: &str) -> MachineIx {
+    pub(crate) fn machine(&mut self, name: &str) -> MachineIndex {
         if let Some(ix) = self.machines.find(name) {
             return ix;
         }
-        let ix = MachineIx(self.machines.next);
+        let ix = MachineIndex(self.machines.next);
         self.machines.next += 1;
-        let now = self.now.steady_ms;
+        let now = self.context.now.steady_ms;
         let machine = Machine {
             name: name.to_string(),
             addr: None,
             kind: String::new(),
             zone: None,
             spot: false,
-            state: MachineState::Unheard,
-            tenure: 0,
+            state: MachineState::Provisioning,
+            agent_epoch: 0,
             copies: Copies::default(),
-            hearing: Hearing::default(),
-            token_seen: 0,
-            token: in_epoch(self.epoch(), 0),
+            reachability: Hearing::default(),
+            acknowledged_token: 0,
+            fencing_token: scoped_to_epoch(self.epoch(), 0),
             answered_ms: None,
-            heard_ms: 0,
+            last_heard_ms: 0,
             since_ms: now,
-            recall_ms: None,
+            interruption_at_ms: None,
             tasks: BTreeMap::new(),
             queue: Vec::new(),
             wait_s: 0.0,
             unproven: Vec::new(),
-            used: Room::default(),
-            yields: Default::default(),
-            lasting: Default::default(),
+            used: Resources::default(),
+            preemptible_by_priority: Default::default(),
+            services_by_priority: Default::default(),
             idle_since_ms: now,
-            outbox: Vec::new(),
+            pending_starts: Vec::new(),
             cut: false,
-            cut_ms: 0,
-            relayer: None,
+            unreachable_since_ms: 0,
+            relayed_by: None,
             via: None,
-            calling: false,
+            command_in_flight: false,
             reported: Vec::new(),
             fresh_session: false,
             images: BTreeSet::new(),
@@ -291,64 +294,64 @@
     }
 
     /// The one function that changes a machine's state.
-    pub(crate) fn machine_to(&mut self, ix: MachineIx, state: MachineState) {
+    pub(crate) fn set_machine_state(&mut self, ix: MachineIndex, state: MachineState) {
         let Some(m) = self.machines.get_mut(ix) else { return };
         // What is being returned stays so until the cloud has said that it is gone.
-        let leaving = m.state == MachineState::Returning && state != MachineState::Gone;
-        if m.state == state || leaving || m.state == MachineState::Gone {
+        let leaving = m.state == MachineState::Returning && state != MachineState::Terminated;
+        if m.state == state || leaving || m.state == MachineState::Terminated {
             return;
         }
         let old = std::mem::replace(&mut m.state, state);
         match state {
             MachineState::Ready => {
-                if matches!(old, MachineState::Unheard | MachineState::Greeted) {
+                if matches!(old, MachineState::Provisioning | MachineState::Registering) {
                     tracing::debug!(machine = %m.name, "ready");
                 }
-                self.touched.insert(ix);
+                self.machines_to_dispatch.insert(ix);
                 self.supply_changed = true;
             }
-            MachineState::Presumed | MachineState::Gone => self.emptied(ix),
+            MachineState::LeaseExpired | MachineState::Terminated => self.on_machine_empty(ix),
             _ => {}
         }
     }
 
     /// Nothing that was on the machine can be there any more.
-    fn emptied(&mut self, ix: MachineIx) {
-        let (epoch, now) = (self.epoch(), self.now.steady_ms);
+    fn on_machine_empty(&mut self, ix: MachineIndex) {
+        let (epoch, now) = (self.epoch(), self.context.now.steady_ms);
         let Some(m) = self.machines.get_mut(ix) else { return };
         // Orders still under way must not match when they arrive.
-        m.token = in_epoch(epoch, (m.token & 0xff_ffff) + 1);
+        m.fencing_token = scoped_to_epoch(epoch, (m.fencing_token & 0xff_ffff) + 1);
         m.reported.clear();
-        m.outbox.clear();
+        m.pending_starts.clear();
         m.images.clear();
-        m.hearing.silent();
+        m.reachability.silent();
         m.idle_since_ms = now;
         let unproven = std::mem::take(&mut m.unproven);
         let lost: Vec<TaskKey> = m.tasks.keys().copied().collect();
         tracing::info!(machine = %m.name, state = ?m.state, tasks = lost.len(), "machine empty");
         for key in lost {
-            self.task_off(key);
+            self.return_to_queue(key);
         }
-        self.proven_free(ix, unproven);
+        self.prove_not_running(ix, unproven);
         self.requeue_probes(ix);
         self.supply_changed = true;
     }
 
     /// None of these tasks can be on the machine any more.
-    fn proven_free(&mut self, ix: MachineIx, keys: Vec<TaskKey>) {
+    fn prove_not_running(&mut self, ix: MachineIndex, keys: Vec<TaskKey>) {
         for key in keys {
             let Some(task) = self.jobs.task_mut(key) else { continue };
             for p in task.probes.iter_mut().filter(|p| p.machine == ix) {
                 p.unproven = false;
             }
             if task.state == TaskState::Unproven && !task.probes.iter().any(|p| p.unproven) {
-                self.task_off(key);
+                self.return_to_queue(key);
             }
         }
     }
 
     /// The machine will take no task: its queue's tasks need other probes.
-    pub(crate) fn requeue_probes(&mut self, ix: MachineIx) {
+    pub(crate) fn requeue_probes(&mut self, ix: MachineIndex) {
         let Some(m) = self.machines.get_mut(ix) else { return };
         let queue = std::mem::take(&mut m.queue);
         if !queue.is_empty() {
@@ -357,83 +360,88 @@
     }
 
     /// A worker's report: `POST /checkin`.
-    pub(crate) fn on_checkin(&mut self, id: RequestId, body: Vec<u8>, relayer: Option<usize>) {
-        let report: Report = match from_cbor(&body) {
+    pub(crate) fn on_heartbeat(&mut self, id: RequestId, body: Vec<u8>, relayed_by: Option<usize>) {
+        let report: Heartbeat = match from_cbor(&body) {
             Ok(r) => r,
             Err(e) => return self.answer_error(id, 400, &e.to_string()),
         };
-        if !sane(&report) {
+        if !is_plausible(&report) {
             return self.answer_error(id, 400, "senseless report");
         }
-        if epoch_of(report.token) > self.epoch() && self.leads() {
+        if epoch_of(report.fencing_token) > self.epoch() && self.leads() {
             tracing::info!(machine = %report.machine, "superseded: a worker has seen a later epoch");
-            self.superseded();
+            self.step_down();
         }
-        if self.in_doubt() || self.has_to_read(&report) {
-            return self.hold_report(id, body, relayer);
+        if self.leadership_unverified() || self.has_to_read(&report) {
+            return self.hold_heartbeat(id, body, relayed_by);
         }
-        if !self.commands_workers() {
-            if relayer.is_some() {
+        if !self.may_command_workers() {
+            if relayed_by.is_some() {
                 return self.redirect(id);
             }
             if self.takes_in(&report) && self.relay(id, &report, body) {
                 return;
             }
-            if self.keep(id, &report) {
+            if self.serve_by_proxy(id, &report) {
                 return;
             }
             return self.redirect(id);
         }
-        if let Some(near) = self.nearer(&report).filter(|_| relayer.is_none()) {
+        if let Some(near) = self.nearer(&report).filter(|_| relayed_by.is_none()) {
             let body = to_cbor(&Redirect { owner: Some(near) });
             return self.answer(id, Response::new(421, body));
         }
         let ix = self.machine(&report.machine);
         let Some(m) = self.machines.get_mut(ix) else { return };
-        match m.copies.report(report.tenure, report.seq) {
+        match m.copies.report(report.agent_epoch, report.seq) {
             Age::News => {}
             // Sent before what we heard last, and so is the lease that an answer gives.
             Age::Overtaken => {
-                m.answered_ms = Some(m.answered_ms.unwrap_or(0).max(m.heard_ms));
-                let body = to_cbor(&ReportAnswer { token: m.token, orders: Vec::new() });
+                m.answered_ms = Some(m.answered_ms.unwrap_or(0).max(m.last_heard_ms));
+                let body = to_cbor(&HeartbeatAnswer {
+                    fencing_token: m.fencing_token,
+                    orders: Vec::new(),
+                });
                 return self.answer(id, Response::new(200, body));
             }
             // Nobody waits for an answer, and none that is given here may keep anything alive.
             Age::Copy => {
-                self.copies_dropped += 1;
+                self.duplicates_dropped += 1;
                 return self.answer(id, Response::new(421, to_cbor(&Redirect { owner: None })));
             }
         }
-        self.observe_news(ix, report);
-        let now = self.now.steady_ms;
+        self.apply_heartbeat(ix, report);
+        let now = self.context.now.steady_ms;
         let orders = self.standing_orders(ix);
         let Some(m) = self.machines.get_mut(ix) else { return };
         m.answered_ms = Some(now);
-        m.hearing.answered();
-        m.relayer = relayer;
-        (m.cut, m.via) = (m.cut && relayer.is_some(), None);
-        let body = to_cbor(&ReportAnswer { token: m.token, orders });
+        m.reachability.answered();
+        m.relayed_by = relayed_by;
+        (m.cut, m.via) = (m.cut && relayed_by.is_some(), None);
+        let body = to_cbor(&HeartbeatAnswer { fencing_token: m.fencing_token, orders });
         self.answer(id, Response::new(200, body));
     }
 
     /// A leader that reads the records answers for a machine once it has read every job that runs
     /// there: what it has not read may have been cancelled long before it took the lead.
-    fn has_to_read(&self, report: &Report) -> bool {
-        let unread = |job: &str| self.jobs.find(job).is_none() && self.finals.get(job).is_none();
+    fn has_to_read(&self, report: &Heartbeat) -> bool {
+        let unread =
+            |job: &str| self.jobs.find(job).is_none() && self.terminal_jobs.get(job).is_none();
         let mut running = report.tasks.iter().filter(|t| t.status != TaskStatus::Exited);
-        self.member.role == Role::Restoring
+        self.membership.role == Role::Recovering
             && running.any(|t| parse_task(&t.task).is_some_and(|(job, _)| unread(job)))
     }
 
     /// A worker is best served by a controller of its own zone: should the zones part,
     /// that one keeps it. Said only to workers whose lease is fresh.
-    fn nearer(&self, report: &Report) -> Option<String> {
-        let p = &self.cfg.platform;
+    fn nearer(&self, report: &Heartbeat) -> Option<String> {
+        let p = &self.context.config.platform;
         if report.zone == p.zone {
             return None;
         }
         let m = self.machines.get(self.machines.find(&report.machine)?)?;
-        let fresh = m.answered_ms? + 3 * self.cfg.report_ms() > self.now.steady_ms;
+        let fresh = m.answered_ms? + 3 * self.context.config.heartbeat_interval_ms()
+            > self.context.now.steady_ms;
         if m.state != MachineState::Ready || !fresh {
             return None;
         }
@@ -451,15 +459,17 @@
     /// Whether a report is passed on rather than its worker sent to the leader. Those of
     /// the own zone are. One of another zone may have come because it can't reach the
     /// leader: it is looked after for two leases, then sent there, but not soon again.
-    fn takes_in(&mut self, report: &Report) -> bool {
-        if report.zone == self.cfg.platform.zone {
+    fn takes_in(&mut self, report: &Heartbeat) -> bool {
+        if report.zone == self.context.config.platform.zone {
             return true;
         }
-        let (now, lease) = (self.now.steady_ms, self.cfg.lease_ms());
-        if self.strays.len() >= STRAYS_MOST && !self.strays.contains_key(&report.machine) {
-            self.strays.clear();
+        let (now, lease) = (self.context.now.steady_ms, self.context.config.lease_ms());
+        if self.out_of_zone_workers.len() >= STRAYS_MOST
+            && !self.out_of_zone_workers.contains_key(&report.machine)
+        {
+            self.out_of_zone_workers.clear();
         }
-        let stray = self.strays.entry(report.machine.clone()).or_insert((now, 0));
+        let stray = self.out_of_zone_workers.entry(report.machine.clone()).or_insert((now, 0));
         let stays = now < stray.0 + 2 * lease || stray.1 > 0 && now < stray.1 + 10 * lease;
         if !stays {
             *stray = (now, now);
@@ -468,27 +478,27 @@
     }
 
     /// Passes a report on to the leader; false if it can't be reached.
-    fn relay(&mut self, id: RequestId, report: &Report, body: Vec<u8>) -> bool {
+    fn relay(&mut self, id: RequestId, report: &Heartbeat, body: Vec<u8>) -> bool {
         let Some(at) = self.leader_sibling().filter(|_| !self.leader_missed()) else {
             return false;
         };
         let mut message = self.mesh_message();
         let (method, path) = ("POST".to_string(), "/checkin".to_string());
         message.forward = Some(Forward { method, path, body });
-        let timeout = self.cfg.mesh_timeout_ms();
-        let pending = Pending::Relay { request: id, report: Box::new(report.clone()) };
+        let timeout = self.context.config.mesh_timeout_ms();
+        let pending = InFlight::Relay { request: id, report: Box::new(report.clone()) };
         self.call(Peer::Sibling(at), "POST", "/mesh".into(), to_cbor(&message), timeout, pending);
         true
     }
 
-    pub(crate) fn on_relayed(&mut self, id: RequestId, report: Report, outcome: Outcome) {
+    pub(crate) fn on_relayed(&mut self, id: RequestId, report: Heartbeat, outcome: Outcome) {
         match outcome {
             Outcome::Answer(r) if r.status == 200 => {
                 self.answer(id, Response::new(200, r.body));
             }
             Outcome::Answer(_) => self.redirect(id),
             _ => {
-                if !self.keep(id, &report) {
+                if !self.serve_by_proxy(id, &report) {
                     self.redirect(id)
                 }
             }
@@ -505,69 +515,73 @@
 
     /// Takes in what a machine answered to a call of ours, or what a keeper heard of it. An
     /// older one than the newest known says nothing.
-    pub(crate) fn observe(&mut self, ix: MachineIx, report: Report) {
+    pub(crate) fn observe_heartbeat(&mut self, ix: MachineIndex, report: Heartbeat) {
         let news = self.machines.get_mut(ix).is_some_and(|m| {
-            epoch_of(report.token) > epoch_of(m.token) || m.copies.told(report.tenure, report.seq)
+            epoch_of(report.fencing_token) > epoch_of(m.fencing_token)
+                || m.copies.told(report.agent_epoch, report.seq)
         });
         if news {
-            self.observe_news(ix, report);
+            self.apply_heartbeat(ix, report);
         }
     }
 
     /// A machine has answered a call of ours: it lives now, and hears.
-    pub(crate) fn answered_call(&mut self, ix: MachineIx, report: Report) {
-        let now = self.now.steady_ms;
+    pub(crate) fn observe_reply(&mut self, ix: MachineIndex, report: Heartbeat) {
+        let now = self.context.now.steady_ms;
         if let Some(m) = self.machines.get_mut(ix) {
-            m.heard_ms = now;
-            m.hearing.order_answered(now);
+            m.last_heard_ms = now;
+            m.reachability.order_answered(now);
         }
-        self.observe(ix, report);
+        self.observe_heartbeat(ix, report);
     }
 
     /// Time between reports and the lease, as they bear on a machine's hearing.
     fn hearing_limits(&self) -> Limits {
-        Limits { report_ms: self.cfg.report_ms(), lease_ms: self.cfg.lease_ms() }
+        Limits {
+            report_ms: self.context.config.heartbeat_interval_ms(),
+            lease_ms: self.context.config.lease_ms(),
+        }
     }
 
     /// Takes in a report that is newer than all that is known of the machine.
-    fn observe_news(&mut self, ix: MachineIx, report: Report) {
+    fn apply_heartbeat(&mut self, ix: MachineIndex, report: Heartbeat) {
         // Whatever way it came, such a report says that another leads. Its token must
         // never become ours: orders that bear it would be obeyed.
-        if epoch_of(report.token) > self.epoch() {
+        if epoch_of(report.fencing_token) > self.epoch() {
             tracing::info!(machine = %report.machine, "superseded: a worker has seen a later epoch");
-            return self.superseded();
+            return self.step_down();
         }
-        let now = self.now.steady_ms;
+        let now = self.context.now.steady_ms;
         let (zone, limits) = (self.zone_ix(&report.zone), self.hearing_limits());
         let Some(m) = self.machines.get_mut(ix) else { return };
-        m.heard_ms = now;
-        let new_session = report.tenure > m.tenure;
+        m.last_heard_ms = now;
+        let new_session = report.agent_epoch > m.agent_epoch;
         let lost = m.tasks.len() + m.unproven.len();
-        if new_session && m.tenure > 0 && lost > 0 {
+        if new_session && m.agent_epoch > 0 && lost > 0 {
             tracing::info!(machine = %m.name, lost, "its lease ran out: a new session");
         }
-        let deaf = m.hearing.deaf();
-        m.hearing.report(now, new_session, &limits);
-        if report.token >= m.token {
-            m.hearing.shows_token();
+        let deaf = m.reachability.deaf();
+        m.reachability.report(now, new_session, &limits);
+        if report.fencing_token >= m.fencing_token {
+            m.reachability.shows_token();
         }
-        (m.tenure, m.token_seen) = (report.tenure, report.token);
+        (m.agent_epoch, m.acknowledged_token) = (report.agent_epoch, report.fencing_token);
         m.addr = report.addr.parse().ok();
         m.kind = report.kind;
         m.zone = zone;
         m.spot = report.spot;
-        if let Some(s) = report.notice_s {
+        if let Some(s) = report.interruption_notice_s {
             let at = now + (s.max(0.0) * 1000.0) as u64;
-            if m.recall_ms.is_none() {
+            if m.interruption_at_ms.is_none() {
                 tracing::info!(machine = %m.name, in_s = s, "machine will be taken away");
                 self.drain_due = true;
             }
-            m.recall_ms = Some(at);
-        } else if m.recall_ms.take().is_some() {
-            self.touched.insert(ix);
+            m.interruption_at_ms = Some(at);
+        } else if m.interruption_at_ms.take().is_some() {
+            self.machines_to_dispatch.insert(ix);
         }
         let Some(m) = self.machines.get_mut(ix) else { return };
-        m.token = m.token.max(m.token_seen);
+        m.fencing_token = m.fencing_token.max(m.acknowledged_token);
         m.reported = report.tasks;
         m.fresh_session = new_session;
         self.heard_again(ix, deaf);
@@ -575,14 +589,14 @@
     }
 
     /// Follows up on a change of what is thought of a machine's hearing.
-    fn heard_again(&mut self, ix: MachineIx, was_deaf: bool) {
-        let Some(m) = self.machines.get(ix).filter(|m| m.hearing.deaf() != was_deaf) else {
+    fn heard_again(&mut self, ix: MachineIndex, was_deaf: bool) {
+        let Some(m) = self.machines.get(ix).filter(|m| m.reachability.deaf() != was_deaf) else {
             return;
         };
         self.supply_changed = true;
         if was_deaf {
             tracing::info!(machine = %m.name, "hears again");
-            self.touched.insert(ix);
+            self.machines_to_dispatch.insert(ix);
         } else {
             tracing::info!(machine = %m.name, "speaks but does not hear: it gets no new work");
             self.requeue_probes(ix);
@@ -590,19 +604,19 @@
     }
 
     /// Draws the consequences of a machine's newest report.
-    pub(crate) fn settle(&mut self, ix: MachineIx) {
-        let base = in_epoch(self.epoch(), 0);
+    pub(crate) fn settle(&mut self, ix: MachineIndex) {
+        let base = scoped_to_epoch(self.epoch(), 0);
         let Some(m) = self.machines.get_mut(ix) else { return };
-        if m.heard_ms == 0 || m.state == MachineState::Gone {
+        if m.last_heard_ms == 0 || m.state == MachineState::Terminated {
             return;
         }
         let new_session = std::mem::take(&mut m.fresh_session);
-        let knows_epoch = m.token_seen >= base;
-        let knows_token = m.token_seen >= m.token;
-        let settled = knows_token && !m.calling;
+        let knows_epoch = m.acknowledged_token >= base;
+        let knows_token = m.acknowledged_token >= m.fencing_token;
+        let settled = knows_token && !m.command_in_flight;
         let reported = m.reported.clone();
         let mut listed: Vec<TaskKey> = Vec::with_capacity(reported.len());
-        let exited = |r: &&ReportTask| r.status == TaskStatus::Exited;
+        let exited = |r: &&HeartbeatTask| r.status == TaskStatus::Exited;
         for r in reported.iter().filter(exited) {
             self.reported_task(ix, r);
         }
@@ -612,11 +626,11 @@
         listed.sort_unstable();
         // What the machine does not list is not on it, if nothing of ours is under way.
         let Some(m) = self.machines.get_mut(ix) else { return };
-        let outbox: Vec<TaskKey> = m.outbox.iter().map(|(k, _)| *k).collect();
+        let pending_starts: Vec<TaskKey> = m.pending_starts.iter().map(|(k, _)| *k).collect();
         let missing: Vec<(TaskKey, u64)> = m
             .tasks
             .iter()
-            .filter(|(k, _)| listed.binary_search(k).is_err() && !outbox.contains(k))
+            .filter(|(k, _)| listed.binary_search(k).is_err() && !pending_starts.contains(k))
             .map(|(k, a)| (*k, *a))
             .collect();
         for (key, _) in missing {
@@ -624,7 +638,7 @@
                 matches!(self.jobs.task(key).map(|t| t.state), Some(TaskState::Starting { .. }));
             if !starting || settled || new_session {
                 tracing::debug!(job = ?key, "task is no longer on its machine");
-                self.task_off(key);
+                self.return_to_queue(key);
             }
         }
         if knows_epoch {
@@ -638,7 +652,7 @@
                     alive.into_iter().partition(|k| m.tasks.contains_key(k));
                 m.unproven = elsewhere;
                 // A task that it lists is its own business now: the flag goes as well.
-                self.proven_free(ix, free);
+                self.prove_not_running(ix, free);
                 for key in held {
                     if let Some(t) = self.jobs.task_mut(key) {
                         for p in t.probes.iter_mut().filter(|p| p.machine == ix) {
@@ -647,62 +661,63 @@
                     }
                 }
             }
-            self.machine_to(ix, MachineState::Ready);
+            self.set_machine_state(ix, MachineState::Ready);
         } else {
-            self.machine_to(ix, MachineState::Greeted);
-            self.needs_orders.insert(ix);
+            self.set_machine_state(ix, MachineState::Registering);
+            self.machines_to_command.insert(ix);
         }
-        if !knows_token || self.machines.get(ix).is_some_and(|m| m.hearing.deaf()) {
-            self.needs_orders.insert(ix);
+        if !knows_token || self.machines.get(ix).is_some_and(|m| m.reachability.deaf()) {
+            self.machines_to_command.insert(ix);
         }
-        self.touched.insert(ix);
+        self.machines_to_dispatch.insert(ix);
     }
 
     /// One task of a report. Returns its key if it is alive here.
-    fn reported_task(&mut self, ix: MachineIx, r: &ReportTask) -> Option<TaskKey> {
+    fn reported_task(&mut self, ix: MachineIndex, r: &HeartbeatTask) -> Option<TaskKey> {
         let (job_id, n) = parse_task(&r.task)?;
         let job_ix = self.jobs.find(job_id)?;
         let key = TaskKey { job: job_ix, task: n };
         let job = self.jobs.get(job_ix)?;
-        let service = job.spec.shape == Shape::Service;
+        let service = job.spec.shape == JobKind::Service;
         let state = job.task(n)?.state;
         let mine = state.machine() == Some((ix, r.attempt));
         if r.status == TaskStatus::Exited {
             match r.cause {
-                Some(Cause::Done) => {
-                    self.task_ran_well(ix);
+                Some(ExitCause::Done) => {
+                    self.clear_machine_failures(ix);
                     match self.jobs.get(job_ix).map(|j| j.spec.shape) {
-                        Some(Shape::Gang) => self.gang_done(job_ix),
+                        Some(JobKind::Gang) => self.gang_done(job_ix),
                         _ => self.task_done(key),
                     }
                 }
                 _ if !mine => {}
-                Some(Cause::Error) => {
+                Some(ExitCause::Error) => {
                     self.task_failed(ix, key);
-                    self.task_off(key);
+                    self.return_to_queue(key);
                 }
                 // Not by our command: who else may stop it knows that its job has ended.
-                Some(Cause::Stopped) if !matches!(state, TaskState::Stopping { .. }) => {
+                Some(ExitCause::Stopped) if !matches!(state, TaskState::Stopping { .. }) => {
                     self.read_before_starts(job_ix);
-                    self.task_off(key);
+                    self.return_to_queue(key);
                 }
-                Some(Cause::NoRoom) => {
-                    let until = self.now.steady_ms + self.cfg.report_ms();
+                Some(ExitCause::InsufficientResources) => {
+                    let until =
+                        self.context.now.steady_ms + self.context.config.heartbeat_interval_ms();
                     if let Some(m) = self.machines.get_mut(ix) {
                         m.no_room_until_ms = until;
                         tracing::info!(machine = %m.name, task = %r.task, "start refused: no room");
                     }
-                    self.task_off(key);
+                    self.return_to_queue(key);
                 }
-                Some(Cause::Unknown) => {
+                Some(ExitCause::Unknown) => {
                     self.back_off(key);
-                    self.task_off(key);
+                    self.return_to_queue(key);
                 }
-                _ => self.task_off(key),
+                _ => self.return_to_queue(key),
             }
             return None;
         }
-        let now = self.now.steady_ms;
+        let now = self.context.now.steady_ms;
         if r.status != TaskStatus::Fetching {
             let image = self.jobs.get(job_ix)?.image;
             if let Some(m) = self.machines.get_mut(ix) {
@@ -712,7 +727,7 @@
         match state {
             TaskState::Starting { machine, attempt } if machine == ix && attempt == r.attempt => {
                 let state = TaskState::On { machine, attempt, status: r.status, since_ms: now };
-                self.task_to(key, state);
+                self.set_task_state(key, state);
                 self.note_start(key);
             }
             TaskState::On { machine, attempt, status, since_ms }
@@ -720,17 +735,23 @@
             {
                 let since_ms = if status == r.status { since_ms } else { now };
                 // A replica never completes; one that has run for a while runs well.
-                let steady = now >= since_ms + 4 * self.cfg.report_ms();
+                let steady = now >= since_ms + 4 * self.context.config.heartbeat_interval_ms();
                 if r.status == TaskStatus::Running && steady && service {
-                    self.trust_to(job_ix, Trust::Proven);
+                    self.set_job_health(job_ix, JobHealth::Proven);
                 }
-                self.task_to(key, TaskState::On { machine, attempt, status: r.status, since_ms });
+                self.set_task_state(
+                    key,
+                    TaskState::On { machine, attempt, status: r.status, since_ms },
+                );
             }
             // Wherever a task is seen alive, there it is: it may start nowhere else.
-            TaskState::Unproven | TaskState::Waiting | TaskState::Undealt => {
+            TaskState::Unproven | TaskState::Waiting | TaskState::Unplaced => {
                 let attempt = r.attempt;
                 let status = r.status;
-                self.task_to(key, TaskState::On { machine: ix, attempt, status, since_ms: now });
+                self.set_task_state(
+                    key,
+                    TaskState::On { machine: ix, attempt, status, since_ms: now },
+                );
             }
             _ => {}
         }
@@ -739,10 +760,10 @@
 
     /// What a machine should be told over and above starts: stops for what should
     /// not be there, clears for what is on record.
-    pub(crate) fn standing_orders(&self, ix: MachineIx) -> Vec<Order> {
+    pub(crate) fn standing_orders(&self, ix: MachineIndex) -> Vec<Order> {
         let Some(m) = self.machines.get(ix) else { return Vec::new() };
         // A clear must not meet a start of the same attempt that is still under way.
-        let may_clear = !m.calling && m.token_seen >= m.token;
+        let may_clear = !m.command_in_flight && m.acknowledged_token >= m.fencing_token;
         let mut orders = Vec::new();
         for r in &m.reported {
             let (task, attempt) = (r.task.clone(), r.attempt);
@@ -757,7 +778,7 @@
         orders
     }
 
-    fn may_forget(&self, ix: MachineIx, r: &ReportTask) -> bool {
+    fn may_forget(&self, ix: MachineIndex, r: &HeartbeatTask) -> bool {
         let Some((id, n)) = parse_task(&r.task) else { return true };
         // While the records are being read, its share may not have come yet.
         if !self.knows_all_jobs() {
@@ -767,26 +788,28 @@
         let Some(job) = self.jobs.find(id).and_then(|j| self.jobs.get(j)) else {
             return true;
         };
-        let Some(chunk) = job.chunks.get(&(n / crate::records::CHUNK)) else { return true };
+        let Some(chunk) = job.chunks.get(&(n / crate::storage::records::TASKS_PER_CHUNK)) else {
+            return true;
+        };
         let Some(task) = job.task(n) else { return true };
         match task.state {
             TaskState::Done { version } => {
-                r.cause != Some(Cause::Done)
+                r.cause != Some(ExitCause::Done)
                     || chunk.acked >= version
                     || job.state == JobState::Done
             }
             state => {
-                state.machine() != Some((ix, r.attempt)) && r.cause != Some(Cause::Done)
+                state.machine() != Some((ix, r.attempt)) && r.cause != Some(ExitCause::Done)
                     || job.state == JobState::Aborted
             }
         }
     }
 
     /// Whether a task that is alive on a machine should stop, and with what grace.
-    fn stop_wanted(&self, ix: MachineIx, r: &ReportTask) -> Option<f64> {
+    fn stop_wanted(&self, ix: MachineIndex, r: &HeartbeatTask) -> Option<f64> {
         let Some((id, n)) = parse_task(&r.task) else { return Some(0.0) };
         let Some(job) = self.jobs.find(id).and_then(|j| self.jobs.get(j)) else {
-            let over = self.knows_all_jobs() || self.finals.get(id).is_some();
+            let over = self.knows_all_jobs() || self.terminal_jobs.get(id).is_some();
             return over.then_some(0.0);
         };
         if matches!(job.state, JobState::Unreadable | JobState::Aborting) {
@@ -803,7 +826,7 @@
             TaskState::Stopping { machine, attempt, grace }
                 if machine == ix && attempt == r.attempt =>
             {
-                Some(if grace { job.spec.save_s.max(1.0) * 1.5 } else { 0.0 })
+                Some(if grace { job.spec.checkpoint_cost_s.max(1.0) * 1.5 } else { 0.0 })
             }
             state if state.machine() == Some((ix, r.attempt)) => None,
             _ => Some(0.0),
@@ -811,29 +834,29 @@
     }
 
     /// Sends a machine its starts and standing orders, one call at a time.
-    pub(crate) fn send_orders(&mut self, ix: MachineIx) {
-        if !self.commands_workers() {
+    pub(crate) fn send_orders(&mut self, ix: MachineIndex) {
+        if !self.may_command_workers() {
             return;
         }
         let stops = self.standing_orders(ix);
         let Some(m) = self.machines.get_mut(ix) else { return };
         let Some(addr) = m.addr else { return };
-        if m.calling
+        if m.command_in_flight
             || matches!(
                 m.state,
-                MachineState::Presumed | MachineState::Gone | MachineState::Returning
+                MachineState::LeaseExpired | MachineState::Terminated | MachineState::Returning
             )
         {
             return;
         }
-        let starts = std::mem::take(&mut m.outbox);
+        let starts = std::mem::take(&mut m.pending_starts);
         // One that is taken for deaf is called now and then, to see whether it is.
-        let greet = m.token_seen < m.token || m.hearing.deaf();
-        let may_call = m.hearing.may_call(self.now.steady_ms) || !starts.is_empty();
+        let greet = m.acknowledged_token < m.fencing_token || m.reachability.deaf();
+        let may_call = m.reachability.may_call(self.context.now.steady_ms) || !starts.is_empty();
         if starts.is_empty() && stops.is_empty() && !greet || !may_call {
             return;
         }
-        let (token, tenure) = (m.token, m.tenure);
+        let (fencing_token, agent_epoch) = (m.fencing_token, m.agent_epoch);
         let mut orders = stops;
         for (key, attempt) in &starts {
             // What was bound may have been aborted or moved since.
@@ -846,27 +869,28 @@
                 orders.push(Order::Start { task, attempt: *attempt });
             } else if job.task(key.task).is_some_and(|t| t.state.machine() == Some((ix, *attempt)))
             {
-                self.task_off(*key);
+                self.return_to_queue(*key);
             }
         }
-        let request = OrdersRequest { token, tenure, orders };
+        let request = OrdersRequest { fencing_token, agent_epoch, orders };
         if let Some(m) = self.machines.get_mut(ix) {
-            m.calling = true;
+            m.command_in_flight = true;
         }
-        let timeout = self.cfg.worker_timeout_ms();
+        let timeout = self.context.config.worker_timeout_ms();
         match self.route(ix) {
-            Route::Post(at) => self.post_orders(at, ix, addr.to_string(), request, starts),
+            Route::MailboxRecord(at) => self.mail_orders(at, ix, addr.to_string(), request, starts),
             Route::Relay(at) => {
-                let body = to_cbor(&Letter { id: 0, addr: addr.to_string(), orders: request });
+                let body = to_cbor(&Envelope { id: 0, addr: addr.to_string(), orders: request });
                 let mut message = self.mesh_message();
                 let (method, path) = ("POST".to_string(), "/orders".to_string());
                 message.forward = Some(Forward { method, path, body });
-                let pending = Pending::Orders { machine: ix, token, starts };
-                let (peer, timeout) = (Peer::Sibling(at), timeout + self.cfg.mesh_timeout_ms());
+                let pending = InFlight::Orders { machine: ix, fencing_token, starts };
+                let (peer, timeout) =
+                    (Peer::Sibling(at), timeout + self.context.config.mesh_timeout_ms());
                 self.call(peer, "POST", "/mesh".into(), to_cbor(&message), timeout, pending)
             }
             Route::Direct => {
-                let pending = Pending::Orders { machine: ix, token, starts };
+                let pending = InFlight::Orders { machine: ix, fencing_token, starts };
                 let (peer, body) = (Peer::Worker(addr), to_cbor(&request));
                 self.call(peer, "POST", "/orders".into(), body, timeout, pending)
             }
@@ -874,24 +898,24 @@
     }
 
     /// A machine that can't be told directly is told the way its reports come.
-    fn route(&self, ix: MachineIx) -> Route {
-        let relayer = self.machines.get(ix).filter(|m| m.cut).and_then(|m| m.relayer);
-        match (relayer.filter(|at| self.sibling_alive(*at)), self.post_route(ix)) {
+    fn route(&self, ix: MachineIndex) -> Route {
+        let relayed_by = self.machines.get(ix).filter(|m| m.cut).and_then(|m| m.relayed_by);
+        match (relayed_by.filter(|at| self.sibling_alive(*at)), self.mailbox_route(ix)) {
             (Some(at), _) => Route::Relay(at),
-            (None, Some(at)) => Route::Post(at),
+            (None, Some(at)) => Route::MailboxRecord(at),
             (None, None) => Route::Direct,
         }
     }
 
     /// Orders of the leader for a worker that it can't reach.
     pub(crate) fn relay_orders(&mut self, id: RequestId, from: usize, body: &[u8]) {
-        let letter = from_cbor::<Letter>(body).ok().filter(|_| self.leader_place() == Some(from));
+        let letter = from_cbor::<Envelope>(body).ok().filter(|_| self.leader_index() == Some(from));
         let addr = letter.as_ref().and_then(|l| l.addr.parse().ok());
         let (Some(letter), Some(addr)) = (letter, addr) else {
             return self.answer_error(id, 400, "no orders of the leader's");
         };
-        let (body, timeout) = (to_cbor(&letter.orders), self.cfg.worker_timeout_ms());
-        let pending = Pending::OrdersRelayed { request: id };
+        let (body, timeout) = (to_cbor(&letter.orders), self.context.config.worker_timeout_ms());
+        let pending = InFlight::OrdersRelayed { request: id };
         self.call(Peer::Worker(addr), "POST", "/orders".into(), body, timeout, pending);
     }
 
@@ -904,42 +928,42 @@
 
     pub(crate) fn on_orders_outcome(
         &mut self,
-        ix: MachineIx,
-        token: u64,
+        ix: MachineIndex,
+        fencing_token: u64,
         starts: Vec<(TaskKey, u64)>,
         outcome: Outcome,
     ) {
-        let (now, limits) = (self.now.steady_ms, self.hearing_limits());
-        let by_post = self.post_route(ix).is_some();
+        let (now, limits) = (self.context.now.steady_ms, self.hearing_limits());
+        let by_post = self.mailbox_route(ix).is_some();
         let Some(m) = self.machines.get_mut(ix) else { return };
-        m.calling = false;
-        let deaf = m.hearing.deaf();
+        m.command_in_flight = false;
+        let deaf = m.reachability.deaf();
         match &outcome {
             // An answer to a call is no copy: the machine lives now.
             Outcome::Answer(r) if matches!(r.status, 200 | 409) => {
-                m.heard_ms = now;
-                m.hearing.order_answered(now)
+                m.last_heard_ms = now;
+                m.reachability.order_answered(now)
             }
             Outcome::NotSent => {}
-            _ => m.hearing.order_lost(now, !by_post, &limits),
+            _ => m.reachability.order_lost(now, !by_post, &limits),
         }
         self.heard_again(ix, deaf);
         let Some(m) = self.machines.get_mut(ix) else { return };
         // A machine that can only be told by others is tried directly once a lease.
-        let again = now > m.cut_ms + self.cfg.lease_ms();
-        let by_others = m.cut && !again && (m.via.is_some() || m.relayer.is_some());
+        let again = now > m.unreachable_since_ms + self.context.config.lease_ms();
+        let by_others = m.cut && !again && (m.via.is_some() || m.relayed_by.is_some());
         let cut = !matches!(outcome, Outcome::Answer(_)) || by_others;
         if cut && (!m.cut || again) {
-            m.cut_ms = now;
+            m.unreachable_since_ms = now;
         }
         m.cut = cut;
         match outcome {
             Outcome::Answer(r) if r.status == 200 || r.status == 409 => {
-                match from_cbor::<Report>(&r.body) {
-                    Ok(report) if sane(&report) && report.machine == m.name => {
-                        self.observe(ix, report)
+                match from_cbor::<Heartbeat>(&r.body) {
+                    Ok(report) if is_plausible(&report) && report.machine == m.name => {
+                        self.observe_heartbeat(ix, report)
                     }
-                    _ => self.raise_token(ix, token),
+                    _ => self.advance_fencing_token(ix, fencing_token),
                 }
             }
             Outcome::NotSent => {
@@ -947,30 +971,31 @@
                 for (key, attempt) in starts {
                     let still = TaskState::Starting { machine: ix, attempt };
                     if self.jobs.task(key).is_some_and(|t| t.state == still) {
-                        self.task_off(key);
+                        self.return_to_queue(key);
                     }
                 }
                 if let Some(m) = self.machines.get_mut(ix) {
-                    m.no_room_until_ms = self.now.steady_ms + self.cfg.report_ms();
+                    m.no_room_until_ms =
+                        self.context.now.steady_ms + self.context.config.heartbeat_interval_ms();
                 }
             }
-            _ => self.raise_token(ix, token),
+            _ => self.advance_fencing_token(ix, fencing_token),
         }
-        self.touched.insert(ix);
-        let pressing = self.machines.get(ix).is_some_and(|m| !m.outbox.is_empty());
-        if pressing {
-            self.needs_orders.insert(ix);
+        self.machines_to_dispatch.insert(ix);
+        let blocks_starts = self.machines.get(ix).is_some_and(|m| !m.pending_starts.is_empty());
+        if blocks_starts {
+            self.machines_to_command.insert(ix);
         }
     }
 
     /// An order's fate is unknown: from the next contact on it can't match.
-    fn raise_token(&mut self, ix: MachineIx, token: u64) {
+    fn advance_fencing_token(&mut self, ix: MachineIndex, fencing_token: u64) {
         let epoch = self.epoch();
-        let now = self.now.steady_ms;
-        let wait = self.cfg.report_ms();
+        let now = self.context.now.steady_ms;
+        let wait = self.context.config.heartbeat_interval_ms();
         if let Some(m) = self.machines.get_mut(ix) {
-            if m.token == token {
-                m.token = in_epoch(epoch, (token & 0xff_ffff) + 1);
+            if m.fencing_token == fencing_token {
+                m.fencing_token = scoped_to_epoch(epoch, (fencing_token & 0xff_ffff) + 1);
             }
             // Nothing new starts there until it has spoken again.
             m.no_room_until_ms = now + wait;
@@ -981,33 +1006,36 @@
     /// the cloud's word that it is gone frees its tasks before its lease would. Where
     /// many are silent the network is to blame, and they are left alone, but for those
     /// that the cloud no longer lists.
-    pub(crate) fn return_silent(&mut self) {
-        let now = self.now.steady_ms;
+    pub(crate) fn release_silent(&mut self) {
+        let now = self.context.now.steady_ms;
         // Workers need a while to find a new leader; all that we have the address of are
         // asked for their reports before this.
-        let (patience, at_first) = (self.cfg.lease_ms() / 3, self.cfg.lease_ms() * 3 / 4);
-        let (time_to_answer, limits) = (self.cfg.report_ms() / 2, self.hearing_limits());
+        let (patience, at_first) =
+            (self.context.config.lease_ms() / 3, self.context.config.lease_ms() * 3 / 4);
+        let (time_to_answer, limits) =
+            (self.context.config.heartbeat_interval_ms() / 2, self.hearing_limits());
         let (mut silent, mut heard, mut odd) = (Vec::new(), 0, 0);
         for (ix, m) in self.machines.iter() {
-            let since = m.heard_ms.max(m.since_ms).max(self.epoch_began_ms);
+            let since = m.last_heard_ms.max(m.since_ms).max(self.epoch_began_ms);
             // Through a pause it was we who heard nothing.
-            let since = since.max(self.pause.woke_ms);
+            let since = since.max(self.stall.resumed_ms);
             let holds = !m.tasks.is_empty() || !m.unproven.is_empty();
             let unlisted = self.unlisted(m);
             // An earlier owner knew it, and the cloud has it no more.
             let patience = match m.state {
-                MachineState::Greeted | MachineState::Unheard if !unlisted => at_first,
-                MachineState::Unheard => 0,
+                MachineState::Registering | MachineState::Provisioning if !unlisted => at_first,
+                MachineState::Provisioning => 0,
                 _ => patience,
             };
-            let asked = m.probed_ms > m.heard_ms && now >= m.probed_ms + time_to_answer;
-            let asked = asked || m.addr.is_none() || unlisted || self.post_route(ix).is_some();
+            let asked = m.probed_ms > m.last_heard_ms && now >= m.probed_ms + time_to_answer;
+            let asked = asked || m.addr.is_none() || unlisted || self.mailbox_route(ix).is_some();
             // It is heard, but nothing that it is told arrives; or the cloud has it no more, and
             // what is heard of it was held back.
-            let deaf = m.hearing.deaf();
-            let lost = m.hearing.lost(now, &limits) || deaf && unlisted;
+            let deaf = m.reachability.deaf();
+            let lost = m.reachability.lost(now, &limits) || deaf && unlisted;
             match m.state {
-                MachineState::Presumed | MachineState::Returning | MachineState::Gone => {}
+                MachineState::LeaseExpired | MachineState::Returning | MachineState::Terminated => {
+                }
                 _ if lost => silent.push((ix, true, unlisted)),
                 _ if now > since + patience && asked => silent.push((ix, holds, unlisted)),
                 _ if deaf => odd += 1,
@@ -1016,33 +1044,33 @@
             }
         }
         odd += silent.iter().filter(|(_, _, unlisted)| !unlisted).count();
-        let many = odd * 12 > heard + 12 || !self.member.keepers.is_empty();
+        let many = odd * 12 > heard + 12 || !self.membership.keepers.is_empty();
         for (ix, holds, unlisted) in silent {
             let Some(m) = self.machines.get(ix) else { continue };
             if holds && (unlisted || !many) {
-                let deaf = m.hearing.deaf();
+                let deaf = m.reachability.deaf();
                 tracing::info!(machine = %m.name, unlisted, deaf, "silent while others are heard");
-                self.begin_return(ix);
+                self.begin_release(ix);
             }
         }
     }
 
     /// Asks machines that have been quiet for their report: they may report to a
     /// controller that we don't hear.
-    pub(crate) fn inspect_quiet(&mut self) {
-        let now = self.now.steady_ms;
-        let quiet = self.cfg.report_ms() * 3 / 2;
-        let due: Vec<MachineIx> = self
+    pub(crate) fn inspect_silent(&mut self) {
+        let now = self.context.now.steady_ms;
+        let quiet = self.context.config.heartbeat_interval_ms() * 3 / 2;
+        let due: Vec<MachineIndex> = self
             .machines
             .iter()
             .filter(|(_, m)| {
-                matches!(m.state, MachineState::Ready | MachineState::Greeted)
-                    && now > m.heard_ms + quiet
+                matches!(m.state, MachineState::Ready | MachineState::Registering)
+                    && now > m.last_heard_ms + quiet
                     && now > m.probed_ms + quiet
-                    && !m.calling
+                    && !m.command_in_flight
             })
             .map(|(ix, _)| ix)
-            .filter(|ix| self.post_route(*ix).is_none())
+            .filter(|ix| self.mailbox_route(*ix).is_none())
             .collect();
         for ix in due {
             self.inspect(ix);
@@ -1050,49 +1078,52 @@
     }
 
     /// Presumes silent machines empty once their leases must have run out.
-    pub(crate) fn presume_silent(&mut self) {
-        let base = in_epoch(self.epoch(), 0);
-        let (silence, inheritance) = (self.cfg.silence_ms(), self.cfg.inheritance_ms());
+    pub(crate) fn expire_silent_leases(&mut self) {
+        let base = scoped_to_epoch(self.epoch(), 0);
+        let (silence, inheritance) = (
+            self.context.config.lease_expiry_ms(),
+            self.context.config.inherited_lease_expiry_ms(),
+        );
         // Up to when it is proven that no other controller keeps workers alive.
-        let unkept = self.unkept_ms();
+        let unkept = self.unproxied_until_ms();
         for ix in self.machines.indexes() {
             let Some(m) = self.machines.get(ix) else { continue };
             let told = m.answered_ms.unwrap_or(0);
             let presumable = match m.state {
-                MachineState::Presumed | MachineState::Gone => false,
+                MachineState::LeaseExpired | MachineState::Terminated => false,
                 // It takes no other token than ours: its lease hangs on our answers.
                 // Nor was it kept alive for us: that is known up to `unkept`.
-                _ if m.token_seen >= base => unkept >= told.max(m.heard_ms) + silence,
+                _ if m.acknowledged_token >= base => unkept >= told.max(m.last_heard_ms) + silence,
                 // A former owner may have kept it alive until its horizon.
                 _ => unkept >= self.epoch_began_ms + inheritance && unkept >= told + silence,
             };
             let holds = !m.unproven.is_empty() || !m.tasks.is_empty();
             let leaving = m.state == MachineState::Returning;
-            if !presumable || !holds && (leaving || m.state == MachineState::Unheard) {
+            if !presumable || !holds && (leaving || m.state == MachineState::Provisioning) {
                 continue;
             }
             tracing::info!(machine = %m.name, leaving, "silent past its lease: presumed empty");
             match leaving {
                 // Whatever becomes of its return, nothing is on it.
-                true => self.emptied(ix),
-                false => self.machine_to(ix, MachineState::Presumed),
+                true => self.on_machine_empty(ix),
+                false => self.set_machine_state(ix, MachineState::LeaseExpired),
             }
         }
     }
 
     fn zone_ix(&self, zone: &str) -> Option<u16> {
-        self.cfg.platform.params.zones.iter().position(|z| z == zone).map(|z| z as u16)
+        self.context.config.platform.params.zones.iter().position(|z| z == zone).map(|z| z as u16)
     }
 }
 
 /// A report that no worker would send is refused before it changes anything.
-pub(crate) fn sane(r: &Report) -> bool {
+pub(crate) fn is_plausible(r: &Heartbeat) -> bool {
     let short = |s: &str| !s.is_empty() && s.len() <= 128;
     short(&r.machine)
         && r.addr.parse::<SocketAddr>().is_ok()
         && short(&r.kind)
         && short(&r.zone)
-        && r.tenure > 0
-        && r.notice_s.is_none_or(|s| (0.0..1e9).contains(&s))
+        && r.agent_epoch > 0
+        && r.interruption_notice_s.is_none_or(|s| (0.0..1e9).contains(&s))
         && r.tasks.iter().all(|t| short(&t.task))
 }
