--- a/crates/core/src/cloud.rs
+++ b/crates/core/src/fleet/provisioning.rs
@@ -3,39 +3,39 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use quartzgate_wire::msg::{
-    CloudStatus, HireRequest, JobSpec, MachineList, MachineNames, Rank, Shape,
+    CloudStatus, JobKind, JobSpec, MachineList, MachineNames, Priority, ProvisionRequest,
 };
 use quartzgate_wire::{from_cbor, to_cbor};
 
-use crate::budget::Budget;
 use crate::config::Config;
-use crate::controller::{Controller, Pending};
-use crate::ids::MachineIx;
+use crate::controller::{Controller, InFlight};
+use crate::fleet::machines::{Machine, MachineState, Resources};
+use crate::ids::MachineIndex;
 use crate::jobs::{Job, JobState, TaskState};
-use crate::machines::{Machine, MachineState, Room};
+use crate::storage::rate_limiter::RateLimiter;
 use crate::{Outcome, Peer};
 
 /// A machine that was rented and has not reported yet.
 #[derive(Clone, Debug)]
-struct Coming {
+struct PendingProvision {
     kind: String,
     zone: Option<u16>,
     spot: bool,
     since_ms: u64,
 }
 
-pub(crate) struct Cloud {
-    calls: Budget,
+pub(crate) struct Provisioner {
+    calls: RateLimiter,
     list_at_ms: u64,
     listed_once: bool,
     listing: bool,
-    coming: BTreeMap<String, Coming>,
+    coming: BTreeMap<String, PendingProvision>,
     /// Types, zones and kinds that were refused, and until when they are left alone.
     refused: BTreeMap<(String, u16, bool), u64>,
     hires: u64,
     hiring: usize,
     asked: BTreeMap<(String, u16, bool), u32>,
-    returning: Vec<MachineIx>,
+    returning: Vec<MachineIndex>,
     /// Names on the list that is being read, and on the last one read whole.
     reading: BTreeSet<String>,
     listed: Option<BTreeSet<String>>,
@@ -52,10 +52,10 @@
 /// Machines that take longer than this many boot times are given up.
 const BOOT_PATIENCE: f64 = 3.5;
 
-impl Cloud {
+impl Provisioner {
     pub fn new(cfg: &Config) -> Self {
-        Cloud {
-            calls: Budget::new(cfg.platform.params.cloud.rps * 0.8),
+        Provisioner {
+            calls: RateLimiter::new(cfg.platform.params.cloud.rps * 0.8),
             list_at_ms: 0,
             listed_once: false,
             listing: false,
@@ -94,20 +94,20 @@
 }
 
 impl Place {
-    fn room(&self) -> Room {
+    fn resources(&self) -> Resources {
         let [cpus, gpus, memory_gb] = self.room.map(|r| r as f64 / 1000.0);
-        Room { cpus, gpus, memory_gb }
+        Resources { cpus, gpus, memory_gb }
     }
 
     /// The same machine with so many tasks more on it.
-    fn with(&self, need: &Room, tasks: u32) -> Place {
-        let mut room = self.room();
+    fn with(&self, need: &Resources, tasks: u32) -> Place {
+        let mut room = self.resources();
         room.add(need, -f64::from(tasks));
         Place { room: thousandths(&room), ..self.clone() }
     }
 }
 
-fn thousandths(room: &Room) -> [i64; 3] {
+fn thousandths(room: &Resources) -> [i64; 3] {
     [room.cpus, room.gpus, room.memory_gb].map(|r| (r * 1000.0).round() as i64)
 }
 
@@ -135,20 +135,22 @@
     }
 
     /// Tasks that fit where they may.
-    fn holds(&self, need: &Room, may: impl Fn(&Place) -> bool) -> u32 {
+    fn holds(&self, need: &Resources, may: impl Fn(&Place) -> bool) -> u32 {
         let places = self.places.iter().filter(|(p, _)| may(p));
-        places.map(|(p, n)| p.room().holds(need).saturating_mul(*n)).fold(0, u32::saturating_add)
+        places
+            .map(|(p, n)| p.resources().holds(need).saturating_mul(*n))
+            .fold(0, u32::saturating_add)
     }
 
     /// Places as many of these tasks as fit; how many do not.
-    fn fill(&mut self, need: &Room, mut tasks: u32, may: impl Fn(&Place) -> bool) -> u32 {
+    fn fill(&mut self, need: &Resources, mut tasks: u32, may: impl Fn(&Place) -> bool) -> u32 {
         if tasks == 0 {
             return 0;
         }
-        let fit = self.places.iter().filter(|(p, _)| may(p) && p.room().fits(need));
+        let fit = self.places.iter().filter(|(p, _)| may(p) && p.resources().fits(need));
         let found: Vec<(Place, u32)> = fit.map(|(p, n)| (p.clone(), *n)).collect();
         for (place, machines) in found {
-            let holds = place.room().holds(need).max(1);
+            let holds = place.resources().holds(need).max(1);
             let full = (tasks / holds).min(machines);
             self.take(&place, full, need, holds);
             tasks -= full * holds;
@@ -164,41 +166,42 @@
     }
 
     /// So many machines take so many tasks each.
-    fn take(&mut self, place: &Place, machines: u32, need: &Room, tasks: u32) {
+    fn take(&mut self, place: &Place, machines: u32, need: &Resources, tasks: u32) {
         self.remove(place, machines);
         self.add(place.with(need, tasks), machines);
     }
 }
 
 impl Controller {
-    pub(crate) fn tick_cloud(&mut self) {
-        let now = self.now.steady_ms;
-        let lag = (self.cfg.platform.params.cloud.list_lag_s * 1000.0) as u64;
-        if now >= self.cloud.list_at_ms && !self.cloud.listing {
-            self.cloud.list_at_ms = now + lag.max(2 * self.cfg.report_ms());
+    pub(crate) fn tick_provisioning(&mut self) {
+        let now = self.context.now.steady_ms;
+        let lag = (self.context.config.platform.params.cloud.list_lag_s * 1000.0) as u64;
+        if now >= self.provisioner.list_at_ms && !self.provisioner.listing {
+            self.provisioner.list_at_ms =
+                now + lag.max(2 * self.context.config.heartbeat_interval_ms());
             self.list_machines(None);
         }
-        self.return_idle();
-        self.hire();
-        self.send_returns();
+        self.release_idle();
+        self.provision();
+        self.send_releases();
     }
 
     pub(crate) fn list_machines(&mut self, since: Option<String>) {
         let mut target = "/machines?most=500".to_string();
         match &since {
             Some(s) => target.push_str(&format!("&since={s}")),
-            None => self.cloud.reading_ms = self.now.steady_ms,
+            None => self.provisioner.reading_ms = self.context.now.steady_ms,
         }
-        self.cloud.listing = true;
-        self.call(Peer::Cloud, "GET", target, Vec::new(), 2000, Pending::List { since });
+        self.provisioner.listing = true;
+        self.call(Peer::Cloud, "GET", target, Vec::new(), 2000, InFlight::List { since });
     }
 
     pub(crate) fn on_list(&mut self, since: Option<String>, outcome: Outcome) {
-        self.cloud.listing = false;
+        self.provisioner.listing = false;
         if since.is_none() {
-            self.cloud.reading.clear();
+            self.provisioner.reading.clear();
         }
-        if !self.commands_workers() {
+        if !self.may_command_workers() {
             return;
         }
         let Outcome::Answer(r) = outcome else { return };
@@ -206,52 +209,58 @@
             return;
         }
         let Ok(list) = from_cbor::<MachineList>(&r.body) else { return };
-        self.cloud.listed_once = true;
-        let now = self.now.steady_ms;
+        self.provisioner.listed_once = true;
+        let now = self.context.now.steady_ms;
         let last = list.machines.last().map(|m| m.name.clone());
         let mut failed = Vec::new();
         for l in list.machines {
-            self.cloud.reading.insert(l.name.clone());
+            self.provisioner.reading.insert(l.name.clone());
             let known = self.machines.find(&l.name);
             // The list lags: what we have returned may still be on it.
-            if known
-                .and_then(|ix| self.machines.get(ix))
-                .is_some_and(|m| matches!(m.state, MachineState::Gone | MachineState::Returning))
-            {
+            if known.and_then(|ix| self.machines.get(ix)).is_some_and(|m| {
+                matches!(m.state, MachineState::Terminated | MachineState::Returning)
+            }) {
                 continue;
             }
-            let zone =
-                self.cfg.platform.params.zones.iter().position(|z| *z == l.zone).map(|z| z as u16);
+            let zone = self
+                .context
+                .config
+                .platform
+                .params
+                .zones
+                .iter()
+                .position(|z| *z == l.zone)
+                .map(|z| z as u16);
             match l.status {
                 CloudStatus::Failed => {
                     let ix = self.machine(&l.name);
-                    self.cloud.coming.remove(&l.name);
+                    self.provisioner.coming.remove(&l.name);
                     tracing::info!(machine = %l.name, "the cloud lists it as failed");
                     failed.push(ix);
                 }
                 CloudStatus::Booting => {
-                    let patience = self.patience_ms(&l.kind);
+                    let patience = self.max_write_delay_ms(&l.kind);
                     let age = (l.age_s * 1000.0) as u64;
-                    self.cloud.coming.entry(l.name.clone()).or_insert(Coming {
+                    self.provisioner.coming.entry(l.name.clone()).or_insert(PendingProvision {
                         kind: l.kind,
                         zone,
                         spot: l.spot,
                         since_ms: now.saturating_sub(age),
                     });
                     if known.is_some_and(|ix| self.heard(ix)) {
-                        self.cloud.coming.remove(&l.name);
+                        self.provisioner.coming.remove(&l.name);
                     } else if age > patience {
                         tracing::info!(machine = %l.name, age_s = l.age_s, "never came up");
-                        self.cloud.coming.remove(&l.name);
+                        self.provisioner.coming.remove(&l.name);
                         let ix = self.machine(&l.name);
-                        self.begin_return(ix);
+                        self.begin_release(ix);
                     }
                 }
                 CloudStatus::Running => {
                     let ix = self.machine(&l.name);
                     let Some(m) = self.machines.get_mut(ix) else { continue };
                     m.listed = true;
-                    let unheard = m.heard_ms == 0;
+                    let unheard = m.last_heard_ms == 0;
                     if m.addr.is_none() {
                         m.addr = l.addr.parse().ok();
                     }
@@ -260,28 +269,29 @@
                         m.zone = zone;
                         m.spot = l.spot;
                     }
-                    let quiet = now >= m.probed_ms + 2 * self.cfg.report_ms();
+                    let quiet =
+                        now >= m.probed_ms + 2 * self.context.config.heartbeat_interval_ms();
                     if unheard && quiet {
                         self.inspect(ix);
                     }
                     if !unheard {
-                        self.cloud.coming.remove(&l.name);
+                        self.provisioner.coming.remove(&l.name);
                     }
                 }
             }
         }
         for ix in failed {
             // It has stopped: nothing is on it. Deleting it tidies the list.
-            if self.machines.get(ix).is_some_and(|m| m.state != MachineState::Gone) {
-                self.machine_to(ix, MachineState::Presumed);
-                self.begin_return(ix);
+            if self.machines.get(ix).is_some_and(|m| m.state != MachineState::Terminated) {
+                self.set_machine_state(ix, MachineState::LeaseExpired);
+                self.begin_release(ix);
             }
         }
         if list.more {
             return self.list_machines(last);
         }
-        self.cloud.listed = Some(std::mem::take(&mut self.cloud.reading));
-        self.cloud.listed_ms = self.cloud.reading_ms;
+        self.provisioner.listed = Some(std::mem::take(&mut self.provisioner.reading));
+        self.provisioner.listed_ms = self.provisioner.reading_ms;
     }
 
     /// The last list that was read whole does not show it, and describes a moment at
@@ -290,20 +300,20 @@
     /// we have known the machine for longer than a list can lag. Any other machine may
     /// be up and full of work without being listed.
     pub(crate) fn unlisted(&self, m: &Machine) -> bool {
-        let Some(list) = &self.cloud.listed else { return false };
-        let lag_ms = (2000.0 * self.cfg.platform.params.cloud.list_lag_s) as u64;
+        let Some(list) = &self.provisioner.listed else { return false };
+        let lag_ms = (2000.0 * self.context.config.platform.params.cloud.list_lag_s) as u64;
         let later = list.last().is_some_and(|last| *last > m.name);
-        let known = self.cloud.listed_ms >= m.since_ms + lag_ms;
+        let known = self.provisioner.listed_ms >= m.since_ms + lag_ms;
         (later || known) && !list.contains(&m.name)
     }
 
-    fn heard(&self, ix: MachineIx) -> bool {
-        self.machines.get(ix).is_some_and(|m| m.heard_ms > 0)
+    fn heard(&self, ix: MachineIndex) -> bool {
+        self.machines.get(ix).is_some_and(|m| m.last_heard_ms > 0)
     }
 
     /// Age past which a machine that has not come up is given up.
-    fn patience_ms(&self, kind: &str) -> u64 {
-        (self.boot_ms(kind) as f64 * BOOT_PATIENCE) as u64 + self.cfg.lease_ms()
+    fn max_write_delay_ms(&self, kind: &str) -> u64 {
+        (self.boot_ms(kind) as f64 * BOOT_PATIENCE) as u64 + self.context.config.lease_ms()
     }
 
     /// How long a machine may be idle before it goes back: the longer, the less it
@@ -312,7 +322,7 @@
         let stay_ms = (self.boot_ms(kind) as f64).max(MIN_CHARGE_S * 1000.0);
         let t = self.types.iter().find(|t| t.name == kind && spot && t.spot_price > 0.0);
         let cheaper = t.map_or(1.0, |t| (t.price / t.spot_price).max(1.0));
-        self.cfg.operator.idle_ratio * stay_ms * cheaper
+        self.context.config.operator.idle_ratio * stay_ms * cheaper
     }
 
     fn boot_ms(&self, kind: &str) -> u64 {
@@ -321,41 +331,41 @@
     }
 
     /// Sends a machine back; its tasks are gone once the cloud has said so.
-    pub(crate) fn begin_return(&mut self, ix: MachineIx) {
+    pub(crate) fn begin_release(&mut self, ix: MachineIndex) {
         let state = self.machines.get(ix).map(|m| m.state);
-        let under_way = matches!(state, Some(MachineState::Returning | MachineState::Gone));
-        if !under_way && !self.cloud.returning.contains(&ix) {
-            self.machine_to(ix, MachineState::Returning);
-            self.cloud.returning.push(ix);
+        let under_way = matches!(state, Some(MachineState::Returning | MachineState::Terminated));
+        if !under_way && !self.provisioner.returning.contains(&ix) {
+            self.set_machine_state(ix, MachineState::Returning);
+            self.provisioner.returning.push(ix);
         }
     }
 
-    fn send_returns(&mut self) {
-        let now = self.now.steady_ms;
-        if self.cloud.returning.is_empty() || !self.cloud.calls.take(now, 1.0, 0.2) {
+    fn send_releases(&mut self) {
+        let now = self.context.now.steady_ms;
+        if self.provisioner.returning.is_empty() || !self.provisioner.calls.take(now, 1.0, 0.2) {
             return;
         }
-        let all = std::mem::take(&mut self.cloud.returning);
+        let all = std::mem::take(&mut self.provisioner.returning);
         let (go, rest) = all.split_at(all.len().min(RETURN_MOST));
-        self.cloud.returning = rest.to_vec();
+        self.provisioner.returning = rest.to_vec();
         let names: Vec<String> =
             go.iter().filter_map(|ix| self.machines.get(*ix)).map(|m| m.name.clone()).collect();
         tracing::info!(machines = ?names, "returning");
         let body = to_cbor(&MachineNames { machines: names });
-        let pending = Pending::Return { machines: go.to_vec(), epoch: self.epoch() };
+        let pending = InFlight::Return { machines: go.to_vec(), epoch: self.epoch() };
         self.call(Peer::Cloud, "POST", "/machines/return".into(), body, 3000, pending);
     }
 
-    pub(crate) fn on_return(&mut self, machines: Vec<MachineIx>, outcome: Outcome) {
+    pub(crate) fn on_released(&mut self, machines: Vec<MachineIndex>, outcome: Outcome) {
         let done = matches!(&outcome, Outcome::Answer(r) if r.status == 200);
         for ix in machines {
             if done {
                 let name = self.machines.get(ix).map(|m| m.name.clone()).unwrap_or_default();
-                self.cloud.coming.remove(&name);
-                self.machine_to(ix, MachineState::Gone);
-            } else if !self.cloud.returning.contains(&ix) {
+                self.provisioner.coming.remove(&name);
+                self.set_machine_state(ix, MachineState::Terminated);
+            } else if !self.provisioner.returning.contains(&ix) {
                 // Perhaps executed: asked again until the cloud confirms.
-                self.cloud.returning.push(ix);
+                self.provisioner.returning.push(ix);
             }
         }
     }
@@ -365,7 +375,7 @@
         let mut free = Pool::default();
         for (_, m) in self.machines.iter().filter(|(_, m)| m.usable()) {
             // What the lowest priority uses makes way.
-            let mut room = self.free_room(m);
+            let mut room = self.free_resources(m);
             room.add(&m.low(), 1.0);
             let room = thousandths(&room);
             free.add(Place { kind: m.kind.clone(), zone: m.zone, spot: m.spot, room }, 1);
@@ -376,10 +386,10 @@
                 free.add(Place { kind: kind.clone(), zone, spot, room }, machines);
             }
         };
-        for c in self.cloud.coming.values() {
+        for c in self.provisioner.coming.values() {
             coming(&c.kind, c.zone, c.spot, 1);
         }
-        for ((kind, zone, spot), n) in &self.cloud.asked {
+        for ((kind, zone, spot), n) in &self.provisioner.asked {
             coming(kind, Some(*zone), *spot, *n);
         }
         free
@@ -392,7 +402,7 @@
     }
 
     /// Scarce GPUs are neither hired nor counted on for work that needs none.
-    fn misuses_gpus(&self, spec: &JobSpec, all: &Room) -> bool {
+    fn misuses_gpus(&self, spec: &JobSpec, all: &Resources) -> bool {
         all.gpus > 0.0 && spec.gpus <= 0.0 && self.ratios.gpus_scarce()
     }
 
@@ -401,12 +411,12 @@
         let mut free = self.pool();
         let mut jobs: Vec<_> =
             self.jobs.iter().filter(|(_, j)| j.state == JobState::Live).collect();
-        jobs.sort_by_key(|(ix, j)| (std::cmp::Reverse(j.rank), *ix));
+        jobs.sort_by_key(|(ix, j)| (std::cmp::Reverse(j.priority), *ix));
         let mut out = Vec::new();
         let mut extra: Vec<f64> = vec![0.0; self.teams.len()];
         for (_, job) in jobs {
-            if job.spec.shape == Shape::Gang {
-                if job.mistaken() {
+            if job.spec.shape == JobKind::Gang {
+                if job.failing_everywhere() {
                     continue;
                 }
                 out.extend(self.unmet_gang(job, &mut free));
@@ -414,14 +424,14 @@
             }
             let dealt = job.tasks().filter(|(_, t)| t.state == TaskState::Waiting).count() as u32;
             let known: u32 =
-                job.tasks().filter(|(_, t)| t.state != TaskState::Undealt).count() as u32;
+                job.tasks().filter(|(_, t)| t.state != TaskState::Unplaced).count() as u32;
             let folded: u32 =
                 job.done_chunks.iter().flat_map(|(a, b)| *a..=*b).map(|c| job.chunk_len(c)).sum();
             let undealt = job.spec.tasks.saturating_sub(known + folded);
             // No more than the team's limit lets run.
-            let limit = self.cfg.platform.params.teams[job.team].cpus_max;
+            let limit = self.context.config.platform.params.teams[job.team].cpus_max;
             let allowed = if limit > 0.0 {
-                let left = limit - self.teams[job.team].licensed.cpus - extra[job.team];
+                let left = limit - self.teams[job.team].reserved.cpus - extra[job.team];
                 (left / job.spec.cpus.max(1e-9)).max(0.0) as u32
             } else {
                 u32::MAX
@@ -430,10 +440,10 @@
             extra[job.team] += f64::from(undealt) * job.spec.cpus;
             let mut wanting = job.asking(dealt + undealt);
             // Guests use what is spare: nothing is hired for them while some of it runs.
-            if self.guest(job) {
+            if self.is_best_effort(job) {
                 wanting = wanting.min(u32::from(job.bound == 0));
             }
-            let need = job.room();
+            let need = job.resources();
             if job.spec.spread {
                 out.extend(self.unmet_spread(job, wanting, &mut free));
                 continue;
@@ -452,8 +462,8 @@
 
     /// Demand of a job that is spread: each zone takes no more than the half.
     fn unmet_spread(&self, job: &Job, wanting: u32, free: &mut Pool) -> Vec<Unmet> {
-        let zones = &self.cfg.platform.params.zones;
-        let need = job.room();
+        let zones = &self.context.config.platform.params.zones;
+        let need = job.resources();
         let most = job.spec.tasks.div_ceil(2);
         let mut counts = vec![0u32; zones.len()];
         for (_, t) in job.tasks().filter(|(_, t)| t.state.machine().is_some()) {
@@ -466,7 +476,7 @@
             let fits = |p: &&Place| {
                 p.zone.is_some_and(|z| counts[z as usize] < most)
                     && self.may_place(&job.spec, p)
-                    && p.room().fits(&need)
+                    && p.resources().fits(&need)
             };
             let place = free.places.keys().filter(fits);
             let place = place.min_by_key(|p| p.zone.map_or(0, |z| counts[z as usize])).cloned();
@@ -497,8 +507,8 @@
         if job.on > 0 || job.tasks().any(|(_, t)| t.state.machine().is_some()) {
             return None;
         }
-        let need = job.room();
-        let zones = self.cfg.platform.params.zones.len() as u16;
+        let need = job.resources();
+        let zones = self.context.config.platform.params.zones.len() as u16;
         let choices: Vec<Option<u16>> =
             if job.spec.together { (0..zones).map(Some).collect() } else { vec![None] };
         let fits = |zone: Option<u16>, place: &Place| {
@@ -506,7 +516,7 @@
         };
         let allowed = |zone: &Option<u16>| {
             zone.is_none_or(|z| {
-                let name = &self.cfg.platform.params.zones[z as usize];
+                let name = &self.context.config.platform.params.zones[z as usize];
                 job.spec.zone.as_ref().is_none_or(|want| want == name)
             })
         };
@@ -515,7 +525,7 @@
         let wanting = free.fill(&need, job.spec.tasks, |p| fits(zone, p));
         let mut spec = job.spec.clone();
         if let Some(z) = zone {
-            spec.zone = Some(self.cfg.platform.params.zones[z as usize].clone());
+            spec.zone = Some(self.context.config.platform.params.zones[z as usize].clone());
         }
         (wanting > 0).then_some(Unmet { spec, tasks: wanting })
     }
@@ -526,39 +536,42 @@
         let largest = self.production().max_by(|a, b| a.spec.cpus.total_cmp(&b.spec.cpus))?;
         let have = free.holds(&need, |place| self.may_place(&largest.spec, place));
         // Work of lower priority makes room when production needs it.
-        let yielding: u32 = self
+        let preemptible_for: u32 = self
             .machines
             .iter()
             .filter(|(_, m)| m.usable() && !m.spot)
             .flat_map(|(_, m)| m.tasks.keys())
-            .filter(|k| self.jobs.get(k.job).is_some_and(|j| j.rank < Rank::Production))
+            .filter(|k| self.jobs.get(k.job).is_some_and(|j| j.priority < Priority::Production))
             .count() as u32;
-        let short = wanted.saturating_sub(have.saturating_add(yielding));
+        let short = wanted.saturating_sub(have.saturating_add(preemptible_for));
         (short > 0).then(|| Unmet { spec: largest.spec.clone(), tasks: short })
     }
 
-    fn hire(&mut self) {
-        if self.types.is_empty() || !self.commands_workers() || self.cloud.hiring >= 4 {
+    fn provision(&mut self) {
+        if self.types.is_empty() || !self.may_command_workers() || self.provisioner.hiring >= 4 {
             return;
         }
-        let now = self.now.steady_ms;
+        let now = self.context.now.steady_ms;
         // What runs already is heard of first.
         let unheard = self.machines.iter().any(|(_, m)| {
-            m.heard_ms == 0 && matches!(m.state, MachineState::Unheard) && m.addr.is_some()
+            m.last_heard_ms == 0
+                && matches!(m.state, MachineState::Provisioning)
+                && m.addr.is_some()
         });
-        let early = now < self.epoch_began_ms + 2 * self.cfg.report_ms();
-        if !self.cloud.listed_once || early && unheard {
+        let early = now < self.epoch_began_ms + 2 * self.context.config.heartbeat_interval_ms();
+        if !self.provisioner.listed_once || early && unheard {
             return;
         }
-        self.cloud.refused.retain(|_, until| *until > now);
-        let zones = self.cfg.platform.params.zones.clone();
+        self.provisioner.refused.retain(|_, until| *until > now);
+        let zones = self.context.config.platform.params.zones.clone();
         let mut wants: BTreeMap<(String, u16, bool), f64> = BTreeMap::new();
         for u in self.unmet() {
-            let need = Room { cpus: u.spec.cpus, gpus: u.spec.gpus, memory_gb: u.spec.memory_gb };
+            let need =
+                Resources { cpus: u.spec.cpus, gpus: u.spec.gpus, memory_gb: u.spec.memory_gb };
             let left = f64::from(u.tasks);
             let mut best: Vec<(f64, (String, u16, bool), u32)> = Vec::new();
             for t in &self.types {
-                let all = Room { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb };
+                let all = Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb };
                 let holds = all.holds(&need);
                 if holds == 0 || self.misuses_gpus(&u.spec, &all) {
                     continue;
@@ -570,7 +583,7 @@
                     for spot in [true, false] {
                         let key = (t.name.clone(), z as u16, spot);
                         if !self.allows(&u.spec, &t.name, Some(z as u16), spot)
-                            || self.cloud.refused.contains_key(&key)
+                            || self.provisioner.refused.contains_key(&key)
                             || spot && t.spot_price <= 0.0
                         {
                             continue;
@@ -591,28 +604,28 @@
         }
         for ((kind, zone, spot), machines) in wants {
             let count = (machines.ceil() as u32).min(HIRE_MOST);
-            if count == 0 || !self.cloud.calls.take(now, 1.0, 0.3) {
+            if count == 0 || !self.provisioner.calls.take(now, 1.0, 0.3) {
                 continue;
             }
-            self.cloud.hires += 1;
-            let name = format!("h-{}-{}", self.epoch(), self.cloud.hires);
-            tracing::info!(hire = %name, %kind, zone = %zones[zone as usize], spot, count, "hiring");
-            let body = to_cbor(&HireRequest {
-                hire: name.clone(),
+            self.provisioner.hires += 1;
+            let name = format!("h-{}-{}", self.epoch(), self.provisioner.hires);
+            tracing::info!(provision = %name, %kind, zone = %zones[zone as usize], spot, count, "hiring");
+            let body = to_cbor(&ProvisionRequest {
+                provision_id: name.clone(),
                 kind: kind.clone(),
                 zone: zones[zone as usize].clone(),
                 spot,
                 count,
             });
-            self.cloud.hiring += 1;
-            *self.cloud.asked.entry((kind.clone(), zone, spot)).or_default() += count;
+            self.provisioner.hiring += 1;
+            *self.provisioner.asked.entry((kind.clone(), zone, spot)).or_default() += count;
             let pending =
-                Pending::Hire { kind, zone, spot, wanted: count, name, epoch: self.epoch() };
+                InFlight::Hire { kind, zone, spot, wanted: count, name, epoch: self.epoch() };
             self.call(Peer::Cloud, "POST", "/machines".into(), body, 3000, pending);
         }
     }
 
-    pub(crate) fn on_hire(
+    pub(crate) fn on_provisioned(
         &mut self,
         kind: String,
         zone: u16,
@@ -621,10 +634,10 @@
         name: String,
         outcome: Outcome,
     ) {
-        let now = self.now.steady_ms;
-        self.cloud.hiring = self.cloud.hiring.saturating_sub(1);
+        let now = self.context.now.steady_ms;
+        self.provisioner.hiring = self.provisioner.hiring.saturating_sub(1);
         let key = (kind.clone(), zone, spot);
-        if let Some(n) = self.cloud.asked.get_mut(&key) {
+        if let Some(n) = self.provisioner.asked.get_mut(&key) {
             *n = n.saturating_sub(wanted);
         }
         let hired = match &outcome {
@@ -634,55 +647,56 @@
         let Some(hired) = hired else {
             // What a lost hire may still bring shows in the list.
             let pause = self.boot_ms(&kind) / 2;
-            tracing::info!(hire = %name, %kind, spot, "hire refused");
-            self.cloud.refused.insert(key, now + pause);
+            tracing::info!(provision = %name, %kind, spot, "hire refused");
+            self.provisioner.refused.insert(key, now + pause);
             return;
         };
-        tracing::info!(hire = %name, machines = ?hired.machines, "hired");
+        tracing::info!(provision = %name, machines = ?hired.machines, "hired");
         if (hired.machines.len() as u32) < wanted {
             let pause = self.boot_ms(&kind) / 2;
-            self.cloud.refused.insert(key, now + pause);
+            self.provisioner.refused.insert(key, now + pause);
         }
         for m in hired.machines {
             if self.machines.find(&m).is_some_and(|ix| self.heard(ix)) {
                 continue;
             }
-            let coming = Coming { kind: kind.clone(), zone: Some(zone), spot, since_ms: now };
-            self.cloud.coming.insert(m, coming);
+            let coming =
+                PendingProvision { kind: kind.clone(), zone: Some(zone), spot, since_ms: now };
+            self.provisioner.coming.insert(m, coming);
         }
     }
 
     /// Sends back what has long been idle, is faulty, or is of no use.
-    fn return_idle(&mut self) {
-        let now = self.now.steady_ms;
-        if now < self.epoch_began_ms + self.cfg.lease_ms() {
+    fn release_idle(&mut self) {
+        let now = self.context.now.steady_ms;
+        if now < self.epoch_began_ms + self.context.config.lease_ms() {
             return;
         }
         let heard: Vec<String> = self
-            .cloud
+            .provisioner
             .coming
             .keys()
             .filter(|n| self.machines.find(n).is_some_and(|ix| self.heard(ix)))
             .cloned()
             .collect();
         for name in heard {
-            self.cloud.coming.remove(&name);
+            self.provisioner.coming.remove(&name);
         }
         let stale: Vec<String> = self
-            .cloud
+            .provisioner
             .coming
             .iter()
-            .filter(|(_, c)| now > c.since_ms + self.patience_ms(&c.kind))
+            .filter(|(_, c)| now > c.since_ms + self.max_write_delay_ms(&c.kind))
             .map(|(n, _)| n.clone())
             .collect();
         for name in stale {
             tracing::info!(machine = %name, "never came up");
-            self.cloud.coming.remove(&name);
+            self.provisioner.coming.remove(&name);
             let ix = self.machine(&name);
-            self.begin_return(ix);
+            self.begin_release(ix);
         }
         // Production's warm room is not idle.
-        let mut keep = self.warm_needed();
+        let mut serve_by_proxy = self.warm_needed();
         for ix in self.machines.indexes() {
             let Some(m) = self.machines.get(ix) else { continue };
             let patience = self.idle_patience_ms(&m.kind, m.spot);
@@ -690,16 +704,18 @@
                 && m.tasks.is_empty()
                 && m.queue.is_empty()
                 && m.unproven.is_empty()
-                && !m.calling
+                && !m.command_in_flight
                 && now as f64 > m.idle_since_ms as f64 + patience;
             let faulty = m.condemned(now) && m.state == MachineState::Ready && m.tasks.is_empty();
-            let lost = m.state == MachineState::Presumed
-                && now > m.heard_ms.max(m.answered_ms.unwrap_or(0)) + 2 * self.cfg.silence_ms();
-            if m.recall_ms.is_some() && !lost {
+            let lost = m.state == MachineState::LeaseExpired
+                && now
+                    > m.last_heard_ms.max(m.answered_ms.unwrap_or(0))
+                        + 2 * self.context.config.lease_expiry_ms();
+            if m.interruption_at_ms.is_some() && !lost {
                 continue;
             }
             if idle && !faulty && !m.spot {
-                if let Some((need, left)) = keep.as_mut().filter(|(_, n)| *n > 0) {
+                if let Some((need, left)) = serve_by_proxy.as_mut().filter(|(_, n)| *n > 0) {
                     let holds = self.capacity_of(&m.kind).map_or(0, |c| c.holds(need));
                     *left = left.saturating_sub(holds);
                     continue;
@@ -707,16 +723,17 @@
             }
             if idle || faulty || lost {
                 tracing::info!(machine = %m.name, idle, faulty, lost, "giving back");
-                self.begin_return(ix);
+                self.begin_release(ix);
             }
         }
         // Machines that are gone and that nothing refers to need no memory.
         let long_gone = |m: &Machine| {
-            m.state == MachineState::Gone
+            m.state == MachineState::Terminated
                 && m.tasks.is_empty()
-                && now > m.heard_ms.max(m.since_ms) + 20 * self.cfg.silence_ms()
+                && now
+                    > m.last_heard_ms.max(m.since_ms) + 20 * self.context.config.lease_expiry_ms()
         };
-        let mut old: BTreeSet<MachineIx> =
+        let mut old: BTreeSet<MachineIndex> =
             self.machines.iter().filter(|(_, m)| long_gone(m)).map(|(ix, _)| ix).collect();
         if !old.is_empty() {
             for (_, t) in self.jobs.iter().flat_map(|(_, j)| j.tasks()) {
@@ -732,18 +749,18 @@
         self.jobs
             .iter()
             .map(|(_, j)| j)
-            .filter(|j| j.state == JobState::Live && j.spec.rank == Rank::Production)
+            .filter(|j| j.state == JobState::Live && j.spec.priority == Priority::Production)
     }
 
     /// Room of the largest production task, and how many such to keep warm.
-    fn warm_needed(&self) -> Option<(Room, u32)> {
+    fn warm_needed(&self) -> Option<(Resources, u32)> {
         let largest = self.production().max_by(|a, b| a.spec.cpus.total_cmp(&b.spec.cpus))?;
         let running: f64 = self.production().map(|j| f64::from(j.on)).sum();
-        let wanted = (running * self.cfg.operator.warm_share).ceil() as u32;
-        Some((largest.room(), wanted))
+        let wanted = (running * self.context.config.operator.warm_share).ceil() as u32;
+        Some((largest.resources(), wanted))
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/cloud.rs"]
+#[path = "../../tests/unit/cloud.rs"]
 mod tests;
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -2,15 +2,15 @@
 
 /// A job in memory, by order of arrival here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct JobIx(pub u32);
+pub struct JobIndex(pub u32);
 
 /// A machine in memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct MachineIx(pub u32);
+pub struct MachineIndex(pub u32);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskKey {
-    pub job: JobIx,
+    pub job: JobIndex,
     pub task: u32,
 }
 
@@ -30,7 +30,7 @@
 const COUNTER_BITS: u32 = 24;
 
 /// Token or attempt number: the epoch, then a counter that starts anew with it.
-pub fn in_epoch(epoch: u64, counter: u64) -> u64 {
+pub fn scoped_to_epoch(epoch: u64, counter: u64) -> u64 {
     (epoch << COUNTER_BITS) | (counter & ((1 << COUNTER_BITS) - 1))
 }
 
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -1,33 +1,35 @@
 //! Jobs and tasks in the leader's memory, and the one function that changes a
 //! task's state.
 
+pub(crate) mod dependencies;
+
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use quartzgate_wire::msg::{JobAnswer, JobSpec, JobStatus, Rank, Shape, TaskStatus};
+use quartzgate_wire::msg::{JobAnswer, JobKind, JobSpec, JobStatus, Priority, TaskStatus};
 
-use crate::blame::Trust;
-use crate::chains::Due;
 use crate::controller::Controller;
-use crate::deal::OPEN_CHUNKS;
-use crate::ids::{ImageKey, JobIx, MachineIx, TaskKey};
-use crate::machines::{MachineState, Room};
-use crate::records::{ranges, ProbeSet, RecordedStatus, ShareRecord, CHUNK};
+use crate::fleet::fault_attribution::JobHealth;
+use crate::fleet::machines::{MachineState, Resources};
+use crate::ids::{ImageKey, JobIndex, MachineIndex, TaskKey};
+use crate::jobs::dependencies::Deadline;
+use crate::placement::placer::MAX_OPEN_CHUNKS;
+use crate::storage::records::{ranges, PlacementRecord, ProbeSet, RecordedStatus, TASKS_PER_CHUNK};
 
 /// Where a task stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TaskState {
     /// Not dealt: in no share, on no machine.
-    Undealt,
+    Unplaced,
     /// Dealt and provably on no machine: may be bound.
     Waiting,
     /// May be on a machine where an earlier owner could have started it.
     Unproven,
     /// Bound: its start has been ordered, or is about to be.
-    Starting { machine: MachineIx, attempt: u64 },
+    Starting { machine: MachineIndex, attempt: u64 },
     /// Reported by its machine.
-    On { machine: MachineIx, attempt: u64, status: TaskStatus, since_ms: u64 },
+    On { machine: MachineIndex, attempt: u64, status: TaskStatus, since_ms: u64 },
     /// Told to stop, still on its machine.
-    Stopping { machine: MachineIx, attempt: u64, grace: bool },
+    Stopping { machine: MachineIndex, attempt: u64, grace: bool },
     /// Completed; on record once its chunk's record has reached this version.
     Done { version: u32 },
     /// Its job was aborted and it is provably on no machine.
@@ -36,7 +38,7 @@
 
 impl TaskState {
     /// Machine that the task occupies, as far as this owner knows.
-    pub fn machine(&self) -> Option<(MachineIx, u64)> {
+    pub fn machine(&self) -> Option<(MachineIndex, u64)> {
         match *self {
             TaskState::Starting { machine, attempt }
             | TaskState::On { machine, attempt, .. }
@@ -46,15 +48,15 @@
     }
 
     /// Counts against the team's limit: dealt, and not provably ended.
-    pub fn licensed(&self) -> bool {
-        !matches!(self, TaskState::Undealt | TaskState::Done { .. } | TaskState::Dropped)
+    pub fn reserved(&self) -> bool {
+        !matches!(self, TaskState::Unplaced | TaskState::Done { .. } | TaskState::Dropped)
     }
 }
 
 /// A machine that a task may be bound to once the record that names it stands.
 #[derive(Clone, Copy, Debug)]
 pub struct Probe {
-    pub machine: MachineIx,
+    pub machine: MachineIndex,
     /// The chunk's version from which on the record names this machine.
     pub version: u32,
     /// An earlier owner may have started the task here.
@@ -83,17 +85,17 @@
     /// A write or a read of the record is under way.
     pub busy: bool,
     /// Waiting tasks were given machines that the record does not name yet.
-    pub pressing: bool,
+    pub blocks_starts: bool,
     /// Version of the newest record sent, and of the newest known to stand.
     pub version: u32,
     pub acked: u32,
-    pub stamp: u64,
+    pub revision: u64,
     /// Keys over which the record that stands is spread, all with this stamp.
     pub pieces: u32,
     /// The record that stands is within the job's own; there are no keys and no stamp.
     pub inline: bool,
     /// The record is too large to be written; it is not tried again before then.
-    pub put_off_ms: u64,
+    pub deferred_until_ms: u64,
 }
 
 impl Chunk {
@@ -138,7 +140,7 @@
     pub image: ImageKey,
     pub team: usize,
     pub state: JobState,
-    pub stamp: u64,
+    pub revision: u64,
     pub at_ms: u64,
     /// Time of day from which on it could run: its acceptance, or the last end of those
     /// that it needs.
@@ -146,8 +148,8 @@
     /// Jobs that it needs and whose ends are not known to be on record.
     pub waits_on: BTreeSet<String>,
     /// Priority and deadline that it counts as having; see `chains.rs`.
-    pub rank: Rank,
-    pub due: Option<Due>,
+    pub priority: Priority,
+    pub due: Option<Deadline>,
     /// What it works towards is in danger unless it starts now, looked at each round.
     pub pressed: bool,
     pub chunks: BTreeMap<u32, Chunk>,
@@ -169,10 +171,10 @@
     /// First task that has not been dealt.
     pub next: u32,
     /// No machine could take a task of it: not dealt again before then.
-    pub deal_from_ms: u64,
+    pub placement_from_ms: u64,
     /// Machines on which a task of it failed.
-    pub errors_on: Vec<MachineIx>,
-    pub trust: Trust,
+    pub errors_on: Vec<MachineIndex>,
+    pub health: JobHealth,
     /// Trials since it was taken for mistaken, and when the next is due.
     pub trials: u32,
     pub trial_ms: u64,
@@ -180,7 +182,7 @@
     pub bound: u32,
     pub aborted_ms: u64,
     /// Its record was refused by the state service; it is not tried again before then.
-    pub put_off_ms: u64,
+    pub deferred_until_ms: u64,
     /// When its record was last read again.
     pub read_ms: u64,
     /// How many of its class's deadlines it has lost, looked at each report round.
@@ -190,14 +192,14 @@
 }
 
 impl Job {
-    pub fn room(&self) -> Room {
-        Room { cpus: self.spec.cpus, gpus: self.spec.gpus, memory_gb: self.spec.memory_gb }
+    pub fn resources(&self) -> Resources {
+        Resources { cpus: self.spec.cpus, gpus: self.spec.gpus, memory_gb: self.spec.memory_gb }
     }
 
     /// Share of its tasks' room that others may count on when it has this priority: a
     /// gang does not make way in part, unless it is of the lowest.
-    pub fn gives_way(&self, rank: Rank) -> f64 {
-        f64::from(u8::from(self.spec.shape != Shape::Gang || rank == Rank::Low))
+    pub fn gives_way(&self, priority: Priority) -> f64 {
+        f64::from(u8::from(self.spec.shape != JobKind::Gang || priority == Priority::Low))
     }
 
     /// Work that the job still needs, by its owner's estimate, in seconds.
@@ -206,19 +208,22 @@
     }
 
     pub fn task(&self, task: u32) -> Option<&Task> {
-        self.chunks.get(&(task / CHUNK))?.tasks.get((task % CHUNK) as usize)
+        self.chunks.get(&(task / TASKS_PER_CHUNK))?.tasks.get((task % TASKS_PER_CHUNK) as usize)
     }
 
     pub fn task_mut(&mut self, task: u32) -> Option<&mut Task> {
-        self.chunks.get_mut(&(task / CHUNK))?.tasks.get_mut((task % CHUNK) as usize)
+        self.chunks
+            .get_mut(&(task / TASKS_PER_CHUNK))?
+            .tasks
+            .get_mut((task % TASKS_PER_CHUNK) as usize)
     }
 
     pub fn chunk_of(&mut self, task: u32) -> Option<&mut Chunk> {
-        self.chunks.get_mut(&(task / CHUNK))
+        self.chunks.get_mut(&(task / TASKS_PER_CHUNK))
     }
 
     pub fn in_done_chunk(&self, task: u32) -> bool {
-        let c = task / CHUNK;
+        let c = task / TASKS_PER_CHUNK;
         self.done_chunks.iter().any(|(a, b)| (*a..=*b).contains(&c))
     }
 
@@ -235,19 +240,19 @@
 
     pub fn tasks(&self) -> impl Iterator<Item = (u32, &Task)> {
         self.chunks.iter().flat_map(|(c, chunk)| {
-            chunk.tasks.iter().enumerate().map(move |(i, t)| (c * CHUNK + i as u32, t))
+            chunk.tasks.iter().enumerate().map(move |(i, t)| (c * TASKS_PER_CHUNK + i as u32, t))
         })
     }
 
     /// Number of tasks in a chunk.
     pub fn chunk_len(&self, chunk: u32) -> u32 {
-        (self.spec.tasks - chunk * CHUNK).min(CHUNK)
+        (self.spec.tasks - chunk * TASKS_PER_CHUNK).min(TASKS_PER_CHUNK)
     }
 
     /// Whether its next task may be dealt: its chunk is open, or another may be opened.
     pub fn may_open(&self) -> bool {
-        self.chunks.contains_key(&(self.next / CHUNK))
-            || self.chunks.values().filter(|c| !c.whole()).count() < OPEN_CHUNKS
+        self.chunks.contains_key(&(self.next / TASKS_PER_CHUNK))
+            || self.chunks.values().filter(|c| !c.whole()).count() < MAX_OPEN_CHUNKS
     }
 
     /// The chunks that are folded, once these are as well.
@@ -260,35 +265,35 @@
 
     /// How many chunks the job's tasks make.
     pub fn chunk_count(&self) -> u32 {
-        self.spec.tasks.div_ceil(CHUNK)
+        self.spec.tasks.div_ceil(TASKS_PER_CHUNK)
     }
 }
 
 #[derive(Default)]
 pub struct Jobs {
-    table: BTreeMap<JobIx, Job>,
-    by_id: HashMap<String, JobIx>,
+    table: BTreeMap<JobIndex, Job>,
+    by_id: HashMap<String, JobIndex>,
     next: u32,
 }
 
 impl Jobs {
-    pub fn get(&self, ix: JobIx) -> Option<&Job> {
+    pub fn get(&self, ix: JobIndex) -> Option<&Job> {
         self.table.get(&ix)
     }
 
-    pub fn get_mut(&mut self, ix: JobIx) -> Option<&mut Job> {
+    pub fn get_mut(&mut self, ix: JobIndex) -> Option<&mut Job> {
         self.table.get_mut(&ix)
     }
 
-    pub fn find(&self, id: &str) -> Option<JobIx> {
+    pub fn find(&self, id: &str) -> Option<JobIndex> {
         self.by_id.get(id).copied()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (JobIx, &Job)> {
+    pub fn iter(&self) -> impl Iterator<Item = (JobIndex, &Job)> {
         self.table.iter().map(|(ix, j)| (*ix, j))
     }
 
-    pub fn indexes(&self) -> Vec<JobIx> {
+    pub fn indexes(&self) -> Vec<JobIndex> {
         self.table.keys().copied().collect()
     }
 
@@ -296,15 +301,15 @@
         self.table.len()
     }
 
-    pub fn insert(&mut self, job: Job) -> JobIx {
-        let ix = JobIx(self.next);
+    pub fn insert(&mut self, job: Job) -> JobIndex {
+        let ix = JobIndex(self.next);
         self.next += 1;
         self.by_id.insert(job.id.clone(), ix);
         self.table.insert(ix, job);
         ix
     }
 
-    pub fn remove(&mut self, ix: JobIx) -> Option<Job> {
+    pub fn remove(&mut self, ix: JobIndex) -> Option<Job> {
         let job = self.table.remove(&ix)?;
         self.by_id.remove(&job.id);
         Some(job)
@@ -326,11 +331,11 @@
         spec: JobSpec,
         team: usize,
         state: JobState,
-        stamp: u64,
+        revision: u64,
         at_ms: u64,
     ) -> Job {
         let ratio = self.ratio_of(&spec);
-        let rank = spec.rank;
+        let priority = spec.priority;
         tracing::debug!(job = %spec.id, class = %spec.class, tasks = spec.tasks, "known");
         let mut job = Job {
             id: spec.id.clone(),
@@ -338,11 +343,11 @@
             spec,
             team,
             state,
-            stamp,
+            revision,
             at_ms,
             ready_ms: at_ms,
             waits_on: BTreeSet::new(),
-            rank,
+            priority,
             due: None,
             pressed: false,
             chunks: BTreeMap::new(),
@@ -356,15 +361,15 @@
             on: 0,
             waiting: 0,
             next: 0,
-            deal_from_ms: 0,
+            placement_from_ms: 0,
             errors_on: Vec::new(),
-            trust: Trust::Untried,
+            health: JobHealth::Untried,
             trials: 0,
             trial_ms: 0,
             bound: 0,
-            aborted_ms: self.now.steady_ms,
-            put_off_ms: 0,
-            read_ms: self.now.steady_ms,
+            aborted_ms: self.context.now.steady_ms,
+            deferred_until_ms: 0,
+            read_ms: self.context.now.steady_ms,
             lost: 0,
             ratio,
         };
@@ -377,12 +382,12 @@
             .map(|_| {
                 self.arrivals += 1;
                 Task {
-                    state: TaskState::Undealt,
+                    state: TaskState::Unplaced,
                     probes: Vec::new(),
                     zone: None,
                     slack: 0,
                     arrived: self.arrivals,
-                    since_ms: self.now.steady_ms,
+                    since_ms: self.context.now.steady_ms,
                     failures: 0,
                     not_before_ms: 0,
                 }
@@ -393,23 +398,24 @@
             dirty: false,
             dirty_ms: 0,
             busy: false,
-            pressing: false,
+            blocks_starts: false,
             version: 0,
             acked: 0,
-            stamp: 0,
+            revision: 0,
             pieces: 0,
             inline: false,
-            put_off_ms: 0,
+            deferred_until_ms: 0,
         }
     }
 
     /// The one function that changes a task's state. It keeps the machines' room,
     /// the teams' licences and the jobs' counts in step.
-    pub(crate) fn task_to(&mut self, key: TaskKey, state: TaskState) {
-        let now = self.now.steady_ms;
+    pub(crate) fn set_task_state(&mut self, key: TaskKey, state: TaskState) {
+        let now = self.context.now.steady_ms;
         let Some(job) = self.jobs.get_mut(key.job) else { return };
-        let (room, team) = (job.room(), job.team);
-        let (rank, yields) = (job.rank as usize, job.gives_way(job.rank));
+        let (room, team) = (job.resources(), job.team);
+        let (priority, preemptible_by_priority) =
+            (job.priority as usize, job.gives_way(job.priority));
         let Some(task) = job.task_mut(key.task) else { return };
         let old = std::mem::replace(&mut task.state, state);
         let moved = std::mem::discriminant(&old) != std::mem::discriminant(&state);
@@ -429,10 +435,10 @@
         job.done = job.done + u32::from(done(&state)) - u32::from(done(&old));
         let bound = |s: &TaskState| u32::from(s.machine().is_some());
         job.bound = job.bound + bound(&state) - bound(&old);
-        if old.licensed() != state.licensed() {
-            let sign = if state.licensed() { 1.0 } else { -1.0 };
-            self.teams[team].licensed.add(&room, sign);
-            self.deal_due = true;
+        if old.reserved() != state.reserved() {
+            let sign = if state.reserved() { 1.0 } else { -1.0 };
+            self.teams[team].reserved.add(&room, sign);
+            self.placement_due = true;
         }
         if old.machine() != state.machine() {
             if let Some((ix, _)) = old.machine() {
@@ -440,28 +446,28 @@
                 if let Some(m) = self.machines.get_mut(ix) {
                     m.tasks.remove(&key);
                     m.used.add(&room, -1.0);
-                    m.yields[rank].add(&room, -yields);
+                    m.preemptible_by_priority[priority].add(&room, -preemptible_by_priority);
                     if m.tasks.is_empty() {
-                        (m.used, m.yields) = Default::default();
+                        (m.used, m.preemptible_by_priority) = Default::default();
                         m.idle_since_ms = now;
                     }
                 }
-                self.touched.insert(ix);
+                self.machines_to_dispatch.insert(ix);
             }
             if let Some((ix, attempt)) = state.machine() {
                 self.teams[team].placed.add(&room, 1.0);
                 if let Some(m) = self.machines.get_mut(ix) {
                     m.tasks.insert(key, attempt);
                     m.used.add(&room, 1.0);
-                    m.yields[rank].add(&room, yields);
+                    m.preemptible_by_priority[priority].add(&room, preemptible_by_priority);
                 }
             }
         }
         if state == TaskState::Dropped {
-            self.store.touch_job(key.job);
+            self.record_writer.touch_job(key.job);
         }
         if done(&state) && !done(&old) {
-            self.trust_to(key.job, Trust::Proven);
+            self.set_job_health(key.job, JobHealth::Proven);
         }
         if waits(&state) && !waits(&old) {
             self.enqueue(key);
@@ -469,7 +475,7 @@
     }
 
     /// The one function that changes a job's state.
-    pub(crate) fn job_to(&mut self, ix: JobIx, state: JobState) {
+    pub(crate) fn set_job_state(&mut self, ix: JobIndex, state: JobState) {
         let Some(job) = self.jobs.get_mut(ix) else { return };
         // Nothing of it is dealt before all that it needs is done on record.
         let state = match state {
@@ -484,34 +490,34 @@
         match state {
             JobState::Aborted => {
                 tracing::info!(job = %job.id, "aborted");
-                self.absolve(ix);
+                self.clear_unattributed_failures(ix);
                 let Some(job) = self.jobs.get_mut(ix) else { return };
-                job.aborted_ms = self.now.steady_ms;
-                let idle = |s: TaskState| matches!(s, TaskState::Waiting | TaskState::Undealt);
+                job.aborted_ms = self.context.now.steady_ms;
+                let idle = |s: TaskState| matches!(s, TaskState::Waiting | TaskState::Unplaced);
                 let keys: Vec<u32> =
                     job.tasks().filter(|(_, t)| idle(t.state)).map(|(t, _)| t).collect();
                 for task in keys {
-                    self.task_to(TaskKey { job: ix, task }, TaskState::Dropped);
+                    self.set_task_state(TaskKey { job: ix, task }, TaskState::Dropped);
                 }
                 self.stop_tasks(ix);
-                self.remember_final(ix, RecordedStatus::Aborted);
+                self.remember_terminal_state(ix, RecordedStatus::Aborted);
                 self.unlink(ix);
             }
             JobState::Done => {
-                let age_ms = self.now.wall_ms.saturating_sub(job.at_ms);
+                let age_ms = self.context.now.wall_ms.saturating_sub(job.at_ms);
                 let (class, tasks, due_s) = (&job.spec.class, job.spec.tasks, job.spec.deadline_s);
-                let ready_ms = self.now.wall_ms.saturating_sub(job.ready_ms);
+                let ready_ms = self.context.now.wall_ms.saturating_sub(job.ready_ms);
                 tracing::debug!(job = %job.id, %class, tasks, age_ms, ready_ms, due_s, needs = ?job.spec.dependencies, "done");
-                self.remember_final(ix, RecordedStatus::Done);
+                self.remember_terminal_state(ix, RecordedStatus::Done);
             }
             // Whoever has asked to cancel needs none of its tasks, whatever becomes of the record.
             JobState::Doubtful => self.stop_tasks(ix),
             JobState::Live if old == JobState::Aborting => self.touch_all(),
             JobState::Live if old == JobState::Waiting => {
-                job.ready_ms = self.now.wall_ms;
-                job.read_ms = self.now.steady_ms;
-                self.store.touch_job(ix);
-                self.deal_due = true;
+                job.ready_ms = self.context.now.wall_ms;
+                job.read_ms = self.context.now.steady_ms;
+                self.record_writer.touch_job(ix);
+                self.placement_due = true;
                 self.preempt_due = true;
             }
             _ => {}
@@ -519,30 +525,30 @@
     }
 
     /// Tells the machines that hold tasks of a job, which is not to run any more.
-    fn stop_tasks(&mut self, ix: JobIx) {
+    fn stop_tasks(&mut self, ix: JobIndex) {
         let Some(job) = self.jobs.get(ix) else { return };
         let machines = job.tasks().filter_map(|(_, t)| t.state.machine()).map(|(m, _)| m);
-        self.needs_orders.extend(machines.collect::<Vec<_>>());
+        self.machines_to_command.extend(machines.collect::<Vec<_>>());
     }
 
-    fn remember_final(&mut self, ix: JobIx, status: RecordedStatus) {
+    fn remember_terminal_state(&mut self, ix: JobIndex, status: RecordedStatus) {
         if let Some(id) = self.jobs.get(ix).map(|j| j.id.clone()) {
-            self.learn_final(&id, status);
+            self.learn_terminal_state(&id, status);
         }
     }
 
     /// The record of a chunk as memory stands now; bumps the chunk's version.
-    pub(crate) fn share_record(&mut self, ix: JobIx, chunk: u32) -> Option<ShareRecord> {
+    pub(crate) fn placement_record(&mut self, ix: JobIndex, chunk: u32) -> Option<PlacementRecord> {
         let epoch = self.epoch();
-        let zones = &self.cfg.platform.params.zones;
+        let zones = &self.context.config.platform.params.zones;
         let job = self.jobs.get_mut(ix)?;
         let fixed = job.spec.spread || job.spec.together;
         let c = job.chunks.get_mut(&chunk)?;
         c.version += 1;
-        c.pressing = false;
-        let mut record = ShareRecord { epoch, ..Default::default() };
-        let first = chunk * CHUNK;
-        let mut names: BTreeMap<MachineIx, u32> = BTreeMap::new();
+        c.blocks_starts = false;
+        let mut record = PlacementRecord { epoch, ..Default::default() };
+        let first = chunk * TASKS_PER_CHUNK;
+        let mut names: BTreeMap<MachineIndex, u32> = BTreeMap::new();
         let done = c
             .tasks
             .iter()
@@ -551,7 +557,7 @@
             .map(|(i, _)| first + i as u32);
         record.done = ranges(done);
         for (i, task) in c.tasks.iter().enumerate() {
-            if !task.state.licensed() {
+            if !task.state.reserved() {
                 continue;
             }
             let n = first + i as u32;
@@ -559,7 +565,9 @@
             for p in &task.probes {
                 let known = self.machines.get(p.machine);
                 // What is gone holds nothing: the next owner need not look for it.
-                let Some(m) = known.filter(|m| m.state != MachineState::Gone) else { continue };
+                let Some(m) = known.filter(|m| m.state != MachineState::Terminated) else {
+                    continue;
+                };
                 let at = *names.entry(p.machine).or_insert_with(|| {
                     record.machines.push(m.name.clone());
                     record.machines.len() as u32 - 1
@@ -584,7 +592,7 @@
 
     /// A task has left its machine without being done: it waits again, or is gone
     /// with its job.
-    pub(crate) fn task_off(&mut self, key: TaskKey) {
+    pub(crate) fn return_to_queue(&mut self, key: TaskKey) {
         let Some(job) = self.jobs.get(key.job) else { return };
         let aborted = job.state == JobState::Aborted;
         let Some(task) = job.task(key.task) else { return };
@@ -595,7 +603,7 @@
         } else {
             TaskState::Waiting
         };
-        self.task_to(key, next);
+        self.set_task_state(key, next);
     }
 
     /// A task is done, wherever that was seen.
@@ -607,17 +615,17 @@
         let Some(chunk) = job.chunk_of(key.task) else { return };
         let version = chunk.version + 1;
         let seen = matches!(
-            chunk.tasks.get((key.task % CHUNK) as usize).map(|t| t.state),
+            chunk.tasks.get((key.task % TASKS_PER_CHUNK) as usize).map(|t| t.state),
             Some(TaskState::Done { .. }) | None
         );
         if seen {
             return;
         }
-        self.task_to(key, TaskState::Done { version });
-        self.mark_dirty(key.job, key.task / CHUNK);
+        self.set_task_state(key, TaskState::Done { version });
+        self.mark_dirty(key.job, key.task / TASKS_PER_CHUNK);
         let over = self.jobs.get(key.job).filter(|j| j.done >= j.spec.tasks);
-        if over.is_some_and(|j| self.chains.needed(&j.id)) {
-            self.store.hurry();
+        if over.is_some_and(|j| self.dependency_graph.needed(&j.id)) {
+            self.record_writer.hurry();
         }
     }
 }
--- a/crates/core/src/latency.rs
+++ b/crates/core/src/latency.rs
@@ -10,7 +10,7 @@
 
 /// What is timed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Span {
+pub(crate) enum LatencySpan {
     /// From a user's request to its answer.
     Submit,
     Poll,
@@ -23,13 +23,13 @@
     Write,
 }
 
-const SPANS: [(Span, &str); 6] = [
-    (Span::Submit, "submit"),
-    (Span::Poll, "poll"),
-    (Span::Abort, "abort"),
-    (Span::Start, "start"),
-    (Span::ChainStart, "chain_start"),
-    (Span::Write, "write"),
+const SPANS: [(LatencySpan, &str); 6] = [
+    (LatencySpan::Submit, "submit"),
+    (LatencySpan::Poll, "poll"),
+    (LatencySpan::Abort, "abort"),
+    (LatencySpan::Start, "start"),
+    (LatencySpan::ChainStart, "chain_start"),
+    (LatencySpan::Write, "write"),
 ];
 /// Longest time that is told apart from longer ones: an hour.
 const MOST_MS: u64 = 3_600_000;
@@ -38,7 +38,7 @@
 
 pub(crate) struct Latencies {
     spans: Vec<Histogram<u32>>,
-    open: HashMap<RequestId, (Span, u64)>,
+    open: HashMap<RequestId, (LatencySpan, u64)>,
 }
 
 impl Latencies {
@@ -48,11 +48,11 @@
         Latencies { spans: SPANS.iter().map(|_| one()).collect(), open: HashMap::new() }
     }
 
-    pub fn note(&mut self, span: Span, ms: u64) {
+    pub fn note(&mut self, span: LatencySpan, ms: u64) {
         self.spans[span as usize].saturating_record(ms);
     }
 
-    pub fn begin(&mut self, id: RequestId, span: Span, now_ms: u64) {
+    pub fn begin(&mut self, id: RequestId, span: LatencySpan, now_ms: u64) {
         if self.open.len() < OPEN_MOST {
             self.open.entry(id).or_insert((span, now_ms));
         }
@@ -75,7 +75,7 @@
     /// A task is seen on the machine that it was started on.
     pub(crate) fn note_start(&mut self, key: TaskKey) {
         let Some(job) = self.jobs.get(key.job) else { return };
-        let waited_ms = self.now.wall_ms.saturating_sub(job.ready_ms);
+        let waited_ms = self.context.now.wall_ms.saturating_sub(job.ready_ms);
         let first = job.on == 1 && job.done == 0;
         if first {
             let (class, tasks) = (&job.spec.class, job.spec.tasks);
@@ -83,16 +83,16 @@
         }
         let chained = first && !job.spec.dependencies.is_empty();
         if chained {
-            self.latencies.note(Span::ChainStart, waited_ms);
+            self.context.latencies.note(LatencySpan::ChainStart, waited_ms);
         }
-        self.latencies.note(Span::Start, waited_ms);
+        self.context.latencies.note(LatencySpan::Start, waited_ms);
     }
 
     /// Median, 95% and 99%, longest and number of each, in milliseconds.
     pub(crate) fn latency_figures(&self) -> Vec<(String, f64)> {
         let mut out = Vec::new();
         for (span, name) in SPANS {
-            let h = &self.latencies.spans[span as usize];
+            let h = &self.context.latencies.spans[span as usize];
             if h.is_empty() {
                 continue;
             }
--- a/crates/core/src/keeper.rs
+++ b/crates/core/src/lease_proxy/mod.rs
@@ -5,23 +5,27 @@
 //! guarded by the present view. The leader presumes no silent machine empty while a
 //! claim stands, nor for a lease's time after it has seen one go.
 
+pub(crate) mod mailbox;
+
 use std::collections::BTreeMap;
 
 use quartzgate_hearing::{Age, Copies};
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
-    Change, Guard, Order, Report, ReportAnswer, TaskStatus, Transaction, TransactionAnswer,
+    Change, Guard, Heartbeat, HeartbeatAnswer, Order, TaskStatus, Transaction, TransactionAnswer,
 };
 use quartzgate_wire::{from_cbor, to_cbor};
 
-use crate::controller::{Controller, Pending};
-use crate::ids::{epoch_of, in_epoch, parse_task};
-use crate::member::Role;
-use crate::records::{decode, encode, JobRecord, RecordedStatus, KEEPERS, VIEW};
+use crate::controller::{Controller, InFlight};
+use crate::ids::{epoch_of, parse_task, scoped_to_epoch};
+use crate::membership::Role;
+use crate::storage::records::{
+    decode, encode, JobRecord, RecordedStatus, EPOCH_KEY, LEASE_PROXY_PREFIX,
+};
 use crate::{Outcome, RequestId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Claim {
+enum ProxyClaim {
     None,
     Asking,
     /// Stands under this epoch's view.
@@ -38,8 +42,8 @@
     asked_ms: u64,
 }
 
-pub(crate) struct Keeper {
-    claim: Claim,
+pub(crate) struct LeaseProxy {
+    claim: ProxyClaim,
     retry_ms: u64,
     used_ms: u64,
     jobs: BTreeMap<String, Known>,
@@ -48,7 +52,7 @@
     /// When each kept machine's token was last raised.
     raised: BTreeMap<String, u64>,
     /// Reports that wait for the claim or for a read, and until when.
-    parked: Vec<(RequestId, Report, u64)>,
+    parked: Vec<(RequestId, Heartbeat, u64)>,
 }
 
 /// What became of a report that reached a controller which does not lead.
@@ -71,10 +75,10 @@
 /// Jobs that a keeper looks after at most.
 const JOBS_MOST: usize = 2_000;
 
-impl Keeper {
+impl LeaseProxy {
     pub fn new() -> Self {
-        Keeper {
-            claim: Claim::None,
+        LeaseProxy {
+            claim: ProxyClaim::None,
             retry_ms: 0,
             used_ms: 0,
             jobs: BTreeMap::new(),
@@ -87,44 +91,47 @@
 
 impl Controller {
     fn keeper_key(&self) -> String {
-        format!("{KEEPERS}{}", self.cfg.platform.node)
+        format!("{LEASE_PROXY_PREFIX}{}", self.context.config.platform.node)
     }
 
     /// The one function that changes where the claim stands.
-    fn claim_to(&mut self, claim: Claim) {
-        if self.keeper.claim != claim {
+    fn set_claim(&mut self, claim: ProxyClaim) {
+        if self.lease_proxy.claim != claim {
             match claim {
-                Claim::Standing { epoch } => {
+                ProxyClaim::Standing { epoch } => {
                     tracing::info!(epoch, "keeping workers that can't reach the leader")
                 }
-                Claim::None if matches!(self.keeper.claim, Claim::Standing { .. }) => {
-                    self.keeper.jobs.clear();
-                    self.keeper.raised.clear();
-                    self.clear_post()
+                ProxyClaim::None
+                    if matches!(self.lease_proxy.claim, ProxyClaim::Standing { .. }) =>
+                {
+                    self.lease_proxy.jobs.clear();
+                    self.lease_proxy.raised.clear();
+                    self.clear_mailbox()
                 }
                 _ => {}
             }
-            self.keeper.claim = claim;
+            self.lease_proxy.claim = claim;
         }
     }
 
     /// Takes a worker's report on the leader's behalf; false if it has to go elsewhere.
-    pub(crate) fn keep(&mut self, id: RequestId, report: &Report) -> bool {
-        if self.keeper.copies.len() >= MACHINES_MOST {
-            self.keeper.copies.clear();
+    pub(crate) fn serve_by_proxy(&mut self, id: RequestId, report: &Heartbeat) -> bool {
+        if self.lease_proxy.copies.len() >= MACHINES_MOST {
+            self.lease_proxy.copies.clear();
         }
-        let copies = self.keeper.copies.entry(report.machine.clone()).or_default();
+        let copies = self.lease_proxy.copies.entry(report.machine.clone()).or_default();
         // A copy needs no keeper: nothing is claimed, posted or raised for it.
-        if copies.report(report.tenure, report.seq) == Age::Copy {
-            self.copies_dropped += 1;
+        if copies.report(report.agent_epoch, report.seq) == Age::Copy {
+            self.duplicates_dropped += 1;
             return false;
         }
-        match self.try_keep(id, report) {
+        match self.try_serve_by_proxy(id, report) {
             Verdict::Kept => true,
             // Sent round once more it might find its lease run out.
-            Verdict::Soon if self.keeper.parked.len() < PARKED_MOST => {
-                let until = self.now.steady_ms + self.cfg.park_ms();
-                self.keeper.parked.push((id, report.clone(), until));
+            Verdict::Soon if self.lease_proxy.parked.len() < PARKED_MOST => {
+                let until =
+                    self.context.now.steady_ms + self.context.config.max_heartbeat_hold_ms();
+                self.lease_proxy.parked.push((id, report.clone(), until));
                 true
             }
             _ => false,
@@ -132,51 +139,53 @@
     }
 
     fn retry_parked(&mut self) {
-        let now = self.now.steady_ms;
-        for (id, report, until) in std::mem::take(&mut self.keeper.parked) {
-            match self.try_keep(id, &report) {
+        let now = self.context.now.steady_ms;
+        for (id, report, until) in std::mem::take(&mut self.lease_proxy.parked) {
+            match self.try_serve_by_proxy(id, &report) {
                 Verdict::Kept => {}
-                Verdict::Soon if now < until => self.keeper.parked.push((id, report, until)),
+                Verdict::Soon if now < until => self.lease_proxy.parked.push((id, report, until)),
                 _ => self.redirect(id),
             }
         }
     }
 
-    fn try_keep(&mut self, id: RequestId, report: &Report) -> Verdict {
-        let now = self.now.steady_ms;
-        if self.member.role != Role::Follower || !self.leader_missed() {
+    fn try_serve_by_proxy(&mut self, id: RequestId, report: &Heartbeat) -> Verdict {
+        let now = self.context.now.steady_ms;
+        if self.membership.role != Role::Follower || !self.leader_missed() {
             return Verdict::No;
         }
-        let Some(epoch) = self.proven_view_epoch() else { return Verdict::No };
+        let Some(epoch) = self.proven_epoch() else { return Verdict::No };
         // Nothing to keep: it was never commanded, or by one that we know nothing of.
-        if report.token == 0 || epoch_of(report.token) > epoch {
+        if report.fencing_token == 0 || epoch_of(report.fencing_token) > epoch {
             // The leader may take a new machine on all the same.
-            if report.token == 0 && self.keeper.claim == (Claim::Standing { epoch }) {
-                self.post_report(report);
+            if report.fencing_token == 0
+                && self.lease_proxy.claim == (ProxyClaim::Standing { epoch })
+            {
+                self.mail_heartbeat(report);
             }
             return Verdict::No;
         }
         if !self.leader_out_of_reach() {
             return Verdict::Soon;
         }
-        let claimed = self.keeper.claim == Claim::Standing { epoch };
+        let claimed = self.lease_proxy.claim == ProxyClaim::Standing { epoch };
         if !claimed {
             self.claim(epoch);
         }
-        self.keeper.used_ms = now;
-        let fresh_after = now.saturating_sub(self.cfg.horizon_ms());
-        let reread_after = now.saturating_sub(self.cfg.horizon_ms() / 3);
+        self.lease_proxy.used_ms = now;
+        let fresh_after = now.saturating_sub(self.context.config.lease_bound_ms());
+        let reread_after = now.saturating_sub(self.context.config.lease_bound_ms() / 3);
         let mut orders = Vec::new();
         let mut proven = true;
         let mut ask: Vec<String> = Vec::new();
         for t in report.tasks.iter().filter(|t| t.status != TaskStatus::Exited) {
             let Some((job, _)) = parse_task(&t.task) else { continue };
-            let known = self.keeper.jobs.get(job).copied();
+            let known = self.lease_proxy.jobs.get(job).copied();
             let asked = known.map_or(0, |k| k.asked_ms);
             let live = known.is_none_or(|k| k.live);
             if live
                 && known.map_or(0, |k| k.as_of_ms) < reread_after.max(1)
-                && now >= asked + self.cfg.state_timeout_ms()
+                && now >= asked + self.context.config.store_timeout_ms()
                 && !ask.iter().any(|j| j == job)
             {
                 ask.push(job.to_string());
@@ -197,117 +206,121 @@
         if !proven || !claimed {
             return Verdict::Soon;
         }
-        let token = self.kept_token(report, epoch);
-        let body = to_cbor(&ReportAnswer { token, orders });
+        let fencing_token = self.kept_token(report, epoch);
+        let body = to_cbor(&HeartbeatAnswer { fencing_token, orders });
         self.answer(id, Response::new(200, body));
-        self.post_report(report);
+        self.mail_heartbeat(report);
         Verdict::Kept
     }
 
     /// The token that a kept worker is answered with. It is raised now and then, and so
     /// orders that are still on their way, the leader's or an earlier one's, match no
     /// longer when a cut lets them go: their tasks may have been cancelled meanwhile.
-    fn kept_token(&mut self, report: &Report, epoch: u64) -> u64 {
-        let now = self.now.steady_ms;
-        let token = report.token.max(in_epoch(epoch, 0));
-        let raised = self.keeper.raised.get(&report.machine);
-        let due = raised.is_none_or(|at| now >= at + self.cfg.horizon_ms() / 3);
-        if !due || epoch_of(token + TOKEN_STEP) != epoch {
-            return token;
+    fn kept_token(&mut self, report: &Heartbeat, epoch: u64) -> u64 {
+        let now = self.context.now.steady_ms;
+        let fencing_token = report.fencing_token.max(scoped_to_epoch(epoch, 0));
+        let raised = self.lease_proxy.raised.get(&report.machine);
+        let due = raised.is_none_or(|at| now >= at + self.context.config.lease_bound_ms() / 3);
+        if !due || epoch_of(fencing_token + TOKEN_STEP) != epoch {
+            return fencing_token;
         }
-        self.keeper.raised.insert(report.machine.clone(), now);
-        token + TOKEN_STEP
+        self.lease_proxy.raised.insert(report.machine.clone(), now);
+        fencing_token + TOKEN_STEP
     }
 
     fn ask_job(&mut self, job: String) {
-        let now = self.now.steady_ms;
-        if self.keeper.jobs.len() >= JOBS_MOST || !self.may_read() {
+        let now = self.context.now.steady_ms;
+        if self.lease_proxy.jobs.len() >= JOBS_MOST || !self.may_read_for_request() {
             return;
         }
-        let known = self.keeper.jobs.entry(job.clone());
+        let known = self.lease_proxy.jobs.entry(job.clone());
         known.or_insert(Known { live: true, as_of_ms: 0, asked_ms: 0 }).asked_ms = now;
-        let pending = Pending::KeepRead { job: job.clone(), sent_ms: now };
+        let pending = InFlight::KeepRead { job: job.clone(), sent_ms: now };
         self.look_up(&job, pending);
     }
 
-    pub(crate) fn on_keep_read(&mut self, job: String, sent_ms: u64, outcome: Outcome) {
+    pub(crate) fn on_proxy_job_read(&mut self, job: String, sent_ms: u64, outcome: Outcome) {
         let Ok(pair) = self.read_outcome(outcome) else { return };
         let live = match pair {
             Some(p) => decode::<JobRecord>(&p.value).map(|r| r.status == RecordedStatus::Live),
             None => Some(false),
         };
-        let (Some(live), Some(k)) = (live, self.keeper.jobs.get_mut(&job)) else { return };
+        let (Some(live), Some(k)) = (live, self.lease_proxy.jobs.get_mut(&job)) else { return };
         (k.live, k.as_of_ms) = (live, k.as_of_ms.max(sent_ms));
     }
 
     /// A kept machine may hold tasks of a job that is cancelled on record.
-    pub(crate) fn keeper_learns_abort(&mut self, job: &str) {
-        if let Some(known) = self.keeper.jobs.get_mut(job) {
+    pub(crate) fn proxy_learns_abort(&mut self, job: &str) {
+        if let Some(known) = self.lease_proxy.jobs.get_mut(job) {
             known.live = false;
         }
     }
 
     /// Records that this controller keeps workers under the present view.
     fn claim(&mut self, epoch: u64) {
-        let now = self.now.steady_ms;
-        if self.keeper.claim == Claim::Asking || now < self.keeper.retry_ms {
+        let now = self.context.now.steady_ms;
+        if self.lease_proxy.claim == ProxyClaim::Asking || now < self.lease_proxy.retry_ms {
             return;
         }
-        let (Some(permit), Some(stamp)) = (self.lease_permit(), self.view_stamp_seen()) else {
+        let (Some(lease_id), Some(revision)) =
+            (self.controller_lease_id(), self.observed_epoch_revision())
+        else {
             return;
         };
-        if !self.store.writes.take(now, 1.0, 0.0) {
+        if !self.record_writer.writes.take(now, 1.0, 0.0) {
             return;
         }
-        self.keeper.retry_ms = now + self.cfg.report_ms();
-        self.claim_to(Claim::Asking);
+        self.lease_proxy.retry_ms = now + self.context.config.heartbeat_interval_ms();
+        self.set_claim(ProxyClaim::Asking);
         let set =
-            Change::Set { set: self.keeper_key(), value: encode(&epoch), permit: Some(permit) };
-        let guards = vec![Guard { path: VIEW.into(), stamp }];
+            Change::Set { set: self.keeper_key(), value: encode(&epoch), lease_id: Some(lease_id) };
+        let guards = vec![Guard { path: EPOCH_KEY.into(), revision }];
         let body = to_cbor(&Transaction { guards, apply: vec![set] });
-        self.state_call("POST", "/multi".into(), body, Pending::KeepClaim { epoch, permit });
+        self.call_store("POST", "/multi".into(), body, InFlight::KeepClaim { epoch, lease_id });
     }
 
-    pub(crate) fn on_keep_claim(&mut self, epoch: u64, permit: u64, outcome: Outcome) {
+    pub(crate) fn on_proxy_claim(&mut self, epoch: u64, lease_id: u64, outcome: Outcome) {
         let stands = match outcome {
             Outcome::Answer(r) if r.status == 200 => {
-                self.state_answered();
+                self.note_store_answer();
                 from_cbor::<TransactionAnswer>(&r.body).is_ok()
             }
             _ => false,
         };
         // A claim goes with the lease that it was made on.
-        let stands = stands && self.lease_permit() == Some(permit);
-        self.claim_to(if stands { Claim::Standing { epoch } } else { Claim::None });
+        let stands = stands && self.controller_lease_id() == Some(lease_id);
+        self.set_claim(if stands { ProxyClaim::Standing { epoch } } else { ProxyClaim::None });
     }
 
     /// The lease that the claim was made on is gone, and the claim with it.
-    pub(crate) fn drop_claim(&mut self) {
-        self.claim_to(Claim::None);
+    pub(crate) fn release_claim(&mut self) {
+        self.set_claim(ProxyClaim::None);
     }
 
     /// Ends a claim that no worker has needed for a while, and clears up what is
     /// left of an earlier one.
-    pub(crate) fn tick_keeper(&mut self) {
-        let now = self.now.steady_ms;
+    pub(crate) fn tick_lease_proxy(&mut self) {
+        let now = self.context.now.steady_ms;
         self.retry_parked();
-        if let Claim::Standing { epoch } = self.keeper.claim {
-            let unused = now > self.keeper.used_ms + self.cfg.lease_ms();
-            let other_view = self.view_epoch_seen() != Some(epoch);
-            if unused || other_view || self.member.role != Role::Follower {
-                self.claim_to(Claim::None);
+        if let ProxyClaim::Standing { epoch } = self.lease_proxy.claim {
+            let unused = now > self.lease_proxy.used_ms + self.context.config.lease_ms();
+            let other_view = self.observed_epoch() != Some(epoch);
+            if unused || other_view || self.membership.role != Role::Follower {
+                self.set_claim(ProxyClaim::None);
             }
         }
-        let own = self.member.keepers.get(&self.cfg.platform.node).copied();
-        let Some(stamp) = own.filter(|_| self.keeper.claim == Claim::None) else { return };
-        if now >= self.keeper.retry_ms && self.store.writes.take(now, 1.0, 0.0) {
-            self.keeper.retry_ms = now + self.cfg.report_ms();
+        let own = self.membership.keepers.get(&self.context.config.platform.node).copied();
+        let Some(revision) = own.filter(|_| self.lease_proxy.claim == ProxyClaim::None) else {
+            return;
+        };
+        if now >= self.lease_proxy.retry_ms && self.record_writer.writes.take(now, 1.0, 0.0) {
+            self.lease_proxy.retry_ms = now + self.context.config.heartbeat_interval_ms();
             let path = self.keeper_key();
             // Guarded, so that a late one can't undo a later claim.
-            let guards = vec![Guard { path: path.clone(), stamp }];
+            let guards = vec![Guard { path: path.clone(), revision }];
             let body =
                 to_cbor(&Transaction { guards, apply: vec![Change::Delete { delete: path }] });
-            self.state_call("POST", "/multi".into(), body, Pending::MemberKey);
+            self.call_store("POST", "/multi".into(), body, InFlight::MemberKey);
         }
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,38 +5,24 @@
 //! random numbers come from a generator that is passed in, so that every story can
 //! be told again in a test.
 
-mod admission;
 mod api;
-mod blame;
-mod budget;
-mod chains;
-mod cloud;
 pub mod config;
+mod context;
 mod controller;
-mod deal;
-mod dispatch;
-mod field;
-mod format;
-mod gang;
+mod fleet;
 mod ids;
 mod jobs;
-mod keeper;
 mod latency;
-mod machines;
-mod member;
+mod lease_proxy;
+mod membership;
 mod metrics;
-mod pages;
-mod pause;
-mod polls;
-mod post;
-pub mod queue;
-pub mod records;
-mod restore;
-mod shares;
-mod store;
-pub mod wait;
+mod placement;
+mod recovery;
+mod storage;
 
 pub use controller::Controller;
+pub use placement::{queue, wait};
+pub use storage::records;
 
 pub use quartzgate_overload::LoadState;
 use quartzgate_wire::http::{Request, Response};
--- a/crates/core/src/field.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -3,22 +3,22 @@
 //! Looking at all machines is what dealing costs, and it grows with the fleet. So it is
 //! done once for many tasks: machines lie in a heap for each zone, ordered by how well
 //! they serve, and a pick puts those that it took back in their new places. How many
-//! machines may be looked at in a while is bounded (`Effort`), so that dealing never
+//! machines may be looked at in a while is bounded (`SearchBudget`), so that dealing never
 //! takes the time that running work needs.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
 use ordered_float::OrderedFloat;
-use quartzgate_wire::msg::{JobSpec, Rank};
+use quartzgate_wire::msg::{JobSpec, Priority};
 
 use rand::Rng;
 
-use crate::budget::Budget;
 use crate::controller::Controller;
-use crate::ids::{JobIx, MachineIx};
+use crate::fleet::machines::{Machine, Resources};
+use crate::ids::{JobIndex, MachineIndex};
 use crate::jobs::Job;
-use crate::machines::{Machine, Room};
+use crate::storage::rate_limiter::RateLimiter;
 use crate::LoadState;
 
 /// Machines looked at in a second of a whole core, by rough measure.
@@ -27,16 +27,16 @@
 const LOOKS_SHARE: f64 = 0.25;
 
 /// What dealing may look at: machines a second, in proportion to the processor.
-pub(crate) struct Effort {
-    looks: Budget,
+pub(crate) struct SearchBudget {
+    looks: RateLimiter,
     /// Machines a second that a whole share of the processor would allow.
     whole: f64,
 }
 
-impl Effort {
+impl SearchBudget {
     pub fn new(cpu_share: f64) -> Self {
         let whole = cpu_share.max(0.01) * LOOKS_PER_CORE_S;
-        Effort { looks: Budget::new(whole * LOOKS_SHARE), whole }
+        SearchBudget { looks: RateLimiter::new(whole * LOOKS_SHARE), whole }
     }
 
     /// Under load dealing gets less: reports go first.
@@ -62,11 +62,11 @@
 
 /// A machine as the deal sees it.
 struct Candidate {
-    ix: MachineIx,
+    ix: MachineIndex,
     zone: Option<u16>,
-    free: Room,
+    free: Resources,
     /// Room that the queue has not spoken for.
-    spare: Room,
+    spare: Resources,
     wait_s: f64,
     image: bool,
     /// Fetching the image would take longer than the job's class may wait.
@@ -92,9 +92,9 @@
     images: u32,
 }
 
-pub(crate) struct Field {
-    job: JobIx,
-    need: Room,
+pub(crate) struct Candidates {
+    job: JobIndex,
+    need: Resources,
     spot: bool,
     list: Vec<Candidate>,
     /// Places in `list` by zone, those of unknown zone last.
@@ -105,11 +105,11 @@
 /// What the machines of a type are to a job.
 struct Kind<'a> {
     name: &'a str,
-    all: Room,
+    all: Resources,
     late: bool,
 }
 
-impl Field {
+impl Candidates {
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
@@ -149,8 +149,8 @@
         core: &Controller,
         zone: Option<u16>,
         count: usize,
-        avoid: &[MachineIx],
-    ) -> Vec<MachineIx> {
+        avoid: &[MachineIndex],
+    ) -> Vec<MachineIndex> {
         let heaps: Vec<usize> = match zone {
             Some(z) => vec![z as usize],
             None => (0..self.heaps.len()).collect(),
@@ -204,7 +204,7 @@
             score += if self.spot && !c.spot { 2.0 } else { 0.0 };
             score += if c.scarce { 2.5 } else { 0.0 };
             score += 0.4 * (1.0 - c.used_share);
-        } else if self.yields(core, c) {
+        } else if self.preemptible_by_priority(core, c) {
             score += 3.0 + if c.image { 0.0 } else { 2.0 };
             score += 0.4 * c.queued as f64;
         } else {
@@ -215,34 +215,34 @@
     }
 
     /// Whether there is room for one more once lower priorities make way.
-    fn yields(&self, core: &Controller, c: &Candidate) -> bool {
+    fn preemptible_by_priority(&self, core: &Controller, c: &Candidate) -> bool {
         let (Some(job), Some(m)) = (core.jobs.get(self.job), core.machines.get(c.ix)) else {
             return false;
         };
         let mut room = c.free;
         room.add(&self.need, -c.taken);
-        room.add(&m.yielding(job.force()), 1.0);
+        room.add(&m.preemptible_for(job.force()), 1.0);
         room.fits(&self.need)
     }
 }
 
 impl Controller {
     /// Looks at all machines for a job's tasks.
-    pub(crate) fn field(&mut self, ix: JobIx) -> Field {
-        let now = self.now.steady_ms;
-        self.effort.spend(now, self.machines.len());
-        let zones = self.cfg.platform.params.zones.len();
-        let mut field = Field {
+    pub(crate) fn field(&mut self, ix: JobIndex) -> Candidates {
+        let now = self.context.now.steady_ms;
+        self.search_budget.spend(now, self.machines.len());
+        let zones = self.context.config.platform.params.zones.len();
+        let mut field = Candidates {
             job: ix,
-            need: Room::default(),
+            need: Resources::default(),
             spot: false,
             list: Vec::new(),
             heaps: vec![BinaryHeap::new(); zones + 1],
             zones: vec![ZoneRoom::default(); zones + 1],
         };
-        let mut rng = self.rng.clone();
+        let mut rng = self.context.rng.clone();
         let Some(job) = self.jobs.get(ix) else { return field };
-        (field.need, field.spot) = (job.room(), job.spec.spot);
+        (field.need, field.spot) = (job.resources(), job.spec.spot);
         let kinds = self.kinds_for(&job.spec);
         let want = self.zone_wanted(&job.spec);
         let gpus_scarce = self.ratios.gpus_scarce() && job.spec.gpus <= 0.0;
@@ -251,7 +251,7 @@
             let allowed = (job.spec.spot || !m.spot) && want.is_none_or(|z| m.zone == z);
             let Some(kind) = kind.filter(|k| allowed && k.all.fits(&field.need)) else { continue };
             // What services hold for good leaves no room for it.
-            if !kind.all.minus(&m.held_for_good(job.rank)).fits(&field.need) {
+            if !kind.all.minus(&m.held_by_services(job.priority)).fits(&field.need) {
                 continue;
             }
             let (free, spare) = self.spare_room(mix, m, &kind.all, &field.need, Some(job));
@@ -284,7 +284,7 @@
             scored[z].push(Reverse((field.score(self, at), at)));
         }
         field.heaps = scored.into_iter().map(BinaryHeap::from).collect();
-        self.rng = rng;
+        self.context.rng = rng;
         field
     }
 
@@ -292,18 +292,18 @@
     /// full stays full, whatever its queue has spoken for.
     fn spare_room(
         &self,
-        ix: MachineIx,
+        ix: MachineIndex,
         m: &Machine,
-        all: &Room,
-        need: &Room,
+        all: &Resources,
+        need: &Resources,
         job: Option<&Job>,
-    ) -> (Room, Room) {
-        if !m.takes_work(self.now.steady_ms) {
-            return (Room::default(), Room::default());
+    ) -> (Resources, Resources) {
+        if !m.takes_work(self.context.now.steady_ms) {
+            return (Resources::default(), Resources::default());
         }
         let mut free = all.minus(&m.used);
-        match (job, self.held.get(&ix)) {
-            (Some(job), held) => free = self.less_held(free, held, job),
+        match (job, self.gang_holds.get(&ix)) {
+            (Some(job), held) => free = self.without_gang_holds(free, held, job),
             (None, Some(held)) => free = free.minus(&held.room),
             (None, None) => {}
         }
@@ -312,10 +312,10 @@
             if !spare.fits(need) {
                 break;
             }
-            let job = self.jobs.get(key.job).filter(|j| !j.mistaken());
+            let job = self.jobs.get(key.job).filter(|j| !j.failing_everywhere());
             let Some(j) = job else { continue };
             let probes = j.task(key.task).map_or(1, |t| t.probes.len()).max(1);
-            spare.add(&j.room(), -1.0 / probes as f64);
+            spare.add(&j.resources(), -1.0 / probes as f64);
         }
         (free, spare)
     }
@@ -327,7 +327,7 @@
         let kinds = self.types.iter().filter(|t| named(&t.name));
         let kinds = kinds.map(|t| Kind {
             name: &t.name,
-            all: Room { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb },
+            all: Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb },
             late: within_s.is_some_and(|w| self.fetch_s(spec, &t.name) > w),
         });
         kinds.collect()
@@ -336,19 +336,19 @@
     /// The only zone that a job allows: `None` for any, `Some(None)` for one that the
     /// settings don't know.
     fn zone_wanted(&self, spec: &JobSpec) -> Option<Option<u16>> {
-        let zones = &self.cfg.platform.params.zones;
+        let zones = &self.context.config.platform.params.zones;
         let place = |want: &String| zones.iter().position(|z| z == want).map(|z| z as u16);
         spec.zone.as_ref().map(place)
     }
 
     /// Machines that have room now that nobody has spoken for, for a quick look at
     /// whether one could serve.
-    pub(crate) fn roomy_machines(&mut self) -> Roomy {
-        let now = self.now.steady_ms;
+    pub(crate) fn roomy_machines(&mut self) -> FreeCapacity {
+        let now = self.context.now.steady_ms;
         // Little is looked at of each.
-        self.effort.spend(now, self.machines.len() / 4);
-        let least = Room { cpus: 1e-3, gpus: 0.0, memory_gb: 0.0 };
-        let mut roomy = Roomy::default();
+        self.search_budget.spend(now, self.machines.len() / 4);
+        let least = Resources { cpus: 1e-3, gpus: 0.0, memory_gb: 0.0 };
+        let mut roomy = FreeCapacity::default();
         for (ix, m) in self.machines.iter().filter(|(_, m)| m.usable()) {
             let Some(all) = self.capacity_of(&m.kind) else { continue };
             let (_, spare) = self.spare_room(ix, m, &all, &least, None);
@@ -364,17 +364,22 @@
             if spare.gpus > 0.0 {
                 beside = spare.minus(&self.beside_gpus(&spare));
             }
-            machines.push(Spare { ix, room: spare, beside });
+            machines.push(SpareCapacity { ix, room: spare, beside });
         }
         roomy
     }
 
     /// The first so many machines with unspoken room that may serve a job.
-    pub(crate) fn roomy_for(&mut self, roomy: &Roomy, ix: JobIx, count: usize) -> Vec<MachineIx> {
+    pub(crate) fn roomy_for(
+        &mut self,
+        roomy: &FreeCapacity,
+        ix: JobIndex,
+        count: usize,
+    ) -> Vec<MachineIndex> {
         let Some(job) = self.jobs.get(ix) else { return Vec::new() };
-        let (need, mut looked, mut out) = (job.room(), roomy.groups.len(), Vec::new());
+        let (need, mut looked, mut out) = (job.resources(), roomy.groups.len(), Vec::new());
         // What scarce GPUs need beside them is not for what needs none.
-        let plain = need.gpus <= 0.0 && job.rank < Rank::Production;
+        let plain = need.gpus <= 0.0 && job.priority < Priority::Production;
         for ((kind, zone, spot), (most, machines)) in &roomy.groups {
             if !most.fits(&need) || !self.allows(&job.spec, kind, *zone, *spot) {
                 continue;
@@ -391,24 +396,24 @@
             }
         }
         out.truncate(count);
-        let now = self.now.steady_ms;
-        self.effort.spend(now, looked / 8);
+        let now = self.context.now.steady_ms;
+        self.search_budget.spend(now, looked / 8);
         out
     }
 }
 
 /// Machines with unspoken room by type, zone and kind, with the most that any of a group has.
 #[derive(Default)]
-pub(crate) struct Roomy {
-    groups: BTreeMap<Group, (Room, Vec<Spare>)>,
+pub(crate) struct FreeCapacity {
+    groups: BTreeMap<Group, (Resources, Vec<SpareCapacity>)>,
 }
 
 /// Unspoken room of a machine.
-struct Spare {
-    ix: MachineIx,
-    room: Room,
+struct SpareCapacity {
+    ix: MachineIndex,
+    room: Resources,
     /// What of it is left beside what scarce GPUs need.
-    beside: Room,
+    beside: Resources,
 }
 
 /// Type, zone and kind of a machine.
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/placement/dispatch.rs
@@ -3,25 +3,25 @@
 
 use std::collections::BTreeMap;
 
-use quartzgate_wire::msg::{JobSpec, Rank, Shape, TaskStatus};
+use quartzgate_wire::msg::{JobKind, JobSpec, Priority, TaskStatus};
 
 use crate::controller::Controller;
-use crate::ids::{JobIx, MachineIx, TaskKey};
+use crate::fleet::machines::{Machine, Resources};
+use crate::ids::{JobIndex, MachineIndex, TaskKey};
 use crate::jobs::{Job, JobState, Task, TaskState};
-use crate::machines::{Machine, Room};
-use crate::queue::{pick, QueueOrder, Standing};
-use crate::wait::expected_wait;
+use crate::placement::queue::{pick, QueueOrder, Standing};
+use crate::placement::wait::expected_wait;
 
 /// Demand and supply of every constraint, weighed anew each report round.
 #[derive(Default)]
-pub(crate) struct Ratios {
+pub(crate) struct DemandRatios {
     by_constraint: BTreeMap<Constraint, f64>,
     max: f64,
     /// What a task of those that need GPUs takes at most of a machine, while GPUs are scarce.
-    gpu_task: Option<Room>,
+    gpu_task: Option<Resources>,
 }
 
-impl Ratios {
+impl DemandRatios {
     pub fn highest(&self) -> f64 {
         self.max
     }
@@ -85,7 +85,7 @@
 
     /// Weighs tasks asking against machines offering, per constraint, and estimates
     /// every queue's wait.
-    pub(crate) fn weigh(&mut self) {
+    pub(crate) fn update_demand_ratios(&mut self) {
         let mut demand: BTreeMap<Constraint, f64> = BTreeMap::new();
         for (_, job) in self.jobs.iter().filter(|(_, j)| j.state == JobState::Live) {
             let asking = job.asking(job.spec.tasks - job.done);
@@ -94,7 +94,7 @@
             }
         }
         let mut supply: BTreeMap<Constraint, f64> = BTreeMap::new();
-        let zones = self.cfg.platform.params.zones.clone();
+        let zones = self.context.config.platform.params.zones.clone();
         for (_, m) in self.machines.iter().filter(|(_, m)| m.usable()) {
             let Some(all) = self.capacity_of(&m.kind) else { continue };
             let mut add = |c, amount| *supply.entry(c).or_insert(0.0) += amount;
@@ -120,7 +120,7 @@
         let max = by_constraint.values().copied().fold(0.0, f64::max);
         let scarce = by_constraint.get(&Constraint::Gpu).is_some_and(|r| *r >= SCARCE);
         let gpu_task = self.largest_gpu_task().filter(|_| scarce);
-        self.ratios = Ratios { by_constraint, max, gpu_task };
+        self.ratios = DemandRatios { by_constraint, max, gpu_task };
         for ix in self.jobs.indexes() {
             let Some(job) = self.jobs.get(ix) else { continue };
             let (ratio, lost) = (self.ratio_of(&job.spec), self.lost_deadlines(job));
@@ -130,17 +130,17 @@
             }
         }
         for ix in self.machines.indexes() {
-            let (wait_s, lasting) = (self.wait_of(ix), self.lasting_on(ix));
+            let (wait_s, services_by_priority) = (self.wait_of(ix), self.lasting_on(ix));
             if let Some(m) = self.machines.get_mut(ix) {
-                (m.wait_s, m.lasting) = (wait_s, lasting);
+                (m.wait_s, m.services_by_priority) = (wait_s, services_by_priority);
             }
         }
     }
 
-    fn largest_gpu_task(&self) -> Option<Room> {
+    fn largest_gpu_task(&self) -> Option<Resources> {
         let live = self.jobs.iter().filter(|(_, j)| j.state == JobState::Live);
-        let rooms = live.filter(|(_, j)| j.spec.gpus > 0.0).map(|(_, j)| j.room());
-        rooms.reduce(|a, b| Room {
+        let rooms = live.filter(|(_, j)| j.spec.gpus > 0.0).map(|(_, j)| j.resources());
+        rooms.reduce(|a, b| Resources {
             cpus: a.cpus.max(b.cpus),
             gpus: a.gpus.max(b.gpus),
             memory_gb: a.memory_gb.max(b.memory_gb),
@@ -149,8 +149,8 @@
 
     /// Room that a machine's free GPUs need beside them, while they are scarce: it is not for
     /// work that needs none and would fit elsewhere.
-    pub(crate) fn beside_gpus(&self, free: &Room) -> Room {
-        let mut room = Room::default();
+    pub(crate) fn beside_gpus(&self, free: &Resources) -> Resources {
+        let mut room = Resources::default();
         if let Some(task) = self.ratios.gpu_task {
             room.add(&task, ((free.gpus + 1e-6) / task.gpus).max(0.0).floor());
         }
@@ -161,8 +161,8 @@
     /// more, if what it waits for runs as long as its owner estimates.
     fn lost_deadlines(&self, job: &Job) -> u8 {
         let Some(due) = &job.due else { return 0 };
-        let age_s = self.now.wall_ms.saturating_sub(due.at_ms) as f64 / 1000.0;
-        let aims = self.cfg.platform.params.objectives.iter();
+        let age_s = self.context.now.wall_ms.saturating_sub(due.at_ms) as f64 / 1000.0;
+        let aims = self.context.config.platform.params.objectives.iter();
         let aims = aims
             .filter(|o| o.kind == "deadline" && o.class.as_deref() == Some(&due.class))
             .map(|o| o.times.unwrap_or(1.0) * due.due_s - due.tail_s);
@@ -182,7 +182,7 @@
         let estimate = job.spec.estimate_s;
         match task.state {
             TaskState::On { status: TaskStatus::Running, since_ms, .. } => {
-                let ran = (self.now.steady_ms - since_ms) as f64 / 1000.0;
+                let ran = (self.context.now.steady_ms - since_ms) as f64 / 1000.0;
                 (estimate - ran).max(estimate * 0.1)
             }
             // What failed before is not short: its time counts once more each time.
@@ -191,24 +191,24 @@
     }
 
     /// What services on a machine use, by priority.
-    fn lasting_on(&self, ix: MachineIx) -> [Room; 4] {
-        let mut lasting: [Room; 4] = Default::default();
-        let Some(m) = self.machines.get(ix) else { return lasting };
+    fn lasting_on(&self, ix: MachineIndex) -> [Resources; 4] {
+        let mut services_by_priority: [Resources; 4] = Default::default();
+        let Some(m) = self.machines.get(ix) else { return services_by_priority };
         let jobs = m.tasks.keys().filter_map(|k| self.jobs.get(k.job));
-        for job in jobs.filter(|j| j.spec.shape == Shape::Service && j.state == JobState::Live) {
-            lasting[job.rank as usize].add(&job.room(), 1.0);
+        for job in jobs.filter(|j| j.spec.shape == JobKind::Service && j.state == JobState::Live) {
+            services_by_priority[job.priority as usize].add(&job.resources(), 1.0);
         }
-        lasting
+        services_by_priority
     }
 
     /// Whether a machine may come to have room for a task: services leave it some.
-    pub(crate) fn may_come_free(&self, m: &Machine, rank: Rank, need: &Room) -> bool {
+    pub(crate) fn may_come_free(&self, m: &Machine, priority: Priority, need: &Resources) -> bool {
         let all = self.capacity_of(&m.kind);
-        all.is_some_and(|all| all.minus(&m.held_for_good(rank)).fits(need))
+        all.is_some_and(|all| all.minus(&m.held_by_services(priority)).fits(need))
     }
 
     /// E\[W\] of a machine's queue.
-    fn wait_of(&self, ix: MachineIx) -> f64 {
+    fn wait_of(&self, ix: MachineIndex) -> f64 {
         let Some(m) = self.machines.get(ix) else { return 0.0 };
         let Some(all) = self.capacity_of(&m.kind) else { return 0.0 };
         let share = |used: f64, all: f64| if all > 0.0 { used / all } else { 0.0 };
@@ -217,43 +217,43 @@
             .max(share(m.used.memory_gb, all.memory_gb));
         let keys = m.tasks.keys().chain(&m.queue);
         let times = keys.filter_map(|k| {
-            let job = self.jobs.get(k.job).filter(|j| !j.mistaken())?;
+            let job = self.jobs.get(k.job).filter(|j| !j.failing_everywhere())?;
             Some(self.remaining_s(job, job.task(k.task)?))
         });
         expected_wait(load, times.filter(|t| *t > 0.0))
     }
 
     pub(crate) fn dispatch_touched(&mut self) {
-        let rounds = 3 * self.touched.len().max(8);
+        let rounds = 3 * self.machines_to_dispatch.len().max(8);
         for _ in 0..rounds {
-            let Some(ix) = self.touched.pop_first() else { break };
+            let Some(ix) = self.machines_to_dispatch.pop_first() else { break };
             self.dispatch(ix);
         }
         if std::mem::take(&mut self.supply_changed) {
             self.reprobe_due = true;
-            self.deal_due = true;
+            self.placement_due = true;
         }
     }
 
     /// Binds tasks from a machine's queue while it has room.
-    fn dispatch(&mut self, ix: MachineIx) {
-        if !self.commands_workers() {
+    fn dispatch(&mut self, ix: MachineIndex) {
+        if !self.may_command_workers() {
             return;
         }
-        let now = self.now.steady_ms;
+        let now = self.context.now.steady_ms;
         loop {
             let Some(m) = self.machines.get(ix) else { return };
             if m.queue.is_empty() || !m.takes_work(now) {
                 return;
             }
-            let free = self.free_room(m);
+            let free = self.free_resources(m);
             if free.cpus < 1e-6 {
                 return;
             }
-            let held = self.held.get(&ix);
+            let held = self.gang_holds.get(&ix);
             let fits = |k: &TaskKey| {
                 let job = self.jobs.get(k.job);
-                job.is_some_and(|j| self.less_held(free, held, j).fits(&j.room()))
+                job.is_some_and(|j| self.without_gang_holds(free, held, j).fits(&j.resources()))
             };
             if !m.queue.iter().any(fits) {
                 return;
@@ -261,12 +261,12 @@
             // Tasks that may be bound here at all.
             let mut keys: Vec<TaskKey> = Vec::with_capacity(m.queue.len());
             let mut standings: Vec<Standing> = Vec::with_capacity(m.queue.len());
-            let mut elsewhere: Vec<MachineIx> = Vec::new();
+            let mut elsewhere: Vec<MachineIndex> = Vec::new();
             for key in &m.queue {
                 let Some(job) = self.jobs.get(key.job) else { continue };
                 let Some(task) = job.task(key.task) else { continue };
                 // A gang's tasks are started together or not at all.
-                let gang = job.spec.shape == Shape::Gang;
+                let gang = job.spec.shape == JobKind::Gang;
                 if gang || !self.startable(job, *key, task, ix) {
                     continue;
                 }
@@ -277,7 +277,7 @@
                 keys.push(*key);
                 standings.push(self.standing(job, task));
             }
-            let operator = &self.cfg.operator;
+            let operator = &self.context.config.operator;
             let order = QueueOrder::choose(
                 self.ratios.max,
                 operator.ratio_threshold,
@@ -285,7 +285,7 @@
                 operator.wait_threshold_s,
             );
             let picked = pick(&standings, order, operator.slack_cap, |at| fits(&keys[at]));
-            self.touched.extend(elsewhere.into_iter().filter(|e| *e != ix));
+            self.machines_to_dispatch.extend(elsewhere.into_iter().filter(|e| *e != ix));
             let Some(picked) = picked else { return };
             for passed in picked.passed {
                 if let Some(t) = self.jobs.task_mut(keys[passed]) {
@@ -297,14 +297,14 @@
     }
 
     fn standing(&self, job: &Job, task: &Task) -> Standing {
-        let team = &self.cfg.platform.params.teams[job.team];
+        let team = &self.context.config.platform.params.teams[job.team];
         let placed = &self.teams[job.team].placed;
         Standing {
-            rank: job.rank,
+            priority: job.priority,
             guaranteed: team.cpus > 0.0 && placed.cpus + job.spec.cpus <= team.cpus + 1e-6,
             lost: job.lost,
             // What failed before is not short: it counts once more each time.
-            remaining_s: match job.mistaken() {
+            remaining_s: match job.failing_everywhere() {
                 true => f64::INFINITY,
                 false => job.remaining_s() * f64::from(1 + task.failures.min(8)),
             },
@@ -316,14 +316,17 @@
 
     /// The proof rule: the record names this machine for the task, and no other
     /// machine that the task was ever probed to can hold it.
-    pub(crate) fn startable(&self, job: &Job, key: TaskKey, task: &Task, ix: MachineIx) -> bool {
-        let Some(chunk) = job.chunks.get(&(key.task / crate::records::CHUNK)) else { return false };
+    pub(crate) fn startable(&self, job: &Job, key: TaskKey, task: &Task, ix: MachineIndex) -> bool {
+        let Some(chunk) = job.chunks.get(&(key.task / crate::storage::records::TASKS_PER_CHUNK))
+        else {
+            return false;
+        };
         job.state == JobState::Live
             && !job.unsure
             && task.state == TaskState::Waiting
-            && task.not_before_ms <= self.now.steady_ms
-            && job.may_try(self.now.steady_ms)
-            && self.may_start(job.team, &job.room())
+            && task.not_before_ms <= self.context.now.steady_ms
+            && job.may_try(self.context.now.steady_ms)
+            && self.may_start(job.team, &job.resources())
             && task.probes.iter().all(|p| !p.unproven)
             && task.probes.iter().any(|p| p.machine == ix && p.version <= chunk.acked)
             && self.machines.get(ix).is_some_and(|m| {
@@ -333,53 +336,53 @@
     }
 
     /// Another machine of the task's that has room and, unlike this one, the image.
-    fn image_elsewhere(&self, job: &Job, task: &Task, ix: MachineIx) -> Option<MachineIx> {
+    fn image_elsewhere(&self, job: &Job, task: &Task, ix: MachineIndex) -> Option<MachineIndex> {
         if self.machines.get(ix)?.images.contains(&job.image) {
             return None;
         }
-        let need = job.room();
+        let need = job.resources();
         task.probes.iter().map(|p| p.machine).find(|other| {
             self.machines.get(*other).is_some_and(|m| {
-                m.takes_work(self.now.steady_ms)
+                m.takes_work(self.context.now.steady_ms)
                     && m.images.contains(&job.image)
-                    && self.room_for(*other, m, job).fits(&need)
+                    && self.resources_for(*other, m, job).fits(&need)
             })
         })
     }
 
-    fn bind(&mut self, key: TaskKey, ix: MachineIx) {
+    fn bind(&mut self, key: TaskKey, ix: MachineIndex) {
         let attempt = self.next_attempt();
         self.bind_as(key, ix, attempt);
     }
 
-    pub(crate) fn bind_as(&mut self, key: TaskKey, ix: MachineIx, attempt: u64) {
-        if let Some(job) = self.jobs.get_mut(key.job).filter(|j| j.mistaken()) {
+    pub(crate) fn bind_as(&mut self, key: TaskKey, ix: MachineIndex, attempt: u64) {
+        if let Some(job) = self.jobs.get_mut(key.job).filter(|j| j.failing_everywhere()) {
             job.trials += 1;
         }
         let Some(task) = self.jobs.task_mut(key) else { return };
         task.slack = 0;
-        let probes: Vec<MachineIx> = task.probes.iter().map(|p| p.machine).collect();
+        let probes: Vec<MachineIndex> = task.probes.iter().map(|p| p.machine).collect();
         for p in probes {
             if let Some(m) = self.machines.get_mut(p) {
                 m.queue.retain(|k| *k != key);
             }
         }
-        self.task_to(key, TaskState::Starting { machine: ix, attempt });
+        self.set_task_state(key, TaskState::Starting { machine: ix, attempt });
         if let Some(m) = self.machines.get_mut(ix) {
-            m.outbox.push((key, attempt));
+            m.pending_starts.push((key, attempt));
         }
-        self.needs_orders.insert(ix);
+        self.machines_to_command.insert(ix);
     }
 
     /// Makes room for waiting tasks of higher priority by stopping lower ones,
     /// cheapest loss first.
     pub(crate) fn preempt(&mut self) {
         let on = self.jobs.iter().filter(|(_, j)| j.bound > 0);
-        let Some(lowest) = on.map(|(_, j)| j.rank).min() else { return };
-        let mut jobs: Vec<(Rank, u64, JobIx)> = Vec::new();
+        let Some(lowest) = on.map(|(_, j)| j.priority).min() else { return };
+        let mut jobs: Vec<(Priority, u64, JobIndex)> = Vec::new();
         for (ix, job) in self.jobs.iter() {
-            let gang = job.spec.shape == Shape::Gang;
-            let idle = job.waiting == 0 || job.mistaken();
+            let gang = job.spec.shape == JobKind::Gang;
+            let idle = job.waiting == 0 || job.failing_everywhere();
             if job.state != JobState::Live || idle || job.force() <= lowest || gang {
                 continue;
             }
@@ -387,14 +390,14 @@
             let first = job.tasks().map(|(_, t)| t).find(waits).map_or(0, |t| t.arrived);
             jobs.push((job.force(), first, ix));
         }
-        jobs.sort_by_key(|(rank, at, _)| (std::cmp::Reverse(*rank), *at));
-        let mut asking: Vec<(Rank, TaskKey)> = Vec::new();
-        for (rank, _, ix) in jobs {
+        jobs.sort_by_key(|(priority, at, _)| (std::cmp::Reverse(*priority), *at));
+        let mut asking: Vec<(Priority, TaskKey)> = Vec::new();
+        for (priority, _, ix) in jobs {
             let Some(job) = self.jobs.get(ix) else { continue };
             for (n, t) in job.tasks() {
                 let key = TaskKey { job: ix, task: n };
                 if t.probes.iter().any(|p| self.startable(job, key, t, p.machine)) {
-                    asking.push((rank, key));
+                    asking.push((priority, key));
                 }
             }
             // The rest has its turn once these are served.
@@ -403,35 +406,40 @@
             }
         }
         // Room that is being made already, by machine.
-        let mut promised: BTreeMap<MachineIx, Room> = BTreeMap::new();
-        for (rank, key) in asking {
-            self.preempt_for(key, rank, &mut promised);
+        let mut promised: BTreeMap<MachineIndex, Resources> = BTreeMap::new();
+        for (priority, key) in asking {
+            self.preempt_for(key, priority, &mut promised);
         }
     }
 
-    fn preempt_for(&mut self, key: TaskKey, rank: Rank, promised: &mut BTreeMap<MachineIx, Room>) {
+    fn preempt_for(
+        &mut self,
+        key: TaskKey,
+        priority: Priority,
+        promised: &mut BTreeMap<MachineIndex, Resources>,
+    ) {
         let Some(job) = self.jobs.get(key.job) else { return };
         let Some(task) = job.task(key.task) else { return };
-        let need = job.room();
-        let mut best: Option<(f64, MachineIx, Vec<TaskKey>)> = None;
+        let need = job.resources();
+        let mut best: Option<(f64, MachineIndex, Vec<TaskKey>)> = None;
         for p in &task.probes {
             let Some(m) = self.machines.get(p.machine).filter(|m| m.usable()) else { continue };
-            let mut room = self.free_room(m);
+            let mut room = self.free_resources(m);
             // Below high priority only the lowest makes way.
             let mut most = room;
             most.add(&m.low(), 1.0);
-            let hopeless = rank == Rank::Normal && !most.fits(&need);
+            let hopeless = priority == Priority::Normal && !most.fits(&need);
             if hopeless || !self.startable(job, key, task, p.machine) {
                 continue;
             }
-            let mut victims: Vec<(f64, TaskKey, Room)> = Vec::new();
+            let mut victims: Vec<(f64, TaskKey, Resources)> = Vec::new();
             for k in m.tasks.keys() {
                 let Some(j) = self.jobs.get(k.job) else { continue };
                 let Some(t) = j.task(k.task) else { continue };
                 match t.state {
-                    TaskState::Stopping { .. } => room.add(&j.room(), 1.0),
-                    TaskState::On { .. } | TaskState::Starting { .. } if j.rank < rank => {
-                        victims.push((self.loss_of(j, t), *k, j.room()))
+                    TaskState::Stopping { .. } => room.add(&j.resources(), 1.0),
+                    TaskState::On { .. } | TaskState::Starting { .. } if j.priority < priority => {
+                        victims.push((self.loss_of(j, t), *k, j.resources()))
                     }
                     _ => {}
                 }
@@ -462,7 +470,7 @@
         for k in victims {
             // Production does not wait for others to save.
             let why = "making room for higher priority";
-            self.stop_task_as(k, why, rank < Rank::Production);
+            self.stop_task_as(k, why, priority < Priority::Production);
         }
     }
 
@@ -471,19 +479,19 @@
         let TaskState::On { status: TaskStatus::Running, since_ms, .. } = task.state else {
             return 0.0;
         };
-        let ran = (self.now.steady_ms - since_ms) as f64 / 1000.0;
-        let rank = match job.rank {
-            Rank::Low => 0.0,
-            Rank::Normal => 1000.0,
-            Rank::High => 2000.0,
-            Rank::Production => 3000.0,
+        let ran = (self.context.now.steady_ms - since_ms) as f64 / 1000.0;
+        let priority = match job.priority {
+            Priority::Low => 0.0,
+            Priority::Normal => 1000.0,
+            Priority::High => 2000.0,
+            Priority::Production => 3000.0,
         };
         // Progress since the last checkpoint, or the time that a save takes.
-        let lost = match job.spec.checkpoint_s {
-            every if every > 0.0 => (ran % every).min(job.spec.save_s),
+        let lost = match job.spec.checkpoint_interval_s {
+            every if every > 0.0 => (ran % every).min(job.spec.checkpoint_cost_s),
             _ => ran,
         };
-        rank + job.spec.cpus * lost
+        priority + job.spec.cpus * lost
     }
 
     /// Tells a task to stop; it saves if it can.
@@ -494,37 +502,39 @@
     /// Tells a task to stop; it saves if it can, if it may, and if that is worth it.
     fn stop_task_as(&mut self, key: TaskKey, why: &str, may_save: bool) {
         let Some(job) = self.jobs.get(key.job) else { return };
-        if job.spec.shape == Shape::Gang {
+        if job.spec.shape == JobKind::Gang {
             tracing::debug!(job = %job.id, why, "stopping the gang");
             return self.stop_gang(key.job);
         }
         let Some(task) = job.task(key.task) else { return };
         let TaskState::On { machine, attempt, status, since_ms } = task.state else { return };
-        let ran = (self.now.steady_ms - since_ms) as f64 / 1000.0;
-        let every = job.spec.checkpoint_s;
-        let worth = every > 0.0 && status == TaskStatus::Running && ran % every > job.spec.save_s;
+        let ran = (self.context.now.steady_ms - since_ms) as f64 / 1000.0;
+        let every = job.spec.checkpoint_interval_s;
+        let worth = every > 0.0
+            && status == TaskStatus::Running
+            && ran % every > job.spec.checkpoint_cost_s;
         let grace = may_save && worth;
         tracing::debug!(job = %job.id, task = key.task, why, "stopping");
-        self.task_to(key, TaskState::Stopping { machine, attempt, grace });
-        self.needs_orders.insert(machine);
+        self.set_task_state(key, TaskState::Stopping { machine, attempt, grace });
+        self.machines_to_command.insert(machine);
     }
 
     /// Machines that will be taken, or are faulty: what can save is told to.
     pub(crate) fn drain(&mut self) {
-        let now = self.now.steady_ms;
-        let slack = 2 * self.cfg.report_ms();
+        let now = self.context.now.steady_ms;
+        let slack = 2 * self.context.config.heartbeat_interval_ms();
         let mut stop: Vec<TaskKey> = Vec::new();
         for (_, m) in self.machines.iter() {
-            if m.recall_ms.is_none() && !m.condemned(now) {
+            if m.interruption_at_ms.is_none() && !m.condemned(now) {
                 continue;
             }
-            let left_ms = m.recall_ms.map(|r| r.saturating_sub(now));
+            let left_ms = m.interruption_at_ms.map(|r| r.saturating_sub(now));
             for k in m.tasks.keys() {
                 let Some(j) = self.jobs.get(k.job) else { continue };
                 let Some(t) = j.task(k.task) else { continue };
                 let TaskState::On { status, .. } = t.state else { continue };
-                let saves = j.spec.checkpoint_s > 0.0;
-                let save_ms = (j.spec.save_s * 1500.0) as u64 + slack;
+                let saves = j.spec.checkpoint_interval_s > 0.0;
+                let save_ms = (j.spec.checkpoint_cost_s * 1500.0) as u64 + slack;
                 // A saver runs on until just before it must save; the rest may finish.
                 let due = match left_ms {
                     Some(left) => saves && left <= save_ms || status != TaskStatus::Running,
--- a/crates/core/src/gang.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -4,13 +4,13 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use quartzgate_wire::msg::{Rank, Shape, TaskStatus};
+use quartzgate_wire::msg::{JobKind, Priority, TaskStatus};
 
 use crate::controller::Controller;
-use crate::ids::{JobIx, MachineIx, TaskKey};
+use crate::fleet::machines::Resources;
+use crate::ids::{JobIndex, MachineIndex, TaskKey};
 use crate::jobs::{Job, JobState, TaskState};
-use crate::machines::Room;
-use crate::records::CHUNK;
+use crate::storage::records::TASKS_PER_CHUNK;
 
 /// Where a gang stands, as its tasks show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,25 +29,30 @@
 enum Plan {
     Made,
     /// There are places for some of it only.
-    Short(Vec<MachineIx>),
+    Short(Vec<MachineIndex>),
     /// It can't be planned now, whatever room there is.
     Later,
 }
 
 /// Room of a machine that gangs are to start on, or that is gathered for one.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Held {
-    pub room: Room,
+pub(crate) struct GangHold {
+    pub room: Resources,
     /// The most urgent of those that it is held for: it is theirs before others' of this
     /// priority and below.
-    pub rank: Rank,
+    pub priority: Priority,
 }
 
-impl Held {
-    fn add(held: &mut BTreeMap<MachineIx, Held>, ix: MachineIx, rank: Rank, need: &Room) {
-        let h = held.entry(ix).or_insert(Held { room: Room::default(), rank });
+impl GangHold {
+    fn add(
+        held: &mut BTreeMap<MachineIndex, GangHold>,
+        ix: MachineIndex,
+        priority: Priority,
+        need: &Resources,
+    ) {
+        let h = held.entry(ix).or_insert(GangHold { room: Resources::default(), priority });
         h.room.add(need, 1.0);
-        h.rank = h.rank.max(rank);
+        h.priority = h.priority.max(priority);
     }
 }
 
@@ -59,7 +64,7 @@
         let (mut idle, mut on, mut unproven) = (job.chunks.is_empty(), false, false);
         for (_, t) in job.tasks() {
             match t.state {
-                TaskState::Undealt | TaskState::Waiting => idle = true,
+                TaskState::Unplaced | TaskState::Waiting => idle = true,
                 TaskState::Unproven => unproven = true,
                 TaskState::Done { .. } | TaskState::Dropped => {}
                 _ => on = true,
@@ -81,76 +86,90 @@
     /// smaller ones that come later do not keep it out for ever. An older one always gathers
     /// before a younger one, so that no two hold what the other lacks.
     pub(crate) fn tick_gangs(&mut self) {
-        let mut gangs: Vec<(Reverse<Rank>, u64, JobIx)> = self
+        let mut gangs: Vec<(Reverse<Priority>, u64, JobIndex)> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.spec.shape == Shape::Gang && j.state == JobState::Live && !j.busy)
-            .map(|(ix, j)| (Reverse(j.rank), j.ready_ms, ix))
+            .filter(|(_, j)| j.spec.shape == JobKind::Gang && j.state == JobState::Live && !j.busy)
+            .map(|(ix, j)| (Reverse(j.priority), j.ready_ms, ix))
             .collect();
         gangs.sort_unstable();
-        let mut held: BTreeMap<MachineIx, Held> = BTreeMap::new();
+        let mut held: BTreeMap<MachineIndex, GangHold> = BTreeMap::new();
         let mut homeless = Vec::new();
-        for (Reverse(rank), _, ix) in gangs {
+        for (Reverse(priority), _, ix) in gangs {
             let Some(job) = self.jobs.get(ix) else { continue };
             match GangState::of(job) {
-                GangState::Idle if self.start_gang(ix) => self.hold_planned(ix, rank, &mut held),
-                GangState::Idle => homeless.push((rank, ix)),
+                GangState::Idle if self.start_gang(ix) => {
+                    self.hold_planned(ix, priority, &mut held)
+                }
+                GangState::Idle => homeless.push((priority, ix)),
                 GangState::Broken => self.break_gang(ix),
                 GangState::Together | GangState::Unproven => {}
             }
         }
-        for (rank, ix) in homeless {
-            match self.plan_gang(ix, rank, &held) {
-                Plan::Made => self.hold_planned(ix, rank, &mut held),
+        for (priority, ix) in homeless {
+            match self.plan_gang(ix, priority, &held) {
+                Plan::Made => self.hold_planned(ix, priority, &mut held),
                 Plan::Short(places) if self.gathers(ix) => {
-                    let Some(need) = self.jobs.get(ix).map(|j| j.room()) else { continue };
-                    places.into_iter().for_each(|m| Held::add(&mut held, m, rank, &need));
+                    let Some(need) = self.jobs.get(ix).map(|j| j.resources()) else { continue };
+                    places.into_iter().for_each(|m| GangHold::add(&mut held, m, priority, &need));
                 }
                 Plan::Short(_) | Plan::Later => {}
             }
         }
-        self.held = held;
+        self.gang_holds = held;
     }
 
     /// Holds the places that a gang was planned to start on.
-    fn hold_planned(&self, ix: JobIx, rank: Rank, held: &mut BTreeMap<MachineIx, Held>) {
+    fn hold_planned(
+        &self,
+        ix: JobIndex,
+        priority: Priority,
+        held: &mut BTreeMap<MachineIndex, GangHold>,
+    ) {
         let Some(job) = self.jobs.get(ix) else { return };
         for (_, t) in job.tasks().filter(|(_, t)| t.state == TaskState::Waiting) {
-            t.probes.iter().for_each(|p| Held::add(held, p.machine, rank, &job.room()));
+            t.probes
+                .iter()
+                .for_each(|p| GangHold::add(held, p.machine, priority, &job.resources()));
         }
     }
 
     /// Whether room is gathered for a gang that has found too little: once it has waited for a
     /// part of what its class may wait, for as long as a gang waits for its members at most, and
     /// then not for as long, so that what it lacks does not keep the rest idle for ever.
-    fn gathers(&self, ix: JobIx) -> bool {
+    fn gathers(&self, ix: JobIndex) -> bool {
         let Some(job) = self.jobs.get(ix) else { return false };
-        let gang_ms = (self.cfg.platform.params.workers.gang_wait_s * 1000.0) as u64;
+        let gang_ms = (self.context.config.platform.params.workers.gang_wait_s * 1000.0) as u64;
         let may_ms = self.may_wait_s(&job.spec.class).map_or(gang_ms, |s| (s * 1000.0) as u64);
-        let waited = self.now.wall_ms.saturating_sub(job.ready_ms);
+        let waited = self.context.now.wall_ms.saturating_sub(job.ready_ms);
         let from = may_ms / GATHER_PART;
         waited >= from && ((waited - from) / gang_ms.max(1)).is_multiple_of(2)
     }
 
     /// The whole gang fits a set of machines, or is not dealt at all.
-    fn plan_gang(&mut self, ix: JobIx, rank: Rank, held: &BTreeMap<MachineIx, Held>) -> Plan {
-        let now = self.now.steady_ms;
+    fn plan_gang(
+        &mut self,
+        ix: JobIndex,
+        priority: Priority,
+        held: &BTreeMap<MachineIndex, GangHold>,
+    ) -> Plan {
+        let now = self.context.now.steady_ms;
         let Some(job) = self.jobs.get(ix) else { return Plan::Later };
         if job.chunks.values().any(|c| c.busy || c.dirty)
             || job.tasks().any(|(_, t)| t.not_before_ms > now)
         {
             return Plan::Later;
         }
-        let (need, tasks, together) = (job.room(), job.spec.tasks, job.spec.together);
+        let (need, tasks, together) = (job.resources(), job.spec.tasks, job.spec.together);
         let spread = job.spec.spread;
-        let dealt = job.tasks().filter(|(_, t)| t.state.licensed()).count() as u32;
-        let mut all = Room::default();
+        let dealt = job.tasks().filter(|(_, t)| t.state.reserved()).count() as u32;
+        let mut all = Resources::default();
         all.add(&need, f64::from(tasks - dealt));
-        if !self.licence(job.team, &all) {
+        if !self.within_quota(job.team, &all) {
             return Plan::Later;
         }
-        let zones = self.cfg.platform.params.zones.len() as u16;
-        let mut rooms: Vec<(MachineIx, Option<u16>, u32)> = Vec::new();
+        let zones = self.context.config.platform.params.zones.len() as u16;
+        let mut rooms: Vec<(MachineIndex, Option<u16>, u32)> = Vec::new();
         for (mix, m) in self.machines.iter() {
             if !m.takes_work(now)
                 || !self.allows(&job.spec, &m.kind, m.zone, m.spot)
@@ -158,8 +177,8 @@
             {
                 continue;
             }
-            let kept = held.get(&mix).filter(|h| h.rank >= rank);
-            let free = self.free_room(m);
+            let kept = held.get(&mix).filter(|h| h.priority >= priority);
+            let free = self.free_resources(m);
             let free = kept.map_or(free, |h| free.minus(&h.room));
             rooms.push((mix, m.zone, free.holds(&need)));
         }
@@ -176,7 +195,7 @@
         }
         let most = if spread { tasks.div_ceil(2) } else { tasks };
         let mut in_zone: BTreeMap<Option<u16>, u32> = BTreeMap::new();
-        let mut places: Vec<(MachineIx, Option<u16>)> = Vec::with_capacity(tasks as usize);
+        let mut places: Vec<(MachineIndex, Option<u16>)> = Vec::with_capacity(tasks as usize);
         for (mix, zone, holds) in rooms {
             let used = in_zone.entry(zone).or_default();
             let n = holds.min(tasks - places.len() as u32).min(most - *used);
@@ -186,7 +205,7 @@
         if (places.len() as u32) < tasks {
             return Plan::Short(places.into_iter().map(|(m, _)| m).collect());
         }
-        for chunk in 0..tasks.div_ceil(CHUNK) {
+        for chunk in 0..tasks.div_ceil(TASKS_PER_CHUNK) {
             let Some(job) = self.jobs.get(ix) else { return Plan::Later };
             if !job.chunks.contains_key(&chunk) {
                 let len = job.chunk_len(chunk);
@@ -204,19 +223,19 @@
             let key = TaskKey { job: ix, task: n as u32 };
             let fixed = if together || spread { zone } else { None };
             self.set_probes(key, vec![mix], fixed);
-            self.task_to(key, TaskState::Waiting);
-            self.mark_dirty(ix, n as u32 / CHUNK);
+            self.set_task_state(key, TaskState::Waiting);
+            self.mark_dirty(ix, n as u32 / TASKS_PER_CHUNK);
         }
         Plan::Made
     }
 
     /// Starts a gang whose places are on record and still free. False if it has to
     /// be placed anew.
-    fn start_gang(&mut self, ix: JobIx) -> bool {
-        if !self.commands_workers() {
+    fn start_gang(&mut self, ix: JobIndex) -> bool {
+        if !self.may_command_workers() {
             return true;
         }
-        let now = self.now.steady_ms;
+        let now = self.context.now.steady_ms;
         let Some(job) = self.jobs.get(ix) else { return true };
         if job.chunks.is_empty() || job.done >= job.spec.tasks {
             return job.done > 0;
@@ -224,8 +243,8 @@
         if job.chunks.values().any(|c| c.busy || c.dirty) {
             return true;
         }
-        let need = job.room();
-        let mut wanted: BTreeMap<MachineIx, Room> = BTreeMap::new();
+        let need = job.resources();
+        let mut wanted: BTreeMap<MachineIndex, Resources> = BTreeMap::new();
         let mut places = Vec::new();
         for (n, t) in job.tasks() {
             let key = TaskKey { job: ix, task: n };
@@ -236,12 +255,14 @@
             places.push((key, p.machine));
         }
         let fits = wanted.iter().all(|(m, room)| {
-            self.machines.get(*m).is_some_and(|m| m.takes_work(now) && self.free_room(m).fits(room))
+            self.machines
+                .get(*m)
+                .is_some_and(|m| m.takes_work(now) && self.free_resources(m).fits(room))
         });
         if !fits || places.len() as u32 != job.spec.tasks {
             return false;
         }
-        let mut all = Room::default();
+        let mut all = Resources::default();
         all.add(&need, places.len() as f64);
         if job.unsure || !self.may_start(job.team, &all) {
             return true;
@@ -255,22 +276,22 @@
 
     /// A gang that has lost a task: those that run notice by themselves, those that
     /// wait for the others are told.
-    fn break_gang(&mut self, ix: JobIx) {
+    fn break_gang(&mut self, ix: JobIndex) {
         let waits = |s| matches!(s, TaskStatus::Waiting | TaskStatus::Fetching);
         self.stop_members(ix, false, waits);
     }
 
     /// Tells all of a gang to stop at once, so that its progress is saved.
-    pub(crate) fn stop_gang(&mut self, ix: JobIx) {
+    pub(crate) fn stop_gang(&mut self, ix: JobIndex) {
         let Some(job) = self.jobs.get(ix) else { return };
-        let grace = job.spec.checkpoint_s > 0.0;
+        let grace = job.spec.checkpoint_interval_s > 0.0;
         self.stop_members(ix, grace, |_| true);
     }
 
     /// Tells those of a gang's tasks to stop whose status is as wanted.
-    fn stop_members(&mut self, ix: JobIx, grace: bool, wanted: impl Fn(TaskStatus) -> bool) {
+    fn stop_members(&mut self, ix: JobIndex, grace: bool, wanted: impl Fn(TaskStatus) -> bool) {
         let Some(job) = self.jobs.get(ix) else { return };
-        let on: Vec<(TaskKey, MachineIx, u64)> = job
+        let on: Vec<(TaskKey, MachineIndex, u64)> = job
             .tasks()
             .filter_map(|(n, t)| match t.state {
                 TaskState::On { machine, attempt, status, .. } if wanted(status) => {
@@ -280,13 +301,13 @@
             })
             .collect();
         for (key, machine, attempt) in on {
-            self.task_to(key, TaskState::Stopping { machine, attempt, grace });
-            self.needs_orders.insert(machine);
+            self.set_task_state(key, TaskState::Stopping { machine, attempt, grace });
+            self.machines_to_command.insert(machine);
         }
     }
 
     /// One task of a gang is done, and so all are.
-    pub(crate) fn gang_done(&mut self, ix: JobIx) {
+    pub(crate) fn gang_done(&mut self, ix: JobIndex) {
         let Some(job) = self.jobs.get(ix) else { return };
         let rest: Vec<u32> = job.tasks().map(|(n, _)| n).collect();
         for task in rest {
--- a/crates/core/src/deal.rs
+++ b/crates/core/src/placement/placer.rs
@@ -5,18 +5,18 @@
 
 use std::collections::BTreeMap;
 
-use quartzgate_wire::msg::{JobSpec, Rank, Shape};
+use quartzgate_wire::msg::{JobKind, JobSpec, Priority};
 
 use crate::controller::Controller;
-use crate::field::Field;
-use crate::gang::Held;
-use crate::ids::{JobIx, MachineIx, TaskKey};
+use crate::fleet::machines::{Machine, Resources};
+use crate::ids::{JobIndex, MachineIndex, TaskKey};
 use crate::jobs::{Job, JobState, Probe, Task, TaskState};
-use crate::machines::{Machine, Room};
-use crate::records::CHUNK;
+use crate::placement::candidates::Candidates;
+use crate::placement::gangs::GangHold;
+use crate::storage::records::TASKS_PER_CHUNK;
 
 /// Chunks of one job that may be under way at a time.
-pub(crate) const OPEN_CHUNKS: usize = 16;
+pub(crate) const MAX_OPEN_CHUNKS: usize = 16;
 /// What a probe takes of a record at most: a machine's name and its places.
 const PROBE_BYTES: f64 = 40.0;
 /// Tasks dealt in one go; the rest follow at the next event.
@@ -27,55 +27,60 @@
 const LOOK_AT_ONCE: u32 = 8 * DEAL_AT_ONCE;
 
 /// CPUs of waiting tasks by rank, and of all usable machines.
-pub(crate) struct Backlog {
-    waiting: BTreeMap<Rank, f64>,
+pub(crate) struct PlacementBacklog {
+    waiting: BTreeMap<Priority, f64>,
     all: f64,
 }
 
-impl Backlog {
+impl PlacementBacklog {
     /// Whether so much of this rank and above waits that more need not be dealt yet.
-    pub fn full(&self, rank: Rank) -> bool {
-        self.waiting.range(rank..).map(|(_, cpus)| cpus).sum::<f64>() > 0.5 * self.all
+    pub fn full(&self, priority: Priority) -> bool {
+        self.waiting.range(priority..).map(|(_, cpus)| cpus).sum::<f64>() > 0.5 * self.all
     }
 
-    fn add(&mut self, rank: Rank, cpus: f64) {
-        *self.waiting.entry(rank).or_default() += cpus;
+    fn add(&mut self, priority: Priority, cpus: f64) {
+        *self.waiting.entry(priority).or_default() += cpus;
     }
 }
 
 impl Controller {
     /// Work without haste of a team without a guarantee: it uses what is spare.
-    pub(crate) fn guest(&self, job: &Job) -> bool {
-        self.guests(job.team, job.rank)
+    pub(crate) fn is_best_effort(&self, job: &Job) -> bool {
+        self.best_effort(job.team, job.priority)
     }
 
     /// The same, of a team's work of this priority.
-    pub(crate) fn guests(&self, team: usize, rank: Rank) -> bool {
-        let team = &self.cfg.platform.params.teams[team];
-        rank == Rank::Low && team.cpus <= 0.0 && team.gpus <= 0.0
+    pub(crate) fn best_effort(&self, team: usize, priority: Priority) -> bool {
+        let team = &self.context.config.platform.params.teams[team];
+        priority == Priority::Low && team.cpus <= 0.0 && team.gpus <= 0.0
     }
 
-    pub(crate) fn capacity_of(&self, kind: &str) -> Option<Room> {
+    pub(crate) fn capacity_of(&self, kind: &str) -> Option<Resources> {
         let t = self.types.iter().find(|t| t.name == kind)?;
-        Some(Room { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb })
+        Some(Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb })
     }
 
-    pub(crate) fn free_room(&self, m: &Machine) -> Room {
-        self.capacity_of(&m.kind).map_or(Room::default(), |c| c.minus(&m.used))
+    pub(crate) fn free_resources(&self, m: &Machine) -> Resources {
+        self.capacity_of(&m.kind).map_or(Resources::default(), |c| c.minus(&m.used))
     }
 
     /// Room of a machine for a job: what is held for gangs that are no less urgent is not for
     /// others.
-    pub(crate) fn room_for(&self, ix: MachineIx, m: &Machine, job: &Job) -> Room {
-        self.less_held(self.free_room(m), self.held.get(&ix), job)
+    pub(crate) fn resources_for(&self, ix: MachineIndex, m: &Machine, job: &Job) -> Resources {
+        self.without_gang_holds(self.free_resources(m), self.gang_holds.get(&ix), job)
     }
 
     /// What of a machine's free room is a job's to use.
-    pub(crate) fn less_held(&self, free: Room, held: Option<&Held>, job: &Job) -> Room {
+    pub(crate) fn without_gang_holds(
+        &self,
+        free: Resources,
+        held: Option<&GangHold>,
+        job: &Job,
+    ) -> Resources {
         let mut room = free;
-        if let Some(h) = held.filter(|h| h.rank >= job.rank) {
+        if let Some(h) = held.filter(|h| h.priority >= job.priority) {
             room = room.minus(&h.room);
-        } else if job.spec.gpus <= 0.0 && job.rank < Rank::Production {
+        } else if job.spec.gpus <= 0.0 && job.priority < Priority::Production {
             room = room.minus(&self.beside_gpus(&free));
         }
         room
@@ -83,7 +88,7 @@
 
     /// Type, zone and kind of machine that a job allows.
     pub(crate) fn allows(&self, spec: &JobSpec, kind: &str, zone: Option<u16>, spot: bool) -> bool {
-        let zones = &self.cfg.platform.params.zones;
+        let zones = &self.context.config.platform.params.zones;
         (spec.spot || !spot)
             && spec.types.as_ref().is_none_or(|t| t.iter().any(|n| n == kind))
             && spec
@@ -93,21 +98,21 @@
     }
 
     /// Whether one more task may be dealt to the team.
-    pub(crate) fn licence(&self, team: usize, room: &Room) -> bool {
-        self.within_limit(team, self.teams[team].licensed, room)
+    pub(crate) fn within_quota(&self, team: usize, room: &Resources) -> bool {
+        self.within_limit(team, self.teams[team].reserved, room)
     }
 
     /// Whether the team may have one more task on machines, taking for granted that all
     /// that may be there is. The records can hold more licences than the limit, after a
     /// deal that came to stand unseen, so that this is asked again before every start.
-    pub(crate) fn may_start(&self, team: usize, room: &Room) -> bool {
+    pub(crate) fn may_start(&self, team: usize, room: &Resources) -> bool {
         let mut there = self.teams[team].placed;
         there.add(&self.teams[team].unproven, 1.0);
         self.within_limit(team, there, room)
     }
 
-    fn within_limit(&self, team: usize, used: Room, more: &Room) -> bool {
-        let limit = &self.cfg.platform.params.teams[team];
+    fn within_limit(&self, team: usize, used: Resources, more: &Resources) -> bool {
+        let limit = &self.context.config.platform.params.teams[team];
         let within = |used: f64, max: f64| max <= 0.0 || used <= max + 1e-6;
         within(used.cpus + more.cpus, limit.cpus_max)
             && within(used.gpus + more.gpus, limit.gpus_max)
@@ -115,41 +120,45 @@
 
     /// Deals what may be dealt, higher priority first, then in order of acceptance; what
     /// looking at machines may cost by now bounds it, and the next call goes on.
-    pub(crate) fn deal_all(&mut self) {
-        let now = self.now.steady_ms;
-        let mut open: Vec<(Rank, u8, u64, JobIx)> = self
+    pub(crate) fn place_all(&mut self) {
+        let now = self.context.now.steady_ms;
+        let mut open: Vec<(Priority, u8, u64, JobIndex)> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.state == JobState::Live && j.next < j.spec.tasks && !j.mistaken())
-            .filter(|(_, j)| now >= j.deal_from_ms)
-            .map(|(ix, j)| (j.rank, j.lost, j.ready_ms, ix))
+            .filter(|(_, j)| {
+                j.state == JobState::Live && j.next < j.spec.tasks && !j.failing_everywhere()
+            })
+            .filter(|(_, j)| now >= j.placement_from_ms)
+            .map(|(ix, j)| (j.priority, j.lost, j.ready_ms, ix))
             .collect();
         if open.is_empty() {
             return;
         }
-        open.sort_by_key(|(rank, lost, at, ix)| (std::cmp::Reverse(*rank), *lost, *at, *ix));
+        open.sort_by_key(|(priority, lost, at, ix)| {
+            (std::cmp::Reverse(*priority), *lost, *at, *ix)
+        });
         let mut backlog = self.backlog();
-        for (rank, _, _, ix) in open {
-            if backlog.full(rank) {
+        for (priority, _, _, ix) in open {
+            if backlog.full(priority) {
                 continue;
             }
-            if !self.effort.left(now) {
-                self.deal_due = true;
+            if !self.search_budget.left(now) {
+                self.placement_due = true;
                 return;
             }
             let asks = |j: &Job| f64::from(j.asking(j.waiting)) * j.spec.cpus;
             let before = self.jobs.get(ix).map_or(0.0, asks);
-            if self.deal_job(ix) {
-                backlog.add(rank, self.jobs.get(ix).map_or(0.0, asks) - before);
+            if self.place_job(ix) {
+                backlog.add(priority, self.jobs.get(ix).map_or(0.0, asks) - before);
             }
         }
     }
 
     /// CPUs of tasks that wait in queues, against those of all usable machines.
-    pub(crate) fn backlog(&self) -> Backlog {
-        let mut waiting: BTreeMap<Rank, f64> = BTreeMap::new();
+    pub(crate) fn backlog(&self) -> PlacementBacklog {
+        let mut waiting: BTreeMap<Priority, f64> = BTreeMap::new();
         for (_, j) in self.jobs.iter().filter(|(_, j)| j.waiting > 0) {
-            *waiting.entry(j.rank).or_default() += f64::from(j.asking(j.waiting)) * j.spec.cpus;
+            *waiting.entry(j.priority).or_default() += f64::from(j.asking(j.waiting)) * j.spec.cpus;
         }
         let all = self
             .machines
@@ -158,7 +167,7 @@
             .filter_map(|(_, m)| self.capacity_of(&m.kind))
             .map(|c| c.cpus)
             .sum();
-        Backlog { waiting, all }
+        PlacementBacklog { waiting, all }
     }
 
     /// Time that a job's image takes to be fetched on a type of machine.
@@ -173,38 +182,38 @@
 
     /// Longest time that the operators would have tasks of a class wait.
     pub(crate) fn may_wait_s(&self, class: &str) -> Option<f64> {
-        let objectives = &self.cfg.platform.params.objectives;
+        let objectives = &self.context.config.platform.params.objectives;
         let waits = objectives.iter().filter(|o| o.kind == "wait");
         waits.filter(|o| o.class.as_deref() == Some(class)).find_map(|o| o.within_s)
     }
 
     /// How many machines a task of this job is probed to.
     fn probe_count(&self, spec: &JobSpec) -> usize {
-        if spec.estimate_s > self.cfg.operator.long_task_s {
+        if spec.estimate_s > self.context.config.operator.long_task_s {
             1
         } else {
             // A share with all of its tasks' machines must fit one write.
             let limits = self.limits();
             let bytes = limits.value_kb * 1024.0 * (limits.txn_ops - 1) as f64;
-            let fit = bytes / (f64::from(CHUNK) * PROBE_BYTES);
-            self.cfg.operator.probes.min((fit as usize).max(1))
+            let fit = bytes / (f64::from(TASKS_PER_CHUNK) * PROBE_BYTES);
+            self.context.config.operator.probes.min((fit as usize).max(1))
         }
     }
 
     /// Deals as many of a job's tasks as licence and backlog allow. Says whether
     /// anything was dealt.
-    pub(crate) fn deal_job(&mut self, ix: JobIx) -> bool {
+    pub(crate) fn place_job(&mut self, ix: JobIndex) -> bool {
         let Some(job) = self.jobs.get(ix) else { return false };
-        if job.spec.shape == Shape::Gang {
+        if job.spec.shape == JobKind::Gang {
             return false;
         }
-        let (team, need, spec) = (job.team, job.room(), job.spec.clone());
-        if !self.licence(team, &need) || !job.may_open() {
+        let (team, need, spec) = (job.team, job.resources(), job.spec.clone());
+        if !self.within_quota(team, &need) || !job.may_open() {
             return false;
         }
         let mut field = self.field(ix);
         if field.is_empty() {
-            return self.deal_later(ix);
+            return self.postpone_placement(ix);
         }
         let count = self.probe_count(&spec);
         if spec.together && self.jobs.get(ix).is_some_and(|j| j.zone.is_none()) {
@@ -214,14 +223,14 @@
             }
         }
         let mut dealt = 0;
-        while dealt < DEAL_AT_ONCE && self.licence(team, &need) {
+        while dealt < DEAL_AT_ONCE && self.within_quota(team, &need) {
             let Some(job) = self.jobs.get(ix) else { break };
             if job.next >= job.spec.tasks {
                 break;
             }
-            let (n, chunk) = (job.next, job.next / CHUNK);
+            let (n, chunk) = (job.next, job.next / TASKS_PER_CHUNK);
             if job.in_done_chunk(n) {
-                let last = (chunk + 1) * CHUNK;
+                let last = (chunk + 1) * TASKS_PER_CHUNK;
                 let tasks = job.spec.tasks;
                 if let Some(j) = self.jobs.get_mut(ix) {
                     j.next = last.min(tasks);
@@ -239,8 +248,8 @@
                 }
             }
             let key = TaskKey { job: ix, task: n };
-            let untouched = self.jobs.task(key).map(|t| t.state) == Some(TaskState::Undealt);
-            if untouched && !self.deal_task(key, &mut field, count) {
+            let untouched = self.jobs.task(key).map(|t| t.state) == Some(TaskState::Unplaced);
+            if untouched && !self.place_task(key, &mut field, count) {
                 break;
             }
             if let Some(j) = self.jobs.get_mut(ix) {
@@ -248,33 +257,33 @@
             }
             dealt += 1;
         }
-        dealt > 0 || self.deal_later(ix)
+        dealt > 0 || self.postpone_placement(ix)
     }
 
     /// No machine can take a task of the job: it is not looked at again at every event.
-    fn deal_later(&mut self, ix: JobIx) -> bool {
-        let later = self.now.steady_ms + self.cfg.batch_ms();
+    fn postpone_placement(&mut self, ix: JobIndex) -> bool {
+        let later = self.context.now.steady_ms + self.context.config.write_batch_ms();
         if let Some(j) = self.jobs.get_mut(ix) {
-            j.deal_from_ms = later;
+            j.placement_from_ms = later;
         }
         false
     }
 
-    fn deal_task(&mut self, key: TaskKey, field: &mut Field, count: usize) -> bool {
+    fn place_task(&mut self, key: TaskKey, field: &mut Candidates, count: usize) -> bool {
         let Some(zone) = self.zone_for(key, field) else { return false };
         let picks = field.choose(self, zone, count, &[]);
         if picks.is_empty() {
             return false;
         }
         self.set_probes(key, picks, zone);
-        self.task_to(key, TaskState::Waiting);
-        self.mark_dirty(key.job, key.task / CHUNK);
+        self.set_task_state(key, TaskState::Waiting);
+        self.mark_dirty(key.job, key.task / TASKS_PER_CHUNK);
         true
     }
 
     /// Zone that the deal fixes for a task: `Some(None)` if its job has no zone
     /// rule, `None` if no zone can take it now.
-    fn zone_for(&self, key: TaskKey, field: &Field) -> Option<Option<u16>> {
+    fn zone_for(&self, key: TaskKey, field: &Candidates) -> Option<Option<u16>> {
         let job = self.jobs.get(key.job)?;
         if job.spec.together {
             return job.zone.map(Some);
@@ -288,10 +297,10 @@
 
     /// Tasks of the job other than this one, by the zone that they are dealt to.
     fn zone_counts(&self, key: TaskKey) -> Vec<u32> {
-        let mut counts = vec![0; self.cfg.platform.params.zones.len()];
+        let mut counts = vec![0; self.context.config.platform.params.zones.len()];
         let Some(job) = self.jobs.get(key.job) else { return counts };
         for (n, t) in job.tasks() {
-            if n == key.task || !t.state.licensed() {
+            if n == key.task || !t.state.reserved() {
                 continue;
             }
             match t.zone {
@@ -305,12 +314,17 @@
 
     /// Gives a task the machines that it may start on, beside those where an
     /// earlier owner may have started it.
-    pub(crate) fn set_probes(&mut self, key: TaskKey, machines: Vec<MachineIx>, zone: Option<u16>) {
+    pub(crate) fn set_probes(
+        &mut self,
+        key: TaskKey,
+        machines: Vec<MachineIndex>,
+        zone: Option<u16>,
+    ) {
         let Some(job) = self.jobs.get_mut(key.job) else { return };
         let Some(c) = job.chunk_of(key.task) else { return };
         let version = c.version + 1;
-        c.pressing = true;
-        let Some(task) = c.tasks.get_mut((key.task % CHUNK) as usize) else { return };
+        c.blocks_starts = true;
+        let Some(task) = c.tasks.get_mut((key.task % TASKS_PER_CHUNK) as usize) else { return };
         let old = std::mem::take(&mut task.probes);
         task.zone = zone;
         let mut probes: Vec<Probe> = Vec::with_capacity(machines.len());
@@ -323,9 +337,9 @@
             let kept = old.iter().find(|p| p.machine == machine).copied();
             probes.push(kept.unwrap_or(Probe { machine, version, unproven: false }));
         }
-        let keep: Vec<MachineIx> = probes.iter().map(|p| p.machine).collect();
+        let serve_by_proxy: Vec<MachineIndex> = probes.iter().map(|p| p.machine).collect();
         task.probes = probes;
-        for p in old.iter().filter(|p| !keep.contains(&p.machine)) {
+        for p in old.iter().filter(|p| !serve_by_proxy.contains(&p.machine)) {
             if let Some(m) = self.machines.get_mut(p.machine) {
                 m.queue.retain(|k| *k != key);
             }
@@ -335,7 +349,7 @@
     /// Puts a waiting task into the queues of its machines.
     pub(crate) fn enqueue(&mut self, key: TaskKey) {
         let Some(task) = self.jobs.task(key) else { return };
-        let machines: Vec<MachineIx> = task.probes.iter().map(|p| p.machine).collect();
+        let machines: Vec<MachineIndex> = task.probes.iter().map(|p| p.machine).collect();
         let mut queued = false;
         for ix in machines {
             let Some(m) = self.machines.get_mut(ix) else { continue };
@@ -346,7 +360,7 @@
             if !m.queue.contains(&key) {
                 m.queue.push(key);
             }
-            self.touched.insert(ix);
+            self.machines_to_dispatch.insert(ix);
         }
         if !queued {
             self.reprobe_due = true;
@@ -356,19 +370,19 @@
     /// Gives waiting tasks other machines where theirs are gone or full and others
     /// have room. Costs a write, so it happens once a round or when supply changes.
     pub(crate) fn reprobe(&mut self) {
-        let now = self.now.steady_ms;
+        let now = self.context.now.steady_ms;
         self.reprobe_due = false;
-        let mut jobs: Vec<(Rank, u8, f64, JobIx)> = Vec::new();
+        let mut jobs: Vec<(Priority, u8, f64, JobIndex)> = Vec::new();
         for (ix, job) in self.jobs.iter() {
-            let gang = job.spec.shape == Shape::Gang;
+            let gang = job.spec.shape == JobKind::Gang;
             if job.state == JobState::Live && job.waiting > 0 && !gang && job.may_try(now) {
-                jobs.push((job.rank, job.lost, job.remaining_s(), ix));
+                jobs.push((job.priority, job.lost, job.remaining_s(), ix));
             }
         }
         if jobs.is_empty() {
             return;
         }
-        if !self.effort.left(now) {
+        if !self.search_budget.left(now) {
             self.reprobe_due = true;
             return;
         }
@@ -385,22 +399,22 @@
             let ready = |t: &Task| t.state == TaskState::Waiting && t.not_before_ms <= now;
             let waiting = job.tasks().filter(|(_, t)| ready(t)).take(most);
             let keys: Vec<TaskKey> = waiting.map(|(task, _)| TaskKey { job: ix, task }).collect();
-            if !self.effort.left(now) {
+            if !self.search_budget.left(now) {
                 self.reprobe_due = true;
                 return;
             }
             // One more than a task can have among its own tells of one elsewhere.
             let room = self.roomy_for(&roomy, ix, ELSEWHERE);
-            let mut field: Option<Field> = None;
+            let mut field: Option<Candidates> = None;
             for key in keys {
                 if looked >= LOOK_AT_ONCE || moved >= DEAL_AT_ONCE {
                     self.reprobe_due = true;
                     return;
                 }
                 looked += 1;
-                self.effort.spend(now, 1);
+                self.search_budget.spend(now, 1);
                 if !self.served(key, &room) {
-                    if field.is_none() && !self.effort.left(now) {
+                    if field.is_none() && !self.search_budget.left(now) {
                         self.reprobe_due = true;
                         return;
                     }
@@ -413,33 +427,33 @@
 
     /// Whether a waiting task is as well placed as it can be: a machine of its own has
     /// room, or one lives and no other has any.
-    fn served(&mut self, key: TaskKey, room: &[MachineIx]) -> bool {
+    fn served(&mut self, key: TaskKey, room: &[MachineIndex]) -> bool {
         // A machine may have become usable since the task began to wait.
         self.enqueue(key);
         let Some(job) = self.jobs.get(key.job) else { return true };
         let Some(task) = job.task(key.task) else { return true };
-        let need = job.room();
+        let need = job.resources();
         let (mut live, mut has_room) = (false, false);
         for p in &task.probes {
             let Some(m) = self.machines.get(p.machine).filter(|m| m.usable()) else { continue };
-            live |= self.may_come_free(m, job.rank, &need);
-            has_room |=
-                self.room_for(p.machine, m, job).fits(&need) && !job.errors_on.contains(&p.machine);
+            live |= self.may_come_free(m, job.priority, &need);
+            has_room |= self.resources_for(p.machine, m, job).fits(&need)
+                && !job.errors_on.contains(&p.machine);
         }
-        let elsewhere = |ix: &MachineIx| !task.probes.iter().any(|p| p.machine == *ix);
+        let elsewhere = |ix: &MachineIndex| !task.probes.iter().any(|p| p.machine == *ix);
         has_room || live && !room.iter().any(elsewhere)
     }
 
     /// Gives a waiting task other machines, if that helps.
-    fn reprobe_task(&mut self, key: TaskKey, field: &mut Field) -> bool {
+    fn reprobe_task(&mut self, key: TaskKey, field: &mut Candidates) -> bool {
         let Some(job) = self.jobs.get(key.job) else { return false };
         let Some(task) = job.task(key.task) else { return false };
         let (spec, fixed, avoid) = (job.spec.clone(), job.zone, job.errors_on.clone());
-        let (rank, need) = (job.rank, job.room());
+        let (priority, need) = (job.priority, job.resources());
         let usable = |p: &&Probe| self.machines.get(p.machine).is_some_and(|m| m.usable());
         let may_serve = |p: &Probe| {
             let m = self.machines.get(p.machine).filter(|m| m.usable());
-            m.is_some_and(|m| self.may_come_free(m, rank, &need))
+            m.is_some_and(|m| self.may_come_free(m, priority, &need))
         };
         let live = task.probes.iter().any(may_serve);
         if live && !field.roomy(None) {
@@ -447,7 +461,7 @@
         }
         // What was chosen last has to stand before it is chosen anew: otherwise a task whose
         // record waits for its turn would be given others for ever, and never start.
-        let acked = job.chunks.get(&(key.task / CHUNK)).map_or(0, |c| c.acked);
+        let acked = job.chunks.get(&(key.task / TASKS_PER_CHUNK)).map_or(0, |c| c.acked);
         if task.probes.iter().filter(usable).any(|p| p.version > acked) {
             return false;
         }
@@ -465,18 +479,18 @@
         }
         self.set_probes(key, picks, zone);
         self.enqueue(key);
-        self.mark_dirty(key.job, key.task / CHUNK);
+        self.mark_dirty(key.job, key.task / TASKS_PER_CHUNK);
         true
     }
 
     /// Machines that waiting tasks of this job are probed to may bind now.
-    pub(crate) fn touch_probed(&mut self, ix: JobIx) {
+    pub(crate) fn touch_probed(&mut self, ix: JobIndex) {
         let Some(job) = self.jobs.get(ix) else { return };
-        let machines: Vec<MachineIx> = job
+        let machines: Vec<MachineIndex> = job
             .tasks()
             .filter(|(_, t)| t.state == TaskState::Waiting)
             .flat_map(|(_, t)| t.probes.iter().map(|p| p.machine))
             .collect();
-        self.touched.extend(machines);
+        self.machines_to_dispatch.extend(machines);
     }
 }
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Ordering;
 
-use quartzgate_wire::msg::Rank;
+use quartzgate_wire::msg::Priority;
 
 /// How probes of equal standing are ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 /// A probe as the order sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Standing {
-    pub rank: Rank,
+    pub priority: Priority,
     /// The task falls within its team's guarantee.
     pub guaranteed: bool,
     /// Deadlines of its job that can't be met any more.
@@ -41,8 +41,8 @@
 }
 
 impl Standing {
-    fn class(&self) -> (Rank, bool) {
-        (self.rank, self.guaranteed)
+    fn class(&self) -> (Priority, bool) {
+        (self.priority, self.guaranteed)
     }
 
     fn before(&self, other: &Standing, order: QueueOrder, cap: u32) -> Ordering {
@@ -103,5 +103,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/queue.rs"]
+#[path = "../../tests/unit/queue.rs"]
 mod tests;
--- a/crates/core/src/wait.rs
+++ b/crates/core/src/placement/wait.rs
@@ -21,5 +21,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/wait.rs"]
+#[path = "../../tests/unit/wait.rs"]
 mod tests;
--- a/crates/core/src/format.rs
+++ b/crates/core/src/storage/feature_state.rs
@@ -6,16 +6,18 @@
 
 use enumset::EnumSet;
 use quartzgate_ladder::{Due, Feature, Ladder, NodeRecord, StandingRecord, Stands, StillThere};
-use quartzgate_wire::msg::{Change, Guard, Pair, PairList, Transaction, TransactionAnswer};
+use quartzgate_wire::msg::{Change, Guard, KeyValue, KeyValueList, Transaction, TransactionAnswer};
 use quartzgate_wire::settings::StateLimits;
 use quartzgate_wire::{from_cbor, to_cbor};
 
 use crate::config::Config;
-use crate::controller::{Controller, Pending};
-use crate::records::{decode, encode, member_key, FORMAT, FORMAT_NODES, MEMBERS, VIEW};
+use crate::controller::{Controller, InFlight};
+use crate::storage::records::{
+    decode, encode, member_key, EPOCH_KEY, FORMAT_KEY, FORMAT_NODE_PREFIX, MEMBER_PREFIX,
+};
 use crate::Outcome;
 
-pub(crate) struct Format {
+pub(crate) struct FeatureState {
     pub ladder: Ladder,
     /// What is known to be on.
     on: EnumSet<Feature>,
@@ -23,39 +25,39 @@
     due_ms: u64,
 }
 
-impl Format {
+impl FeatureState {
     pub fn new(cfg: &Config) -> Self {
         let ladder = Ladder::new(cfg.table, cfg.operator.withheld());
-        Format { ladder, on: EnumSet::empty(), asking: false, due_ms: 0 }
+        FeatureState { ladder, on: EnumSet::empty(), asking: false, due_ms: 0 }
     }
 }
 
 fn node_key(node: &str) -> String {
-    format!("{FORMAT_NODES}{node}")
+    format!("{FORMAT_NODE_PREFIX}{node}")
 }
 
 impl Controller {
     /// A feature is known to be on.
     pub(crate) fn has(&self, feature: Feature) -> bool {
-        self.format.on.contains(feature)
+        self.feature_state.on.contains(feature)
     }
 
     /// A later version's records are nothing to meddle with.
     pub(crate) fn foreign_format(&self) -> bool {
-        self.format.ladder.foreign()
+        self.feature_state.ladder.foreign()
     }
 
     /// It is known what the records mean.
     pub(crate) fn knows_format(&self) -> bool {
-        matches!(self.format.ladder.stands(), Stands::At(_))
+        matches!(self.feature_state.ladder.stands(), Stands::At(_))
     }
 
     /// Limits of the state service to keep to: those to come as well once that is agreed,
     /// since they change without notice.
     pub(crate) fn limits(&self) -> &StateLimits {
         match self.has(Feature::LowLimits) {
-            true => &self.cfg.lowest,
-            false => &self.cfg.platform.params.state,
+            true => &self.context.config.lowest,
+            false => &self.context.config.platform.params.state,
         }
     }
 
@@ -65,12 +67,12 @@
     }
 
     /// Takes in what is known to stand now.
-    fn stands(&mut self, stands: Stands, stamp: u64) {
-        if !self.format.ladder.stands_to(stands, stamp) {
+    fn stands(&mut self, stands: Stands, revision: u64) {
+        if !self.feature_state.ladder.stands_to(stands, revision) {
             return;
         }
-        let ladder = &self.format.ladder;
-        self.format.on = Feature::all().filter(|f| ladder.has(f.name())).collect();
+        let ladder = &self.feature_state.ladder;
+        self.feature_state.on = Feature::all().filter(|f| ladder.has(f.name())).collect();
         match ladder.stands() {
             Stands::At(at) => {
                 let (version, alone) = (at.version, at.features.iter());
@@ -85,111 +87,117 @@
             }
             Stands::Unknown => {}
         }
-        self.fit_budgets();
+        self.fit_rate_limits();
     }
 
     /// Reads how things stand until all that this version knows is on; leaves our own key,
     /// and takes a step when its time has come.
     pub(crate) fn tick_format(&mut self) {
-        let now = self.now.steady_ms;
-        let ladder = &self.format.ladder;
-        let settled = ladder.complete() && !ladder.key_wanted(&self.cfg.platform.node, None);
-        if settled || self.format.asking || now < self.format.due_ms {
+        let now = self.context.now.steady_ms;
+        let ladder = &self.feature_state.ladder;
+        let settled =
+            ladder.complete() && !ladder.key_wanted(&self.context.config.platform.node, None);
+        if settled || self.feature_state.asking || now < self.feature_state.due_ms {
             return;
         }
-        self.format.asking = true;
+        self.feature_state.asking = true;
         // Without our consent nothing comes: a look now and then shows who else holds it.
         let hopeful = ladder.hopeful();
-        self.format.due_ms =
-            now + if hopeful { self.cfg.renew_every_ms() } else { self.cfg.lease_ms() };
-        let target = format!("/keys?starts={FORMAT}");
-        self.state_call("GET", target, Vec::new(), Pending::FormatRead);
+        self.feature_state.due_ms = now
+            + if hopeful {
+                self.context.config.lease_renewal_ms()
+            } else {
+                self.context.config.lease_ms()
+            };
+        let target = format!("/keys?starts={FORMAT_KEY}");
+        self.call_store("GET", target, Vec::new(), InFlight::FormatRead);
     }
 
     pub(crate) fn on_format_read(&mut self, outcome: Outcome) {
-        self.format.asking = false;
+        self.feature_state.asking = false;
         let Some(list) = self.listed(outcome) else { return };
         self.see_format(&list.pairs);
         // No settings name so many controllers.
         if list.more || self.foreign_format() {
             return;
         }
-        let word = |pair: &Pair| {
-            let node = pair.path.strip_prefix(FORMAT_NODES)?;
+        let word = |pair: &KeyValue| {
+            let node = pair.path.strip_prefix(FORMAT_NODE_PREFIX)?;
             // What can't be read says nothing of what its controller can do.
             let said = decode::<NodeRecord>(&pair.value)?;
-            Some((node.to_string(), (said, pair.stamp)))
+            Some((node.to_string(), (said, pair.revision)))
         };
         let words = list.pairs.iter().filter_map(word).collect();
-        self.format.ladder.see(words);
+        self.feature_state.ladder.see(words);
         // What a controller can do counts for the life in which it lives now.
-        let unsaid = self.format.ladder.key_wanted(&self.cfg.platform.node, None);
-        if unsaid || !self.format.ladder.complete() {
-            self.format.asking = true;
-            let target = format!("/keys?starts={MEMBERS}");
-            self.state_call("GET", target, Vec::new(), Pending::MembersRead);
+        let unsaid = self.feature_state.ladder.key_wanted(&self.context.config.platform.node, None);
+        if unsaid || !self.feature_state.ladder.complete() {
+            self.feature_state.asking = true;
+            let target = format!("/keys?starts={MEMBER_PREFIX}");
+            self.call_store("GET", target, Vec::new(), InFlight::MembersRead);
         }
     }
 
     /// Who lives, read after what they say.
     pub(crate) fn on_members_read(&mut self, outcome: Outcome) {
-        self.format.asking = false;
+        self.feature_state.asking = false;
         let Some(list) = self.listed(outcome) else { return };
-        let member = |p: &Pair| Some((p.path.strip_prefix(MEMBERS)?.to_string(), p.stamp));
+        let member =
+            |p: &KeyValue| Some((p.path.strip_prefix(MEMBER_PREFIX)?.to_string(), p.revision));
         let members: BTreeMap<String, u64> = list.pairs.iter().filter_map(member).collect();
-        let me = self.cfg.platform.node.clone();
+        let me = self.context.config.platform.node.clone();
         match members.get(&me).copied() {
-            Some(life) if self.format.ladder.key_wanted(&me, Some(life)) => {
+            Some(life) if self.feature_state.ladder.key_wanted(&me, Some(life)) => {
                 self.leave_key(&me, life)
             }
             Some(_) => {}
             // Its write was refused, or got lost.
-            None => self.leave_member_key(),
+            None => self.write_member_key(),
         }
         if self.leads() {
             self.weigh_steps(&members);
         }
     }
 
-    fn listed(&mut self, outcome: Outcome) -> Option<PairList> {
+    fn listed(&mut self, outcome: Outcome) -> Option<KeyValueList> {
         let Outcome::Answer(r) = outcome else { return None };
-        let list = from_cbor::<PairList>(&r.body).ok().filter(|_| r.status == 200)?;
-        self.state_answered();
+        let list = from_cbor::<KeyValueList>(&r.body).ok().filter(|_| r.status == 200)?;
+        self.note_store_answer();
         Some(list)
     }
 
     /// Takes in what stands, as a list of the format's keys shows it.
-    pub(crate) fn see_format(&mut self, pairs: &[Pair]) {
-        let ladder = &self.format.ladder;
-        let (stands, stamp) = match pairs.iter().find(|p| p.path == FORMAT) {
-            Some(pair) => (ladder.understand(decode(&pair.value)), pair.stamp),
+    pub(crate) fn see_format(&mut self, pairs: &[KeyValue]) {
+        let ladder = &self.feature_state.ladder;
+        let (stands, revision) = match pairs.iter().find(|p| p.path == FORMAT_KEY) {
+            Some(pair) => (ladder.understand(decode(&pair.value)), pair.revision),
             None => (ladder.understand(Some(StandingRecord::first())), 0),
         };
-        self.stands(stands, stamp);
+        self.stands(stands, revision);
     }
 
     /// Says for good what this controller can do, and in which life.
     fn leave_key(&mut self, me: &str, life: u64) {
-        let record = NodeRecord { life: Some(life), ..self.format.ladder.can() };
-        let set = Change::Set { set: node_key(me), value: encode(&record), permit: None };
+        let record = NodeRecord { life: Some(life), ..self.feature_state.ladder.can() };
+        let set = Change::Set { set: node_key(me), value: encode(&record), lease_id: None };
         // An earlier life's word that comes late must not stand for this one's.
-        let guards = vec![Guard { path: member_key(me), stamp: life }];
-        self.store.writes.force(self.now.steady_ms, 1.0);
+        let guards = vec![Guard { path: member_key(me), revision: life }];
+        self.record_writer.writes.force(self.context.now.steady_ms, 1.0);
         let body = to_cbor(&Transaction { guards, apply: vec![set] });
         // Looked for by the next read; written again if it is not there.
-        self.state_call("POST", "/multi".into(), body, Pending::MemberKey);
+        self.call_store("POST", "/multi".into(), body, InFlight::MemberKey);
     }
 
     /// Takes the next step if all have it; tells operators what it waits for, when that
     /// changes.
     fn weigh_steps(&mut self, members: &BTreeMap<String, u64>) {
-        let platform = &self.cfg.platform;
+        let platform = &self.context.config.platform;
         let mut named: Vec<String> = platform.siblings.iter().map(|s| s.node.clone()).collect();
         named.push(platform.node.clone());
-        let now = self.now.steady_ms;
-        let before = self.format.ladder.held().to_vec();
-        let due = self.format.ladder.weigh(now, &named, members);
-        for held in self.format.ladder.held() {
+        let now = self.context.now.steady_ms;
+        let before = self.feature_state.ladder.held().to_vec();
+        let due = self.feature_state.ladder.weigh(now, &named, members);
+        for held in self.feature_state.ladder.held() {
             if before.iter().any(|b| b.step == held.step && b.by == held.by) {
                 continue;
             }
@@ -206,30 +214,30 @@
     /// being the one that agreed.
     fn take_step(&mut self, due: Due) {
         let mut guards = vec![
-            Guard { path: FORMAT.into(), stamp: self.format.ladder.stamp() },
-            Guard { path: VIEW.into(), stamp: self.member.view_stamp },
+            Guard { path: FORMAT_KEY.into(), revision: self.feature_state.ladder.stamp() },
+            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision },
         ];
         guards.extend(due.guards.into_iter().map(|g| match g {
-            StillThere::Life { node, stamp } => Guard { path: member_key(&node), stamp },
-            StillThere::Word { node, stamp } => Guard { path: node_key(&node), stamp },
+            StillThere::Life { node, stamp } => Guard { path: member_key(&node), revision: stamp },
+            StillThere::Word { node, stamp } => Guard { path: node_key(&node), revision: stamp },
         }));
         let value = encode(&due.record);
-        let apply = vec![Change::Set { set: FORMAT.into(), value, permit: None }];
-        self.store.writes.force(self.now.steady_ms, 1.0);
+        let apply = vec![Change::Set { set: FORMAT_KEY.into(), value, lease_id: None }];
+        self.record_writer.writes.force(self.context.now.steady_ms, 1.0);
         let body = to_cbor(&Transaction { guards, apply });
         tracing::info!(step = %due.step, "all controllers have it: switching it on");
-        let pending = Pending::Step { record: due.record, epoch: self.epoch() };
-        self.format.asking = true;
-        self.state_call("POST", "/multi".into(), body, pending);
+        let pending = InFlight::Step { record: due.record, epoch: self.epoch() };
+        self.feature_state.asking = true;
+        self.call_store("POST", "/multi".into(), body, pending);
     }
 
     /// Whatever else came of it shows in the next read.
     pub(crate) fn on_step(&mut self, record: Option<StandingRecord>, outcome: Outcome) {
-        (self.format.asking, self.format.due_ms) = (false, 0);
+        (self.feature_state.asking, self.feature_state.due_ms) = (false, 0);
         let (Outcome::Answer(r), Some(record)) = (outcome, record) else { return };
         if let (200, Ok(a)) = (r.status, from_cbor::<TransactionAnswer>(&r.body)) {
-            self.state_answered();
-            self.stands(Stands::At(record), a.ledger_rev);
+            self.note_store_answer();
+            self.stands(Stands::At(record), a.store_revision);
         }
     }
 }
--- a/crates/core/src/pages/index.rs
+++ b/crates/core/src/storage/job_batches/index.rs
@@ -5,14 +5,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use ciborium::value::Value;
-use quartzgate_wire::msg::{ChangeLog, PairList};
+use quartzgate_wire::msg::{ChangeLog, KeyValueList};
 use quartzgate_wire::{from_cbor, to_cbor};
 
-use crate::records::{decode, page_number, JobRecord, PageRecord};
+use crate::storage::records::{batch_number, decode, BatchRecord, JobRecord};
 
 /// One page: its jobs by name, and the rest as it was read.
 struct Held {
-    stamp: u64,
+    revision: u64,
     /// `None` if the page can't be read.
     ids: Option<BTreeSet<String>>,
     value: Vec<u8>,
@@ -43,43 +43,43 @@
         (self.rev > 0 && now_ms < self.at_ms + young_ms).then_some(self.rev)
     }
 
-    fn set(&mut self, key: &str, value: &Value, stamp: u64) {
-        let Some(number) = page_number(key) else { return };
-        if self.held.get(&number).is_some_and(|h| h.stamp >= stamp) {
+    fn set(&mut self, key: &str, value: &Value, revision: u64) {
+        let Some(number) = batch_number(key) else { return };
+        if self.held.get(&number).is_some_and(|h| h.revision >= revision) {
             return;
         }
-        let page: Option<PageRecord> = decode(value);
+        let page: Option<BatchRecord> = decode(value);
         if page.is_none() {
             tracing::error!(number, "a page can't be read; jobs in it can't be told");
         }
         let ids = page.map(|p| p.ids().cloned().collect());
-        self.held.insert(number, Held { stamp, ids, value: to_cbor(value) });
+        self.held.insert(number, Held { revision, ids, value: to_cbor(value) });
     }
 
     /// Takes in some of a list of all pages; what changed while they were read comes with
     /// the changes since the first.
-    pub fn read(&mut self, list: &PairList) {
+    pub fn read(&mut self, list: &KeyValueList) {
         if self.rev == 0 {
-            self.rev = list.ledger_rev;
+            self.rev = list.store_revision;
         }
-        list.pairs.iter().for_each(|p| self.set(&p.path, &p.value, p.stamp));
+        list.pairs.iter().for_each(|p| self.set(&p.path, &p.value, p.revision));
     }
 
     /// Takes in what has changed.
     pub fn follow(&mut self, changes: &ChangeLog) {
         for event in &changes.log {
             match (&event.set, &event.delete, &event.value) {
-                (Some(key), _, Some(value)) => self.set(key, value, event.stamp),
+                (Some(key), _, Some(value)) => self.set(key, value, event.revision),
                 (_, Some(key), _) => {
-                    let Some(number) = page_number(key) else { continue };
-                    if self.held.get(&number).is_some_and(|h| h.stamp < event.stamp) {
+                    let Some(number) = batch_number(key) else { continue };
+                    if self.held.get(&number).is_some_and(|h| h.revision < event.revision) {
                         self.held.remove(&number);
                     }
                 }
                 _ => {}
             }
         }
-        self.rev = self.rev.max(changes.ledger_rev);
+        self.rev = self.rev.max(changes.store_revision);
     }
 
     /// The last page that was there: it is never taken away.
@@ -92,7 +92,7 @@
         for held in self.held.values() {
             match &held.ids {
                 Some(ids) if ids.contains(id) => {
-                    let page: Option<PageRecord> = from_cbor(&held.value).ok();
+                    let page: Option<BatchRecord> = from_cbor(&held.value).ok();
                     let record = page.and_then(|p| p.get(id));
                     return record.map_or(Found::Damaged, |r| Found::Record(Box::new(r)));
                 }
--- a/crates/core/src/shares.rs
+++ b/crates/core/src/storage/placement_records.rs
@@ -6,16 +6,16 @@
 use quartzgate_wire::msg::{Change, Guard, Transaction};
 
 use crate::controller::Controller;
-use crate::ids::JobIx;
+use crate::ids::JobIndex;
 use crate::jobs::{Job, JobState};
-use crate::records::{
-    checked_size, encode, inline_piece, job_key, json_size, pack_share, piece_key, piece_keys,
+use crate::storage::records::{
+    checked_size, encode, inline_piece, job_key, json_size, pack_placement, piece_key, piece_keys,
     JobRecord, RecordedStatus,
 };
 
 /// Where a chunk's record stands once a write of it is executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Placed {
+pub(crate) struct RecordLocation {
     /// Keys over which it is spread.
     pub pieces: u32,
     /// It stands within the job's own record.
@@ -25,11 +25,11 @@
 }
 
 /// A chunk's record, ready to be written over what stands of it.
-pub(crate) struct ShareWrite {
-    pub placed: Placed,
+pub(crate) struct PlacementWrite {
+    pub placed: RecordLocation,
     /// Keys that stand, and their stamp.
     old: u32,
-    stamp: u64,
+    revision: u64,
     values: Vec<Value>,
     /// The job's own record, if it has to change as well, and its stamp.
     own: Option<(Value, u64)>,
@@ -38,7 +38,7 @@
     pub oversize: bool,
 }
 
-impl ShareWrite {
+impl PlacementWrite {
     pub fn changes(&self) -> usize {
         self.placed.pieces.max(self.old) as usize + usize::from(self.placed.own)
     }
@@ -46,17 +46,17 @@
     /// Adds it to a transaction: all pieces, old and new, and the job's own record change
     /// together.
     pub fn enter(self, id: &str, chunk: u32, guards: &mut Vec<Guard>, apply: &mut Vec<Change>) {
-        let (pieces, old, stamp) = (self.placed.pieces, self.old, self.stamp);
-        if let Some((value, stamp)) = self.own {
-            guards.push(Guard { path: job_key(id), stamp });
-            apply.push(Change::Set { set: job_key(id), value, permit: None });
+        let (pieces, old, revision) = (self.placed.pieces, self.old, self.revision);
+        if let Some((value, revision)) = self.own {
+            guards.push(Guard { path: job_key(id), revision });
+            apply.push(Change::Set { set: job_key(id), value, lease_id: None });
         }
         for n in 0..pieces.max(old) {
-            let stamp = if n < old { stamp } else { 0 };
-            guards.push(Guard { path: piece_key(id, chunk, n), stamp });
+            let revision = if n < old { revision } else { 0 };
+            guards.push(Guard { path: piece_key(id, chunk, n), revision });
         }
         for (n, value) in (0..).zip(self.values) {
-            apply.push(Change::Set { set: piece_key(id, chunk, n), value, permit: None });
+            apply.push(Change::Set { set: piece_key(id, chunk, n), value, lease_id: None });
         }
         apply.extend((pieces..old).map(|n| Change::Delete { delete: piece_key(id, chunk, n) }));
     }
@@ -68,12 +68,12 @@
 
 impl Controller {
     /// Removes shares of a job.
-    pub(crate) fn gather_shares(&self, ix: JobIx, chunks: &[u32], txn: &mut Transaction) {
+    pub(crate) fn remove_placements(&self, ix: JobIndex, chunks: &[u32], txn: &mut Transaction) {
         let Some(job) = self.jobs.get(ix) else { return };
         for c in chunks {
             let stands = &job.chunks[c];
             for path in piece_keys(&job.id, *c, stands.pieces) {
-                txn.guards.push(Guard { path: path.clone(), stamp: stands.stamp });
+                txn.guards.push(Guard { path: path.clone(), revision: stands.revision });
                 txn.apply.push(Change::Delete { delete: path });
             }
         }
@@ -111,7 +111,7 @@
     }
 
     /// Whether the share of a job is to stand in the job's own record, if it fits.
-    pub(crate) fn inlines(&self, ix: JobIx) -> bool {
+    pub(crate) fn inlines(&self, ix: JobIndex) -> bool {
         self.has(Feature::InlineShares)
             && self.jobs.get(ix).is_some_and(|j| {
                 j.chunk_count() == 1 && j.chunks.get(&0).is_none_or(|c| c.pieces == 0)
@@ -119,17 +119,25 @@
     }
 
     /// A chunk's record as memory stands now, ready to be written.
-    pub(crate) fn share_write(&mut self, ix: JobIx, chunk: u32) -> Option<ShareWrite> {
-        let record = self.share_record(ix, chunk)?;
+    pub(crate) fn placement_write(&mut self, ix: JobIndex, chunk: u32) -> Option<PlacementWrite> {
+        let record = self.placement_record(ix, chunk)?;
         let most = self.value_most();
         let job = self.jobs.get(ix)?;
         let c = job.chunks.get(&chunk)?;
-        let (old, stamp) = (c.pieces, c.stamp);
+        let (old, revision) = (c.pieces, c.revision);
         if !self.has(Feature::Pieces) {
             let bytes = json_size(&record);
             let (values, oversize) = (vec![encode(&record)], bytes > most);
-            let placed = Placed { pieces: 1, ..Placed::default() };
-            return Some(ShareWrite { placed, old, stamp, values, own: None, bytes, oversize });
+            let placed = RecordLocation { pieces: 1, ..RecordLocation::default() };
+            return Some(PlacementWrite {
+                placed,
+                old,
+                revision,
+                values,
+                own: None,
+                bytes,
+                oversize,
+            });
         }
         let mut own = None;
         if self.inlines(ix) {
@@ -137,32 +145,41 @@
             record_of_job.share = Some(inline_piece(&record));
             let bytes = checked_size(&record_of_job);
             if bytes + SPARE_BYTES <= most {
-                let own = Some((encode(&record_of_job), job.stamp));
-                let placed = Placed { pieces: 0, inline: true, own: true };
+                let own = Some((encode(&record_of_job), job.revision));
+                let placed = RecordLocation { pieces: 0, inline: true, own: true };
                 let (values, oversize) = (Vec::new(), false);
-                return Some(ShareWrite { placed, old, stamp, values, own, bytes, oversize });
+                return Some(PlacementWrite {
+                    placed,
+                    old,
+                    revision,
+                    values,
+                    own,
+                    bytes,
+                    oversize,
+                });
             }
             // It has outgrown the job's record, which must not say any more what it said.
             if c.inline {
                 record_of_job.share = None;
-                own = Some((encode(&record_of_job), job.stamp));
+                own = Some((encode(&record_of_job), job.revision));
             }
         }
         // It leaves its page, and has no record of its own yet.
         if job.own && job.page.is_some() {
-            own = Some((encode(&self.own_record(job)), job.stamp));
+            own = Some((encode(&self.own_record(job)), job.revision));
         }
-        let pieces = pack_share(&record, chunk, most);
+        let pieces = pack_placement(&record, chunk, most);
         let oversize = pieces.iter().any(|p| checked_size(p) > most);
         let bytes =
             pieces.iter().map(json_size).sum::<usize>() + if own.is_some() { most } else { 0 };
         let values: Vec<Value> = pieces.iter().map(encode).collect();
-        let placed = Placed { pieces: values.len() as u32, inline: false, own: own.is_some() };
-        Some(ShareWrite { placed, old, stamp, values, own, bytes, oversize })
+        let placed =
+            RecordLocation { pieces: values.len() as u32, inline: false, own: own.is_some() };
+        Some(PlacementWrite { placed, old, revision, values, own, bytes, oversize })
     }
 
     /// A chunk's record is on its way, perhaps with the job's own.
-    pub(crate) fn chunk_sent(&mut self, ix: JobIx, chunk: u32, placed: Placed) {
+    pub(crate) fn chunk_sent(&mut self, ix: JobIndex, chunk: u32, placed: RecordLocation) {
         let Some(j) = self.jobs.get_mut(ix) else { return };
         j.busy |= placed.own;
         if let Some(c) = j.chunks.get_mut(&chunk) {
@@ -171,15 +188,21 @@
     }
 
     /// A chunk's record stands as it was sent.
-    pub(crate) fn chunk_stands(&mut self, ix: JobIx, chunk: u32, placed: Placed, rev: u64) {
+    pub(crate) fn chunk_stands(
+        &mut self,
+        ix: JobIndex,
+        chunk: u32,
+        placed: RecordLocation,
+        rev: u64,
+    ) {
         let Some(j) = self.jobs.get_mut(ix) else { return };
         if placed.own {
-            (j.busy, j.stamp) = (false, rev);
+            (j.busy, j.revision) = (false, rev);
         }
         if let Some(c) = j.chunks.get_mut(&chunk) {
             (c.busy, c.acked) = (false, c.version);
             (c.pieces, c.inline) = (placed.pieces, placed.inline);
-            c.stamp = if placed.inline { 0 } else { rev };
+            c.revision = if placed.inline { 0 } else { rev };
         }
     }
 }
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/storage/rate_limiter.rs
@@ -2,16 +2,16 @@
 
 /// A token bucket that holds up to one second's worth.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RateLimiter {
     per_s: f64,
     level: f64,
     at_ms: u64,
     closed_until_ms: u64,
 }
 
-impl Budget {
+impl RateLimiter {
     pub fn new(per_s: f64) -> Self {
-        Budget { per_s, level: per_s, at_ms: 0, closed_until_ms: 0 }
+        RateLimiter { per_s, level: per_s, at_ms: 0, closed_until_ms: 0 }
     }
 
     /// The limit has changed.
