--- a/crates/core/src/store.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -5,44 +5,46 @@
 
 use quartzgate_ladder::Feature;
 use quartzgate_overload::Turns;
-use quartzgate_wire::msg::{Change, Guard, Pair, Rank, Shape, Transaction, TransactionAnswer};
+use quartzgate_wire::msg::{
+    Change, Guard, JobKind, KeyValue, Priority, Transaction, TransactionAnswer,
+};
 use quartzgate_wire::settings::StateLimits;
 use quartzgate_wire::{from_cbor, to_cbor};
 
-use crate::budget::Budget;
-use crate::controller::{Controller, Pending};
-use crate::deal::OPEN_CHUNKS;
-use crate::ids::{JobIx, TaskKey};
+use crate::controller::{Controller, InFlight};
+use crate::ids::{JobIndex, TaskKey};
 use crate::jobs::{Chunk, Job, JobState, TaskState};
-use crate::records::{
-    decode, encode, job_key, piece_keys, read_share, share_key, GatheredShare, JobRecord,
-    RecordedStatus, INBOX, VIEW,
+use crate::placement::placer::MAX_OPEN_CHUNKS;
+use crate::storage::placement_records::RecordLocation;
+use crate::storage::rate_limiter::RateLimiter;
+use crate::storage::records::{
+    decode, encode, job_key, piece_keys, placement_key, read_placement, AssembledPlacement,
+    JobRecord, RecordedStatus, EPOCH_KEY, HANDOFF_PREFIX,
 };
-use crate::shares::Placed;
 use crate::Outcome;
 
 /// One record in a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum FlushItem {
     Chunk {
-        job: JobIx,
+        job: JobIndex,
         chunk: u32,
         /// Where the record stands from now on.
-        placed: Placed,
+        placed: RecordLocation,
     },
     /// The job's end, together with the removal of its shares.
-    End { job: JobIx, chunks: Vec<u32> },
+    End { job: JobIndex, chunks: Vec<u32> },
     /// Chunks all of whose tasks are done are folded into the job's record.
-    Fold { job: JobIx, chunks: Vec<u32> },
+    Fold { job: JobIndex, chunks: Vec<u32> },
     /// A key that has no use any more; one with a stamp goes only as it was seen.
-    Removal { path: String, stamp: u64 },
+    Removal { path: String, revision: u64 },
 }
 
 /// What waits for a chunk's record, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
     /// Tasks that may start once it stands.
-    Pressing(std::cmp::Reverse<Rank>),
+    Pressing(std::cmp::Reverse<Priority>),
     /// The same, of a team without a guarantee that has no haste.
     Guest,
     /// Ends of tasks, unrecorded for long.
@@ -91,13 +93,13 @@
     ];
 }
 
-pub(crate) struct Store {
-    pub writes: Budget,
+pub(crate) struct RecordWriter {
+    pub writes: RateLimiter,
     /// Changes made since the process began to lead, by what for.
     spent: BTreeMap<Purpose, u64>,
-    dirty: BTreeSet<(JobIx, u32)>,
+    dirty: BTreeSet<(JobIndex, u32)>,
     /// Jobs whose own record may have to be written.
-    jobs: BTreeSet<JobIx>,
+    jobs: BTreeSet<JobIndex>,
     /// Keys that have no use any more, and the stamps of those that may be written anew.
     removals: BTreeMap<String, u64>,
     flushing: bool,
@@ -150,10 +152,10 @@
     fit.map(|(n, _)| *n).collect()
 }
 
-impl Store {
+impl RecordWriter {
     pub fn new(limits: &StateLimits) -> Self {
-        Store {
-            writes: Budget::new(Self::write_rate(limits)),
+        RecordWriter {
+            writes: RateLimiter::new(Self::write_rate(limits)),
             spent: BTreeMap::new(),
             dirty: BTreeSet::new(),
             jobs: BTreeSet::new(),
@@ -190,16 +192,16 @@
     }
 
     /// Records that memory is ahead of.
-    pub fn behind(&self) -> usize {
+    pub fn unwritten_records(&self) -> usize {
         self.dirty.len()
     }
 
     /// A chunk's record is on its way.
-    pub fn settled(&mut self, ix: JobIx, chunk: u32) {
+    pub fn settled(&mut self, ix: JobIndex, chunk: u32) {
         self.dirty.remove(&(ix, chunk));
     }
 
-    pub fn touch_job(&mut self, ix: JobIx) {
+    pub fn touch_job(&mut self, ix: JobIndex) {
         self.jobs.insert(ix);
     }
 
@@ -214,59 +216,68 @@
     }
 
     /// A note is to go as it was seen: a newer one in its place stays.
-    pub fn remove_note(&mut self, path: String, stamp: u64) {
+    pub fn remove_note(&mut self, path: String, revision: u64) {
         let newest = self.removals.entry(path).or_default();
-        *newest = stamp.max(*newest);
+        *newest = revision.max(*newest);
     }
 }
 
 impl Controller {
-    pub(crate) fn mark_dirty(&mut self, job: JobIx, chunk: u32) {
+    pub(crate) fn mark_dirty(&mut self, job: JobIndex, chunk: u32) {
         if let Some(c) = self.jobs.get_mut(job).and_then(|j| j.chunks.get_mut(&chunk)) {
-            let now = self.now.steady_ms;
+            let now = self.context.now.steady_ms;
             if !std::mem::replace(&mut c.dirty, true) {
                 c.dirty_ms = now;
             }
-            self.store.dirty.insert((job, chunk));
-            self.store.jobs.insert(job);
-            self.store.since_ms.get_or_insert(now);
+            self.record_writer.dirty.insert((job, chunk));
+            self.record_writer.jobs.insert(job);
+            self.record_writer.since_ms.get_or_insert(now);
         }
     }
 
     /// Writes what memory is ahead of the records, as far as the budget goes.
     pub(crate) fn flush(&mut self) {
-        let now = self.now.steady_ms;
-        let nothing = self.store.dirty.is_empty()
-            && self.store.jobs.is_empty()
-            && self.store.removals.is_empty();
-        if self.store.flushing || nothing || now < self.store.looked_ms + self.cfg.batch_ms() / 10 {
+        let now = self.context.now.steady_ms;
+        let nothing = self.record_writer.dirty.is_empty()
+            && self.record_writer.jobs.is_empty()
+            && self.record_writer.removals.is_empty();
+        if self.record_writer.flushing
+            || nothing
+            || now < self.record_writer.looked_ms + self.context.config.write_batch_ms() / 10
+        {
             return;
         }
-        self.store.looked_ms = now;
+        self.record_writer.looked_ms = now;
         // A little is gathered first; deals that make room usable don't wait.
-        let due = self.store.since_ms.is_none_or(|s| now >= s + self.cfg.batch_ms());
-        let urgent = std::mem::take(&mut self.store.urgent);
-        if !due && !urgent && !self.store.dirty.iter().any(|k| self.pressing(*k)) {
+        let due = self
+            .record_writer
+            .since_ms
+            .is_none_or(|s| now >= s + self.context.config.write_batch_ms());
+        let urgent = std::mem::take(&mut self.record_writer.urgent);
+        if !due && !urgent && !self.record_writer.dirty.iter().any(|k| self.blocks_starts(*k)) {
             return;
         }
         // Acceptances and aborts come first: some of the budget is kept for them.
         let most = self.limits().txn_ops;
-        let room = (self.store.writes.room(now, 0.4) as usize).min(most);
+        let room = (self.record_writer.writes.room(now, 0.4) as usize).min(most);
         if room == 0 {
-            let left = self.store.ends_left || self.store.dirty.iter().any(|k| self.starved(*k));
-            return self.weigh_supply(left);
+            let left = self.record_writer.ends_left
+                || self.record_writer.dirty.iter().any(|k| self.blocks_starts_with_quota(*k));
+            return self.update_write_supply(left);
         }
         let mut txn = Transaction::default();
-        txn.guards.push(Guard { path: VIEW.into(), stamp: self.member.view_stamp });
+        txn.guards.push(Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision });
         let mut items = Vec::new();
         let mut bytes = 0;
         // Ends and deals that wait for one another's changes get half of them each.
-        let pressing = self.store.dirty.iter().any(|k| self.starved(*k));
-        let first = if pressing { room / 2 + room % 2 * self.store.odd() } else { room };
+        let blocks_starts =
+            self.record_writer.dirty.iter().any(|k| self.blocks_starts_with_quota(*k));
+        let first =
+            if blocks_starts { room / 2 + room % 2 * self.record_writer.odd() } else { room };
         let mut ends_left = self.gather_ends(false, &mut txn, &mut items, first, &mut bytes);
-        let mut ahead = self.store.deals.ahead();
-        let mut dirty: Vec<(Urgency, u64, JobIx, u32)> = self
-            .store
+        let mut ahead = self.record_writer.deals.ahead();
+        let mut dirty: Vec<(Urgency, u64, JobIndex, u32)> = self
+            .record_writer
             .dirty
             .iter()
             .map(|(ix, c)| {
@@ -281,26 +292,26 @@
         dirty.sort();
         let mut left_behind = false;
         for (urgency, _, ix, chunk) in dirty {
-            let left = self.store.writes.room(now, urgency.reserve()) as usize;
-            let enough = self.store.singly > 0 && !items.is_empty();
+            let left = self.record_writer.writes.room(now, urgency.reserve()) as usize;
+            let enough = self.record_writer.singly > 0 && !items.is_empty();
             if enough || txn.apply.len() >= room.min(left) || bytes > TXN_BYTES {
                 // A full transaction is followed by the next at once.
-                left_behind = room < most && self.starved((ix, chunk));
+                left_behind = room < most && self.blocks_starts_with_quota((ix, chunk));
                 break;
             }
             let Some(job) = self.jobs.get(ix) else {
-                self.store.dirty.remove(&(ix, chunk));
+                self.record_writer.dirty.remove(&(ix, chunk));
                 continue;
             };
             let ended = matches!(job.state, JobState::Done | JobState::Finishing);
             // What stands names every machine that may hold a task of it: nothing starts any
             // more, and the end says the rest.
-            let cancelled = |c: &Chunk| job.state == JobState::Aborted && c.stamp == 0;
+            let cancelled = |c: &Chunk| job.state == JobState::Aborted && c.revision == 0;
             // A chunk that is wholly done is folded, which says it all.
-            let folds = |c: &Chunk| c.stamp > 0 && c.whole() && self.may_fold(job);
+            let folds = |c: &Chunk| c.revision > 0 && c.whole() && self.may_fold(job);
             let dirty = |c: &&Chunk| c.dirty && !ended && !folds(c) && !cancelled(c);
             let Some(c) = job.chunks.get(&chunk).filter(dirty) else {
-                self.store.dirty.remove(&(ix, chunk));
+                self.record_writer.dirty.remove(&(ix, chunk));
                 continue;
             };
             // While the job's own record is under way its shares wait: a write that folds
@@ -309,7 +320,7 @@
                 || job.busy
                 || job.state == JobState::Recording
                 || job.state == JobState::Unreadable
-                || now < c.put_off_ms
+                || now < c.deferred_until_ms
             {
                 continue;
             }
@@ -317,14 +328,14 @@
             if let Some(page) = job.page.filter(|_| !job.own) {
                 // The end says it all.
                 if c.whole() {
-                    self.store.dirty.remove(&(ix, chunk));
+                    self.record_writer.dirty.remove(&(ix, chunk));
                     continue;
                 }
-                self.store.deals.served(job.team, &job.spec.class);
+                self.record_writer.deals.served(job.team, &job.spec.class);
                 match job.chunk_count() {
-                    1 => self.rewrite_page(page),
+                    1 => self.rewrite_batch(page),
                     // No page holds more than a first chunk: it gets a record of its own.
-                    _ => self.outgrow_page(ix),
+                    _ => self.move_out_of_batch(ix),
                 }
                 continue;
             }
@@ -333,18 +344,18 @@
                 continue;
             }
             let id = job.id.clone();
-            self.store.deals.served(job.team, &job.spec.class);
-            let Some(share) = self.share_write(ix, chunk) else { continue };
+            self.record_writer.deals.served(job.team, &job.spec.class);
+            let Some(share) = self.placement_write(ix, chunk) else { continue };
             if share.oversize || share.changes() > most {
                 tracing::error!(job = %id, chunk, bytes = share.bytes, pieces = share.placed.pieces,
                     "a share is too large for the state service's limits; it is put off");
-                self.put_off(ix, Some(chunk));
+                self.defer_write(ix, Some(chunk));
                 continue;
             }
             let fits = txn.apply.len() + share.changes() <= most;
             if !fits || bytes > 0 && bytes + share.bytes > TXN_BYTES {
                 if let Some(c) = self.jobs.get_mut(ix).and_then(|j| j.chunks.get_mut(&chunk)) {
-                    c.pressing = true;
+                    c.blocks_starts = true;
                 }
                 break;
             }
@@ -352,75 +363,78 @@
             let placed = share.placed;
             let for_starts = matches!(urgency, Urgency::Pressing(_) | Urgency::Guest);
             let purpose = if for_starts { Purpose::Deal } else { Purpose::Ends };
-            self.store.note(purpose, share.changes());
+            self.record_writer.note(purpose, share.changes());
             share.enter(&id, chunk, &mut txn.guards, &mut txn.apply);
             self.chunk_sent(ix, chunk, placed);
-            self.store.settled(ix, chunk);
+            self.record_writer.settled(ix, chunk);
             items.push(FlushItem::Chunk { job: ix, chunk, placed });
         }
         if first < room {
             ends_left = self.gather_ends(false, &mut txn, &mut items, room, &mut bytes);
         }
-        self.store.ends_left = ends_left && room < most;
-        self.weigh_supply(left_behind || self.store.ends_left);
+        self.record_writer.ends_left = ends_left && room < most;
+        self.update_write_supply(left_behind || self.record_writer.ends_left);
         // Guests' ends use what is spare, as their deals do.
-        let spare = self.store.writes.room(now, Urgency::Guest.reserve()) as usize;
+        let spare = self.record_writer.writes.room(now, Urgency::Guest.reserve()) as usize;
         self.gather_ends(true, &mut txn, &mut items, room.min(spare), &mut bytes);
         let removals: Vec<(String, u64)> =
-            self.store.removals.iter().map(|(p, s)| (p.clone(), *s)).collect();
-        for (path, stamp) in removals {
-            let enough = self.store.singly > 0 && !items.is_empty();
-            let left = self.store.writes.room(now, UNHURRIED) as usize;
+            self.record_writer.removals.iter().map(|(p, s)| (p.clone(), *s)).collect();
+        for (path, revision) in removals {
+            let enough = self.record_writer.singly > 0 && !items.is_empty();
+            let left = self.record_writer.writes.room(now, UNHURRIED) as usize;
             if enough || txn.apply.len() >= room.min(left) {
                 break;
             }
-            if stamp > 0 {
-                txn.guards.push(Guard { path: path.clone(), stamp });
+            if revision > 0 {
+                txn.guards.push(Guard { path: path.clone(), revision });
             }
             txn.apply.push(Change::Delete { delete: path.clone() });
-            self.store.note(Purpose::Tidy, 1);
-            self.store.removals.remove(&path);
-            items.push(FlushItem::Removal { path, stamp });
+            self.record_writer.note(Purpose::Tidy, 1);
+            self.record_writer.removals.remove(&path);
+            items.push(FlushItem::Removal { path, revision });
         }
         if items.is_empty() {
             // What is left is patient, or has to wait for something under way.
-            self.store.since_ms = (!self.store.dirty.is_empty()).then_some(now);
+            self.record_writer.since_ms = (!self.record_writer.dirty.is_empty()).then_some(now);
             return;
         }
-        self.store.since_ms =
-            (!self.store.dirty.is_empty() || !self.store.jobs.is_empty()).then_some(now);
-        self.store.writes.force(now, txn.apply.len() as f64);
-        self.store.flushing = true;
-        self.store.singly = self.store.singly.saturating_sub(1);
-        let pending = Pending::Flush { items, sent_ms: now, epoch: self.epoch() };
-        self.state_call("POST", "/multi".into(), to_cbor(&txn), pending);
+        self.record_writer.since_ms = (!self.record_writer.dirty.is_empty()
+            || !self.record_writer.jobs.is_empty())
+        .then_some(now);
+        self.record_writer.writes.force(now, txn.apply.len() as f64);
+        self.record_writer.flushing = true;
+        self.record_writer.singly = self.record_writer.singly.saturating_sub(1);
+        let pending = InFlight::Flush { items, sent_ms: now, epoch: self.epoch() };
+        self.call_store("POST", "/multi".into(), to_cbor(&txn), pending);
     }
 
     /// A chunk's record is to be written soon: tasks may start once it stands.
-    pub(crate) fn press(&mut self, job: JobIx, chunk: u32) {
+    pub(crate) fn mark_blocking_starts(&mut self, job: JobIndex, chunk: u32) {
         if let Some(c) = self.jobs.get_mut(job).and_then(|j| j.chunks.get_mut(&chunk)) {
-            c.pressing = true;
+            c.blocks_starts = true;
         }
         self.mark_dirty(job, chunk);
     }
 
     /// A chunk with tasks that could start once it is written.
-    fn pressing(&self, (job, chunk): (JobIx, u32)) -> bool {
-        self.jobs.get(job).and_then(|j| j.chunks.get(&chunk)).is_some_and(|c| c.pressing)
+    fn blocks_starts(&self, (job, chunk): (JobIndex, u32)) -> bool {
+        self.jobs.get(job).and_then(|j| j.chunks.get(&chunk)).is_some_and(|c| c.blocks_starts)
     }
 
     /// The same, of a job that is not to use what is spare only.
-    fn starved(&self, (job, chunk): (JobIx, u32)) -> bool {
-        self.pressing((job, chunk)) && self.jobs.get(job).is_some_and(|j| !self.guest(j))
+    fn blocks_starts_with_quota(&self, (job, chunk): (JobIndex, u32)) -> bool {
+        self.blocks_starts((job, chunk))
+            && self.jobs.get(job).is_some_and(|j| !self.is_best_effort(j))
     }
 
     /// How soon a chunk's record should be written.
-    fn urgency(&self, job: JobIx, chunk: u32) -> Urgency {
+    fn urgency(&self, job: JobIndex, chunk: u32) -> Urgency {
         let Some(j) = self.jobs.get(job) else { return Urgency::Patient };
         let Some(c) = j.chunks.get(&chunk) else { return Urgency::Patient };
-        let late = self.now.steady_ms >= c.dirty_ms + self.cfg.patience_ms();
-        match (c.pressing, self.guest(j)) {
-            (true, false) => Urgency::Pressing(std::cmp::Reverse(j.rank)),
+        let late =
+            self.context.now.steady_ms >= c.dirty_ms + self.context.config.max_write_delay_ms();
+        match (c.blocks_starts, self.is_best_effort(j)) {
+            (true, false) => Urgency::Pressing(std::cmp::Reverse(j.priority)),
             (true, true) => Urgency::Guest,
             (false, _) if late => Urgency::Late,
             (false, _) => Urgency::Patient,
@@ -431,48 +445,51 @@
     /// of all others. Says whether any is left for lack of room.
     fn gather_ends(
         &mut self,
-        guests: bool,
+        best_effort: bool,
         txn: &mut Transaction,
         items: &mut Vec<FlushItem>,
         room: usize,
         bytes: &mut usize,
     ) -> bool {
-        let now = self.now.steady_ms;
-        let of = |ix: &JobIx| self.jobs.get(*ix).is_some_and(|j| self.guest(j)) == guests;
+        let now = self.context.now.steady_ms;
+        let of = |ix: &JobIndex| {
+            self.jobs.get(*ix).is_some_and(|j| self.is_best_effort(j)) == best_effort
+        };
         if txn.apply.len() >= room {
             let ended = |j: &Job| j.state == JobState::Live && j.done >= j.spec.tasks;
-            let mut waiting = self.store.jobs.iter().filter(|ix| of(ix));
+            let mut waiting = self.record_writer.jobs.iter().filter(|ix| of(ix));
             return waiting.any(|ix| self.jobs.get(*ix).is_some_and(ended));
         }
-        let mut candidates: Vec<JobIx> = self.store.jobs.iter().copied().filter(of).collect();
+        let mut candidates: Vec<JobIndex> =
+            self.record_writer.jobs.iter().copied().filter(of).collect();
         // What others wait for comes first, ends that follow from others' last; between them
         // the more urgent, and of those each class in turn.
-        let mut ahead = self.store.ends.ahead();
+        let mut ahead = self.record_writer.ends.ahead();
         candidates.sort_by_cached_key(|ix| {
             let job = self.jobs.get(*ix);
             let part = match job {
                 Some(j) if j.state == JobState::Aborted => 2,
-                Some(j) if self.chains.needed(&j.id) => 0,
+                Some(j) if self.dependency_graph.needed(&j.id) => 0,
                 _ => 1,
             };
             (
                 part,
-                std::cmp::Reverse(job.map(|j| j.rank)),
+                std::cmp::Reverse(job.map(|j| j.priority)),
                 job.map(|j| ahead.next(j.team, &j.spec.class)),
             )
         });
         for ix in candidates {
-            if self.store.singly > 0 && !items.is_empty() {
+            if self.record_writer.singly > 0 && !items.is_empty() {
                 return false;
             }
             let Some(job) = self.jobs.get(ix) else {
-                self.store.jobs.remove(&ix);
+                self.record_writer.jobs.remove(&ix);
                 continue;
             };
-            if job.busy || job.chunks.values().any(|c| c.busy) || now < job.put_off_ms {
+            if job.busy || job.chunks.values().any(|c| c.busy) || now < job.deferred_until_ms {
                 continue;
             }
-            let gone = || job.tasks().all(|(_, t)| !t.state.licensed());
+            let gone = || job.tasks().all(|(_, t)| !t.state.reserved());
             let status = match job.state {
                 JobState::Live if job.done >= job.spec.tasks => RecordedStatus::Done,
                 JobState::Aborted if gone() => RecordedStatus::Aborted,
@@ -481,23 +498,23 @@
                     continue;
                 }
                 JobState::Done | JobState::Finishing | JobState::Unreadable | JobState::Waiting => {
-                    self.store.jobs.remove(&ix);
+                    self.record_writer.jobs.remove(&ix);
                     continue;
                 }
                 _ => continue,
             };
-            if status == RecordedStatus::Aborted && self.store.writes.room(now, 0.5) < 1.0 {
+            if status == RecordedStatus::Aborted && self.record_writer.writes.room(now, 0.5) < 1.0 {
                 continue;
             }
             // Some shares may have to go in a write of their own, the end first.
             let space = room.saturating_sub(txn.apply.len());
             // Shares of a job that has ended only take up room: while writes are short they
             // go later, in writes of their own.
-            let calm = self.store.writes.room(now, UNHURRIED) >= 2.0;
+            let calm = self.record_writer.writes.room(now, UNHURRIED) >= 2.0;
             if space < 1 + usize::from(calm) && !txn.apply.is_empty() {
                 return status == RecordedStatus::Done;
             }
-            let stand = job.chunks.iter().filter(|(_, c)| c.stamp > 0);
+            let stand = job.chunks.iter().filter(|(_, c)| c.revision > 0);
             let left = if calm { space.max(2) - 1 } else { 0 };
             let chunks = first_within(stand, left);
             let record = JobRecord {
@@ -505,24 +522,24 @@
                 spec: None,
                 at_ms: job.at_ms,
                 done_chunks: Vec::new(),
-                service: job.spec.shape == Shape::Service && self.has(Feature::ServiceMark),
+                service: job.spec.shape == JobKind::Service && self.has(Feature::ServiceMark),
                 share: None,
             };
             let key = job_key(&job.id);
-            txn.guards.push(Guard { path: key.clone(), stamp: job.stamp });
-            txn.apply.push(Change::Set { set: key, value: encode(&record), permit: None });
+            txn.guards.push(Guard { path: key.clone(), revision: job.revision });
+            txn.apply.push(Change::Set { set: key, value: encode(&record), lease_id: None });
             let before = txn.apply.len();
-            self.store.ends.served(job.team, &job.spec.class);
-            self.gather_shares(ix, &chunks, txn);
-            self.store.note(Purpose::End, 1);
-            self.store.note(Purpose::Tidy, txn.apply.len() - before);
+            self.record_writer.ends.served(job.team, &job.spec.class);
+            self.remove_placements(ix, &chunks, txn);
+            self.record_writer.note(Purpose::End, 1);
+            self.record_writer.note(Purpose::Tidy, txn.apply.len() - before);
             *bytes += 300 + 200 * chunks.len();
-            self.store.jobs.remove(&ix);
+            self.record_writer.jobs.remove(&ix);
             if let Some(j) = self.jobs.get_mut(ix) {
                 j.busy = true;
             }
             if status == RecordedStatus::Done {
-                self.job_to(ix, JobState::Finishing);
+                self.set_job_state(ix, JobState::Finishing);
             }
             items.push(FlushItem::End { job: ix, chunks });
         }
@@ -531,12 +548,12 @@
 
     /// What can't be written now is not tried again for a while, so that it stands in the
     /// way of nothing else. Memory goes on; it may be smaller by then.
-    fn put_off(&mut self, ix: JobIx, chunk: Option<u32>) {
-        let until = self.now.steady_ms + self.cfg.lease_ms();
+    fn defer_write(&mut self, ix: JobIndex, chunk: Option<u32>) {
+        let until = self.context.now.steady_ms + self.context.config.lease_ms();
         let Some(job) = self.jobs.get_mut(ix) else { return };
         match chunk.and_then(|c| job.chunks.get_mut(&c)) {
-            Some(c) => c.put_off_ms = until,
-            None => job.put_off_ms = until,
+            Some(c) => c.deferred_until_ms = until,
+            None => job.deferred_until_ms = until,
         }
     }
 
@@ -549,14 +566,14 @@
         );
         if !one {
             // Which of them it was shows when each goes by itself.
-            self.store.singly = items.len();
+            self.record_writer.singly = items.len();
         }
         for item in items {
             if one {
                 match &item {
-                    FlushItem::Chunk { job, chunk, .. } => self.put_off(*job, Some(*chunk)),
+                    FlushItem::Chunk { job, chunk, .. } => self.defer_write(*job, Some(*chunk)),
                     FlushItem::End { job, .. } | FlushItem::Fold { job, .. } => {
-                        self.put_off(*job, None)
+                        self.defer_write(*job, None)
                     }
                     FlushItem::Removal { .. } => continue,
                 }
@@ -568,33 +585,33 @@
     /// Large jobs: chunks that are wholly done move into the job's own record.
     fn gather_fold(
         &mut self,
-        ix: JobIx,
+        ix: JobIndex,
         txn: &mut Transaction,
         items: &mut Vec<FlushItem>,
         room: usize,
     ) {
         let Some(job) = self.jobs.get(ix) else { return };
         if !self.may_fold(job) || room.saturating_sub(txn.apply.len()) < 2 {
-            self.store.jobs.remove(&ix);
+            self.record_writer.jobs.remove(&ix);
             return;
         }
-        let foldable = |c: &Chunk| !c.busy && c.stamp > 0 && c.whole();
+        let foldable = |c: &Chunk| !c.busy && c.revision > 0 && c.whole();
         let whole = job.chunks.iter().filter(|(_, c)| foldable(c));
         let space = room.saturating_sub(txn.apply.len() + 1);
         let chunks = first_within(whole, space);
         // The job's record is written once for them all: a few are gathered first.
         let few = chunks.len() < FOLD_LEAST.min(space);
-        if chunks.is_empty() || few && job.chunks.len() < OPEN_CHUNKS + FOLD_LEAST {
-            self.store.jobs.remove(&ix);
+        if chunks.is_empty() || few && job.chunks.len() < MAX_OPEN_CHUNKS + FOLD_LEAST {
+            self.record_writer.jobs.remove(&ix);
             return;
         }
         let record = self.folded_record(job, &chunks);
         let key = job_key(&job.id);
-        txn.guards.push(Guard { path: key.clone(), stamp: job.stamp });
-        txn.apply.push(Change::Set { set: key, value: encode(&record), permit: None });
+        txn.guards.push(Guard { path: key.clone(), revision: job.revision });
+        txn.apply.push(Change::Set { set: key, value: encode(&record), lease_id: None });
         let before = txn.apply.len() - 1;
-        self.gather_shares(ix, &chunks, txn);
-        self.store.note(Purpose::Fold, txn.apply.len() - before);
+        self.remove_placements(ix, &chunks, txn);
+        self.record_writer.note(Purpose::Fold, txn.apply.len() - before);
         if let Some(j) = self.jobs.get_mut(ix) {
             j.busy = true;
         }
@@ -602,36 +619,36 @@
     }
 
     pub(crate) fn on_flush(&mut self, items: Vec<FlushItem>, outcome: Outcome) {
-        self.store.flushing = false;
+        self.record_writer.flushing = false;
         let (status, answer) = write_outcome(&outcome);
         match (status, answer) {
             (200, Some(done)) => {
-                self.state_answered();
+                self.note_store_answer();
                 for item in items {
-                    self.written(item, done.ledger_rev);
+                    self.written(item, done.store_revision);
                 }
             }
             (409, Some(a)) => {
-                self.state_answered();
-                if a.failed.iter().any(|p| p == VIEW) {
+                self.note_store_answer();
+                if a.failed.iter().any(|p| p == EPOCH_KEY) {
                     tracing::info!("superseded: a write met a later view");
-                    return self.superseded();
+                    return self.step_down();
                 }
                 self.met_a_change(items, &a.failed);
             }
             (400, _) => {
-                self.state_answered();
+                self.note_store_answer();
                 self.refused(items);
             }
             (503 | 429, _) => {
                 if status == 429 {
                     tracing::debug!("a write went beyond the state service's rate");
                 }
-                self.state_busy(status);
+                self.on_store_throttled(status);
                 items.into_iter().for_each(|i| self.unwritten(i));
             }
             // Perhaps applied, perhaps applied later: read before writing again.
-            _ => items.into_iter().for_each(|i| self.restamp(i)),
+            _ => items.into_iter().for_each(|i| self.reread_record(i)),
         }
     }
 
@@ -645,13 +662,13 @@
                 self.unwritten(note);
             }
         }
-        let records = failed.iter().any(|path| !path.starts_with(INBOX));
+        let records = failed.iter().any(|path| !path.starts_with(HANDOFF_PREFIX));
         if records {
             tracing::info!(?failed, "a write met a changed record; reading it");
         }
         for item in others {
             match records {
-                true => self.restamp(item),
+                true => self.reread_record(item),
                 false => self.unwritten(item),
             }
         }
@@ -663,55 +680,55 @@
                 self.chunk_stands(job, chunk, placed, rev);
                 let moved = self.jobs.get_mut(job).filter(|_| placed.own);
                 if let Some(page) = moved.and_then(|j| j.page.take()) {
-                    self.leave_page(job, page);
+                    self.remove_from_batch(job, page);
                 }
                 self.touch_probed(job);
                 self.preempt_due = true;
-                self.deal_due = true;
-                self.store.touch_job(job);
+                self.placement_due = true;
+                self.record_writer.touch_job(job);
             }
             FlushItem::End { job, chunks } => {
                 let Some(j) = self.jobs.get_mut(job) else { return };
-                (j.busy, j.stamp) = (false, rev);
+                (j.busy, j.revision) = (false, rev);
                 for c in chunks {
                     if let Some(c) = j.chunks.get_mut(&c) {
-                        (c.stamp, c.pieces) = (0, 0);
+                        (c.revision, c.pieces) = (0, 0);
                     }
                 }
-                let more = j.chunks.values().any(|c| c.stamp > 0);
+                let more = j.chunks.values().any(|c| c.revision > 0);
                 if j.state == JobState::Finishing {
-                    self.job_to(job, JobState::Done);
+                    self.set_job_state(job, JobState::Done);
                 }
                 if more {
                     // The end stands; what is left of the shares only takes up room.
-                    self.sweep_shares(job);
+                    self.remove_leftover_placements(job);
                 } else {
                     self.drop_job(job);
                 }
             }
             FlushItem::Fold { job, chunks } => {
                 let Some(j) = self.jobs.get_mut(job) else { return };
-                (j.busy, j.stamp) = (false, rev);
+                (j.busy, j.revision) = (false, rev);
                 j.chunks.retain(|c, _| !chunks.contains(c));
                 j.done_chunks = j.done_chunks_with(&chunks);
-                self.store.touch_job(job);
-                self.deal_due = true;
+                self.record_writer.touch_job(job);
+                self.placement_due = true;
             }
             FlushItem::Removal { .. } => {}
         }
     }
 
     /// Shares of an ended job that did not fit the write of its end.
-    fn sweep_shares(&mut self, job: JobIx) {
+    fn remove_leftover_placements(&mut self, job: JobIndex) {
         let Some(j) = self.jobs.get(job) else { return };
         let paths: Vec<String> = j
             .chunks
             .iter()
-            .filter(|(_, c)| c.stamp > 0)
+            .filter(|(_, c)| c.revision > 0)
             .flat_map(|(n, c)| piece_keys(&j.id, *n, c.pieces))
             .collect();
         for p in paths {
-            self.store.remove(p);
+            self.record_writer.remove(p);
         }
         self.drop_job(job);
     }
@@ -724,7 +741,7 @@
                 j.busy &= !placed.own;
                 if let Some(c) = j.chunks.get_mut(&chunk) {
                     // It may have held what tasks wait for.
-                    (c.busy, c.pressing) = (false, true);
+                    (c.busy, c.blocks_starts) = (false, true);
                 }
                 self.mark_dirty(job, chunk);
             }
@@ -732,25 +749,25 @@
                 if let Some(j) = self.jobs.get_mut(job) {
                     j.busy = false;
                     if j.state == JobState::Finishing {
-                        self.job_to(job, JobState::Live);
+                        self.set_job_state(job, JobState::Live);
                     }
                 }
-                self.store.touch_job(job);
+                self.record_writer.touch_job(job);
             }
-            FlushItem::Removal { path, stamp } => self.store.remove_note(path, stamp),
+            FlushItem::Removal { path, revision } => self.record_writer.remove_note(path, revision),
         }
     }
 
     /// Reads a record whose stamp is no longer sure.
-    pub(crate) fn restamp(&mut self, item: FlushItem) {
-        if let FlushItem::Removal { path, stamp } = item {
-            return self.store.remove_note(path, stamp);
+    pub(crate) fn reread_record(&mut self, item: FlushItem) {
+        if let FlushItem::Removal { path, revision } = item {
+            return self.record_writer.remove_note(path, revision);
         }
         // Shares that an end or a fold removes are looked at as well.
         if let FlushItem::End { job, chunks } | FlushItem::Fold { job, chunks } = &item {
             for &chunk in chunks {
-                let placed = Placed::default();
-                self.restamp(FlushItem::Chunk { job: *job, chunk, placed });
+                let placed = RecordLocation::default();
+                self.reread_record(FlushItem::Chunk { job: *job, chunk, placed });
             }
         }
         if let FlushItem::Chunk { job, chunk, placed } = &item {
@@ -758,17 +775,17 @@
                 c.busy = true;
             }
             if placed.own {
-                self.restamp_job(*job);
+                self.reread_job(*job);
             }
         }
-        self.read_stamp(item);
+        self.request_record(item);
     }
 
     /// Asks for the record that an item would write, if its job is still in memory.
-    fn read_stamp(&mut self, item: FlushItem) {
+    fn request_record(&mut self, item: FlushItem) {
         let path = match &item {
             FlushItem::Chunk { job, chunk, .. } => {
-                self.jobs.get(*job).map(|j| share_key(&j.id, *chunk))
+                self.jobs.get(*job).map(|j| placement_key(&j.id, *chunk))
             }
             FlushItem::End { job, .. } | FlushItem::Fold { job, .. } => {
                 self.jobs.get(*job).map(|j| job_key(&j.id))
@@ -776,35 +793,35 @@
             FlushItem::Removal { .. } => None,
         };
         let Some(path) = path else { return };
-        let pending = Pending::Restamp { item, epoch: self.epoch() };
-        self.state_call("GET", format!("/keys/{path}"), Vec::new(), pending);
+        let pending = InFlight::Restamp { item, epoch: self.epoch() };
+        self.call_store("GET", format!("/keys/{path}"), Vec::new(), pending);
     }
 
     /// Reads a job's own record again because it may have changed.
-    pub(crate) fn restamp_job(&mut self, job: JobIx) {
+    pub(crate) fn reread_job(&mut self, job: JobIndex) {
         if let Some(j) = self.jobs.get_mut(job) {
             j.busy = true;
-            self.restamp(FlushItem::End { job, chunks: Vec::new() });
+            self.reread_record(FlushItem::End { job, chunks: Vec::new() });
         }
     }
 
-    pub(crate) fn on_restamp(&mut self, item: FlushItem, outcome: Outcome) {
-        let pair: Option<Pair> = match self.read_outcome(outcome) {
+    pub(crate) fn on_record_reread(&mut self, item: FlushItem, outcome: Outcome) {
+        let pair: Option<KeyValue> = match self.read_outcome(outcome) {
             Ok(pair) => pair,
-            Err(()) => return self.restamp_again(item),
+            Err(()) => return self.retry_record_read(item),
         };
         match item {
             FlushItem::Chunk { job, chunk, .. } => {
                 // All pieces are written together, so that the first tells of the others.
-                let read = pair.map(|p| read_share(&p.path, &p.value, p.stamp));
-                let (stamp, pieces) = match read {
-                    Some(Some(share)) => (share.stamp, share.of),
+                let read = pair.map(|p| read_placement(&p.path, &p.value, p.revision));
+                let (revision, pieces) = match read {
+                    Some(Some(share)) => (share.revision, share.of),
                     Some(None) => return self.unreadable(job),
                     None => (0, 0),
                 };
                 if let Some(c) = self.jobs.get_mut(job).and_then(|j| j.chunks.get_mut(&chunk)) {
-                    (c.busy, c.stamp, c.pieces) = (false, stamp, pieces);
-                    c.pressing = true;
+                    (c.busy, c.revision, c.pieces) = (false, revision, pieces);
+                    c.blocks_starts = true;
                 }
                 self.mark_dirty(job, chunk);
             }
@@ -816,7 +833,7 @@
                     }
                     // Its page says all that stands of it.
                     if let Some(j) = self.jobs.get_mut(job) {
-                        (j.busy, j.stamp) = (false, 0);
+                        (j.busy, j.revision) = (false, 0);
                     }
                     return self.read_live(job);
                 };
@@ -824,7 +841,7 @@
                     return self.unreadable(job);
                 };
                 if let Some(j) = self.jobs.get_mut(job) {
-                    (j.busy, j.stamp) = (false, pair.stamp);
+                    (j.busy, j.revision) = (false, pair.revision);
                     if let Some(c) = j.chunks.get_mut(&0) {
                         c.inline = record.share.is_some();
                     }
@@ -836,12 +853,12 @@
                 }
                 match record.status {
                     RecordedStatus::Done => {
-                        self.job_to(job, JobState::Done);
-                        self.sweep_shares(job);
+                        self.set_job_state(job, JobState::Done);
+                        self.remove_leftover_placements(job);
                     }
                     RecordedStatus::Aborted => {
-                        self.job_to(job, JobState::Aborted);
-                        self.store.touch_job(job);
+                        self.set_job_state(job, JobState::Aborted);
+                        self.record_writer.touch_job(job);
                     }
                     RecordedStatus::Live => self.read_live(job),
                 }
@@ -852,30 +869,30 @@
 
     /// What stands of a job says that it lives. If an abort of it may still come to stand, it is
     /// recorded once more: whichever comes first, the other fails.
-    fn read_live(&mut self, job: JobIx) {
+    fn read_live(&mut self, job: JobIndex) {
         if self.jobs.get(job).is_some_and(|j| j.state == JobState::Doubtful) {
-            if !self.write_abort(None, job) {
+            if !self.record_abort(None, job) {
                 if let Some(j) = self.jobs.get_mut(job) {
                     j.busy = true;
                 }
-                self.restamp_again(FlushItem::End { job, chunks: Vec::new() });
+                self.retry_record_read(FlushItem::End { job, chunks: Vec::new() });
             }
             return;
         }
         if let Some(j) = self.jobs.get_mut(job) {
             j.unsure = false;
         }
-        self.job_to(job, JobState::Live);
-        self.store.touch_job(job);
+        self.set_job_state(job, JobState::Live);
+        self.record_writer.touch_job(job);
         self.touch_probed(job);
     }
 
     /// Nothing of a job is to start before its record has been read.
-    pub(crate) fn read_before_starts(&mut self, job: JobIx) {
+    pub(crate) fn read_before_starts(&mut self, job: JobIndex) {
         let Some(j) = self.jobs.get_mut(job).filter(|j| j.state == JobState::Live) else { return };
         j.unsure = true;
         if !j.busy {
-            self.restamp_job(job);
+            self.reread_job(job);
         }
     }
 
@@ -883,38 +900,38 @@
     pub(crate) fn read_unsure(&mut self) {
         let open = self.jobs.iter().filter(|(_, j)| j.unsure && !j.busy && j.state.lives());
         for ix in open.map(|(ix, _)| ix).collect::<Vec<_>>() {
-            self.restamp_job(ix);
+            self.reread_job(ix);
         }
     }
 
     /// The read failed: it is tried again with the next round of the lease.
-    fn restamp_again(&mut self, item: FlushItem) {
-        self.store_retry.push(item);
+    fn retry_record_read(&mut self, item: FlushItem) {
+        self.record_reads_to_retry.push(item);
     }
 
     pub(crate) fn retry_reads(&mut self) {
-        for item in std::mem::take(&mut self.store_retry) {
-            self.read_stamp(item);
+        for item in std::mem::take(&mut self.record_reads_to_retry) {
+            self.request_record(item);
         }
     }
 
     /// The record can't be read: this job stops, loudly, and is never overwritten.
-    fn unreadable(&mut self, job: JobIx) {
+    fn unreadable(&mut self, job: JobIndex) {
         if let Some(j) = self.jobs.get(job) {
             tracing::error!(job = %j.id, "a record of this job can't be read; it is left alone");
         }
-        self.job_to(job, JobState::Unreadable);
+        self.set_job_state(job, JobState::Unreadable);
     }
 
     /// An abort that stands on record reaches the leader's memory.
-    pub(crate) fn learn_abort(&mut self, job: &str, stamp: u64) {
+    pub(crate) fn learn_abort(&mut self, job: &str, revision: u64) {
         if let Some(ix) = self.jobs.find(job) {
             if let Some(j) = self.jobs.get_mut(ix) {
-                j.stamp = stamp;
+                j.revision = revision;
             }
             if self.jobs.get(ix).is_some_and(|j| j.state != JobState::Aborted) {
-                self.job_to(ix, JobState::Aborted);
-                self.store.touch_job(ix);
+                self.set_job_state(ix, JobState::Aborted);
+                self.record_writer.touch_job(ix);
             }
         }
     }
@@ -922,9 +939,9 @@
     /// Reads the records of live jobs again in turn, each well within the horizon: a
     /// second way to learn of an abort that was recorded past us.
     pub(crate) fn read_again(&mut self) {
-        let now = self.now.steady_ms;
-        let every = self.cfg.horizon_ms() / 3;
-        let mut due: Vec<(u64, JobIx)> = self
+        let now = self.context.now.steady_ms;
+        let every = self.context.config.lease_bound_ms() / 3;
+        let mut due: Vec<(u64, JobIndex)> = self
             .jobs
             .iter()
             .filter(|(_, j)| j.state.lives() && !j.busy && now > j.read_ms + every)
@@ -934,15 +951,15 @@
         due.sort_unstable();
         for (_, ix) in due {
             let Some(job) = self.jobs.get(ix).map(|j| j.id.clone()) else { continue };
-            if !self.member.reads.take(now, 1.0, 0.5) {
+            if !self.membership.reads.take(now, 1.0, 0.5) {
                 return;
             }
             if let Some(j) = self.jobs.get_mut(ix) {
                 j.read_ms = now;
             }
             let target = format!("/keys/{}", job_key(&job));
-            let pending = Pending::ReadAgain { job, epoch: self.epoch() };
-            self.state_call("GET", target, Vec::new(), pending);
+            let pending = InFlight::ReadAgain { job, epoch: self.epoch() };
+            self.call_store("GET", target, Vec::new(), pending);
         }
     }
 
@@ -950,20 +967,20 @@
         if let Ok(Some(pair)) = self.read_outcome(outcome) {
             let status = decode::<JobRecord>(&pair.value).map(|r| r.status);
             if status == Some(RecordedStatus::Aborted) {
-                self.learn_abort(&job, pair.stamp);
+                self.learn_abort(&job, pair.revision);
             }
         }
     }
 
     /// A task of an aborted job that is still on its machine after half its time: the
     /// machine can't be told, and goes back to the cloud with all that is on it.
-    pub(crate) fn fence_aborted(&mut self) {
-        let now = self.now.steady_ms;
+    pub(crate) fn fence_aborted_tasks(&mut self) {
+        let now = self.context.now.steady_ms;
         // A keeper stops what is cancelled among the machines that we don't hear.
-        if !self.member.keepers.is_empty() {
+        if !self.membership.keepers.is_empty() {
             return;
         }
-        let patience = self.cfg.horizon_ms() / 2;
+        let patience = self.context.config.lease_bound_ms() / 2;
         let mut stuck = BTreeSet::new();
         for (_, job) in self.jobs.iter() {
             if job.state == JobState::Aborted && now > job.aborted_ms + patience {
@@ -977,28 +994,28 @@
             if let Some(m) = self.machines.get(ix) {
                 tracing::info!(machine = %m.name, "holds a cancelled task and can't be told");
             }
-            self.begin_return(ix);
+            self.begin_release(ix);
         }
     }
 
     /// Memory forgets a job; its licences go with it.
-    pub(crate) fn drop_job(&mut self, ix: JobIx) {
+    pub(crate) fn drop_job(&mut self, ix: JobIndex) {
         let Some(job) = self.jobs.get(ix) else { return };
         let keys: Vec<u32> =
-            job.tasks().filter(|(_, t)| t.state.licensed()).map(|(t, _)| t).collect();
+            job.tasks().filter(|(_, t)| t.state.reserved()).map(|(t, _)| t).collect();
         for task in keys {
-            self.task_to(TaskKey { job: ix, task }, TaskState::Dropped);
+            self.set_task_state(TaskKey { job: ix, task }, TaskState::Dropped);
         }
         self.unlink(ix);
         let page = self.jobs.remove(ix).and_then(|j| j.page);
         if let Some(page) = page {
-            self.leave_page(ix, page);
+            self.remove_from_batch(ix, page);
         }
-        self.store.jobs.remove(&ix);
+        self.record_writer.jobs.remove(&ix);
     }
 
     /// The in-memory index of records by chunk after a restore.
-    pub(crate) fn load_chunks(&mut self, ix: JobIx, shares: BTreeMap<u32, GatheredShare>) {
+    pub(crate) fn load_chunks(&mut self, ix: JobIndex, shares: BTreeMap<u32, AssembledPlacement>) {
         for (chunk, share) in shares {
             self.load_chunk(ix, chunk, share);
         }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/storage/records.rs
@@ -22,58 +22,58 @@
 use std::collections::BTreeMap;
 
 use ciborium::value::Value;
-use quartzgate_wire::msg::{JobSpec, Shape};
+use quartzgate_wire::msg::{JobKind, JobSpec};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-pub const VIEW: &str = "view";
-pub const LEADER: &str = "view/leader";
+pub const EPOCH_KEY: &str = "view";
+pub const LEADER_KEY: &str = "view/leader";
 /// Claims of controllers that keep workers alive for the leader; under the prefix of
 /// the view, so that whoever watches the view sees them.
-pub const KEEPERS: &str = "view/keeper/";
+pub const LEASE_PROXY_PREFIX: &str = "view/keeper/";
 /// What a leader and a keeper tell one another past a cut; see `post.rs`.
-pub const POST: &str = "view/post/";
-pub const JOBS: &str = "jobs/";
-pub const SHARES: &str = "shares/";
-pub const INBOX: &str = "inbox/";
+pub const MAILBOX_PREFIX: &str = "view/post/";
+pub const JOB_PREFIX: &str = "jobs/";
+pub const PLACEMENT_PREFIX: &str = "shares/";
+pub const HANDOFF_PREFIX: &str = "inbox/";
 /// Jobs that share a record; see `pages.rs`.
-pub const PAGES: &str = "pages/";
-pub const MEMBERS: &str = "members/";
+pub const BATCH_PREFIX: &str = "pages/";
+pub const MEMBER_PREFIX: &str = "members/";
 /// The format that stands, and what each controller can do; see `format.rs`.
-pub const FORMAT: &str = "format";
-pub const FORMAT_NODES: &str = "format/node/";
+pub const FORMAT_KEY: &str = "format";
+pub const FORMAT_NODE_PREFIX: &str = "format/node/";
 /// The format of a packed share, as it says itself.
 const PACKED: u32 = 2;
 /// The only part while the view holds the leader's part alone.
-pub const SOLE_PART: &str = "0";
+pub const SOLE_PARTITION: &str = "0";
 
 /// Tasks of a job that share one record.
-pub const CHUNK: u32 = 64;
+pub const TASKS_PER_CHUNK: u32 = 64;
 
 pub fn job_key(id: &str) -> String {
-    format!("{JOBS}{id}")
+    format!("{JOB_PREFIX}{id}")
 }
 
-pub fn inbox_key(id: &str) -> String {
-    format!("{INBOX}{id}")
+pub fn handoff_key(id: &str) -> String {
+    format!("{HANDOFF_PREFIX}{id}")
 }
 
-pub fn post_key(to: &str, from: &str) -> String {
-    format!("{POST}{to}/{from}")
+pub fn mailbox_key(to: &str, from: &str) -> String {
+    format!("{MAILBOX_PREFIX}{to}/{from}")
 }
 
 pub fn member_key(node: &str) -> String {
-    format!("{MEMBERS}{node}")
+    format!("{MEMBER_PREFIX}{node}")
 }
 
-pub fn share_key(id: &str, chunk: u32) -> String {
+pub fn placement_key(id: &str, chunk: u32) -> String {
     piece_key(id, chunk, 0)
 }
 
 /// Key of one piece of a share.
 pub fn piece_key(id: &str, chunk: u32, piece: u32) -> String {
     match piece {
-        0 => format!("{SHARES}{id}/{SOLE_PART}/{chunk}"),
-        n => format!("{SHARES}{id}/{SOLE_PART}/{chunk}.{n}"),
+        0 => format!("{PLACEMENT_PREFIX}{id}/{SOLE_PARTITION}/{chunk}"),
+        n => format!("{PLACEMENT_PREFIX}{id}/{SOLE_PARTITION}/{chunk}.{n}"),
     }
 }
 
@@ -83,22 +83,22 @@
 }
 
 /// Job id and chunk of a share's key.
-pub fn parse_share_key(key: &str) -> Option<(&str, u32)> {
-    let mut parts = key.strip_prefix(SHARES)?.split('/');
+pub fn parse_placement_key(key: &str) -> Option<(&str, u32)> {
+    let mut parts = key.strip_prefix(PLACEMENT_PREFIX)?.split('/');
     let (id, _part, chunk) = (parts.next()?, parts.next()?, parts.next()?);
     let chunk = chunk.split('.').next()?;
     Some((id, chunk.parse().ok()?))
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct View {
+pub struct EpochRecord {
     pub epoch: u64,
     pub leader: String,
     pub members: Vec<String>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Leader {
+pub struct LeaderRecord {
     pub epoch: u64,
     pub node: String,
     /// Times in a row that the node took the lead from an earlier life of its own.
@@ -135,12 +135,12 @@
     /// Since format 3: the share of a job of one chunk, unless it stands under keys of its
     /// own.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub share: Option<SharePiece>,
+    pub share: Option<PlacementPiece>,
 }
 
 impl JobRecord {
     pub fn is_service(&self) -> bool {
-        self.service || self.spec.as_ref().is_some_and(|s| s.shape == Shape::Service)
+        self.service || self.spec.as_ref().is_some_and(|s| s.shape == JobKind::Service)
     }
 
     /// The record of a job that ends, as small as the limit asks: while tasks of it may
@@ -156,17 +156,17 @@
 }
 
 /// Number of a page as keys name it: in the order of the numbers.
-pub fn page_key(number: u64) -> String {
-    format!("{PAGES}{number:012}")
+pub fn batch_key(number: u64) -> String {
+    format!("{BATCH_PREFIX}{number:012}")
 }
 
-pub fn page_number(key: &str) -> Option<u64> {
-    key.strip_prefix(PAGES)?.parse().ok()
+pub fn batch_number(key: &str) -> Option<u64> {
+    key.strip_prefix(BATCH_PREFIX)?.parse().ok()
 }
 
 /// Live jobs that share a record. What their descriptions have in common stands once.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PageRecord {
+pub struct BatchRecord {
     /// The first job's description.
     like: Vec<(String, Value)>,
     jobs: BTreeMap<String, Value>,
@@ -174,12 +174,12 @@
 
 /// One job of a page.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct PageEntry {
+struct BatchEntry {
     at_ms: u64,
     /// Fields that are other than `like` has them, and null for those that it lacks.
     spec: Vec<(String, Value)>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    share: Option<SharePiece>,
+    share: Option<PlacementPiece>,
 }
 
 fn fields(spec: &JobSpec) -> Vec<(String, Value)> {
@@ -194,24 +194,24 @@
     spec.into_iter().filter(|f| !like.contains(f)).chain(missing).collect()
 }
 
-impl PageRecord {
+impl BatchRecord {
     /// Bytes that a description takes beside one that it is like.
     pub fn differs(like: &JobSpec, spec: &JobSpec) -> usize {
         checked_size(&other_than(&fields(like), fields(spec)))
     }
 
-    pub fn add(&mut self, spec: &JobSpec, at_ms: u64, share: Option<SharePiece>) {
+    pub fn add(&mut self, spec: &JobSpec, at_ms: u64, share: Option<PlacementPiece>) {
         let all = fields(spec);
         if self.like.is_empty() {
             self.like = all.clone();
         }
-        let entry = PageEntry { at_ms, spec: other_than(&self.like, all), share };
+        let entry = BatchEntry { at_ms, spec: other_than(&self.like, all), share };
         self.jobs.insert(spec.id.clone(), encode(&entry));
     }
 
     /// A job of it, as its own record would say it; `None` also if it can't be read.
     pub fn get(&self, id: &str) -> Option<JobRecord> {
-        let entry: PageEntry = decode(self.jobs.get(id)?)?;
+        let entry: BatchEntry = decode(self.jobs.get(id)?)?;
         let mut spec: BTreeMap<String, Value> = self.like.iter().cloned().collect();
         for (k, v) in entry.spec {
             match v {
@@ -247,12 +247,12 @@
 pub struct ProbeSet {
     pub from: u32,
     pub to: u32,
-    /// Places in [`ShareRecord::machines`].
+    /// Places in [`PlacementRecord::machines`].
     pub machines: Vec<u32>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShareRecord {
+pub struct PlacementRecord {
     /// Epoch of the owner that wrote it.
     pub epoch: u64,
     pub machines: Vec<String>,
@@ -265,7 +265,7 @@
 
 /// One key's worth of a share since format 2. Tasks are counted from the chunk's first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SharePiece {
+pub struct PlacementPiece {
     pub format: u32,
     pub epoch: u64,
     /// Keys over which the share is spread; they are always written together.
@@ -280,23 +280,23 @@
 
 /// A share as it was read, perhaps still lacking pieces.
 #[derive(Clone, Debug)]
-pub struct GatheredShare {
-    pub record: ShareRecord,
-    pub stamp: u64,
+pub struct AssembledPlacement {
+    pub record: PlacementRecord,
+    pub revision: u64,
     pub of: u32,
     pub have: u32,
     /// It stands in its job's own record.
     pub inline: bool,
 }
 
-impl GatheredShare {
+impl AssembledPlacement {
     pub fn whole(&self) -> bool {
         self.have == self.of
     }
 
     /// Takes in another piece; false if they don't belong together.
-    pub fn join(&mut self, other: GatheredShare) -> bool {
-        if (self.stamp, self.of) != (other.stamp, other.of) || self.whole() {
+    pub fn join(&mut self, other: AssembledPlacement) -> bool {
+        if (self.revision, self.of) != (other.revision, other.of) || self.whole() {
             return false;
         }
         let base = self.record.machines.len() as u32;
@@ -320,33 +320,39 @@
 }
 
 /// A share, or a piece of one, in whatever format it stands.
-pub fn read_share(key: &str, value: &Value, stamp: u64) -> Option<GatheredShare> {
-    let (_, chunk) = parse_share_key(key)?;
+pub fn read_placement(key: &str, value: &Value, revision: u64) -> Option<AssembledPlacement> {
+    let (_, chunk) = parse_placement_key(key)?;
     let named = |k: &Value| k.as_text() == Some("format");
     if !value.as_map()?.iter().any(|(k, _)| named(k)) {
         let inline = false;
-        return decode(value).map(|record| GatheredShare { record, stamp, of: 1, have: 1, inline });
+        return decode(value).map(|record| AssembledPlacement {
+            record,
+            revision,
+            of: 1,
+            have: 1,
+            inline,
+        });
     }
-    open_piece(&decode(value)?, chunk, stamp)
+    open_piece(&decode(value)?, chunk, revision)
 }
 
 /// The share that a job's own record holds.
-pub fn open_inline(piece: &SharePiece, stamp: u64) -> Option<GatheredShare> {
-    let share = open_piece(piece, 0, stamp).filter(GatheredShare::whole)?;
-    Some(GatheredShare { inline: true, ..share })
+pub fn open_inline(piece: &PlacementPiece, revision: u64) -> Option<AssembledPlacement> {
+    let share = open_piece(piece, 0, revision).filter(AssembledPlacement::whole)?;
+    Some(AssembledPlacement { inline: true, ..share })
 }
 
 /// The whole share in one piece, as a job's own record holds it.
-pub fn inline_piece(record: &ShareRecord) -> SharePiece {
-    cut_share(record, 0, 0, CHUNK - 1)
+pub fn inline_piece(record: &PlacementRecord) -> PlacementPiece {
+    cut_placement(record, 0, 0, TASKS_PER_CHUNK - 1)
 }
 
-fn open_piece(piece: &SharePiece, chunk: u32, stamp: u64) -> Option<GatheredShare> {
-    if piece.format != PACKED || piece.of == 0 || piece.of > CHUNK {
+fn open_piece(piece: &PlacementPiece, chunk: u32, revision: u64) -> Option<AssembledPlacement> {
+    if piece.format != PACKED || piece.of == 0 || piece.of > TASKS_PER_CHUNK {
         return None;
     }
-    let first = chunk.checked_mul(CHUNK)?;
-    let within = |a: u32, b: u32| a <= b && b < CHUNK;
+    let first = chunk.checked_mul(TASKS_PER_CHUNK)?;
+    let within = |a: u32, b: u32| a <= b && b < TASKS_PER_CHUNK;
     let mut sets = Vec::with_capacity(piece.sets.len());
     for set in &piece.sets {
         let (from, to) = (*set.first()?, *set.get(1)?);
@@ -368,16 +374,16 @@
     }
     let done = piece.done.iter().map(|(a, b)| (first + a, first + b)).collect();
     let machines = piece.machines.clone();
-    let record = ShareRecord { epoch: piece.epoch, machines, sets, done, zones };
-    Some(GatheredShare { record, stamp, of: piece.of, have: 1, inline: false })
+    let record = PlacementRecord { epoch: piece.epoch, machines, sets, done, zones };
+    Some(AssembledPlacement { record, revision, of: piece.of, have: 1, inline: false })
 }
 
 /// Packs a share into as many pieces as values of at most `most` bytes take.
-pub fn pack_share(record: &ShareRecord, chunk: u32, most: usize) -> Vec<SharePiece> {
+pub fn pack_placement(record: &PlacementRecord, chunk: u32, most: usize) -> Vec<PlacementPiece> {
     let mut pieces = Vec::new();
-    let mut open = vec![(0, CHUNK - 1)];
+    let mut open = vec![(0, TASKS_PER_CHUNK - 1)];
     while let Some((from, to)) = open.pop() {
-        let piece = cut_share(record, chunk * CHUNK, from, to);
+        let piece = cut_placement(record, chunk * TASKS_PER_CHUNK, from, to);
         if from == to || checked_size(&piece) <= most {
             pieces.push(piece);
         } else {
@@ -392,7 +398,7 @@
 }
 
 /// What a share says of some of its tasks.
-fn cut_share(record: &ShareRecord, first: u32, from: u32, to: u32) -> SharePiece {
+fn cut_placement(record: &PlacementRecord, first: u32, from: u32, to: u32) -> PlacementPiece {
     let clip = |a: u32, b: u32| {
         let (a, b) = (a.saturating_sub(first).max(from), b.saturating_sub(first).min(to));
         (a <= b).then_some((a, b))
@@ -424,7 +430,7 @@
     }
     let done = record.done.iter().filter_map(|(a, b)| clip(*a, *b)).collect();
     let (format, epoch) = (PACKED, record.epoch);
-    SharePiece { format, epoch, of: 1, machines, sets, done, zones }
+    PlacementPiece { format, epoch, of: 1, machines, sets, done, zones }
 }
 
 pub fn encode<T: Serialize>(record: &T) -> Value {
--- a/crates/core/tests/stories/hearing.rs
+++ b/crates/core/tests/stories/hearing.rs
@@ -2,9 +2,9 @@
 //! machines that are back at once.
 
 use crate::world::{
-    behind, job, Cut, Deaf, End, LateCopies, World, CANCEL_MS, LEASE_MS, REPORT_MS,
+    job, unwritten_records, Cut, Deaf, End, LateCopies, World, CANCEL_MS, LEASE_MS, REPORT_MS,
 };
-use quartzgate_wire::msg::Shape;
+use quartzgate_wire::msg::JobKind;
 
 const NOTHING: Deaf = Deaf { answers: true, orders: true };
 const NO_ANSWERS: Deaf = Deaf { answers: true, orders: false };
@@ -23,7 +23,7 @@
 /// One job of one task a second, each of which runs for two.
 fn steady_work(w: &mut World, from: u32, jobs: u32) {
     for n in from..from + jobs {
-        w.submit_surely(&job(&name(n), Shape::Array, 1));
+        w.submit_surely(&job(&name(n), JobKind::Array, 1));
     }
 }
 
@@ -71,7 +71,7 @@
         }
         // Work for all machines at once.
         w.run_ms.insert(name(900), 20_000);
-        w.submit_surely(&job(&name(900), Shape::Array, 16));
+        w.submit_surely(&job(&name(900), JobKind::Array, 16));
         w.until(5 * LEASE_MS, &format!("case {case}: those that hear again have work"), |w| {
             on_deaf(w) > before
         });
@@ -89,9 +89,9 @@
         let mut w = world(6, 11_100 + case);
         w.cloud_off = case % 2 == 0;
         w.run_ms = (1..4).map(|n| (name(n), 40_000)).collect();
-        w.submit_surely(&job(&name(0), Shape::Service, 4));
-        w.submit_surely(&job(&name(1), Shape::Gang, 4));
-        w.submit_surely(&job(&name(2), Shape::Array, 2));
+        w.submit_surely(&job(&name(0), JobKind::Service, 4));
+        w.submit_surely(&job(&name(1), JobKind::Gang, 4));
+        w.submit_surely(&job(&name(2), JobKind::Array, 2));
         w.until(20_000, "all run", |w| (0..3).map(|n| w.on(&name(n)).len()).sum::<usize>() == 10);
         let victim = w.on(&name(case as u32 % 3))[0].1.clone();
         w.deaf.insert(victim.clone(), [NOTHING, NO_ANSWERS, NO_ORDERS][case as usize / 3 % 3]);
@@ -123,7 +123,7 @@
             [(2_000, 6_000), (LEASE_MS, 2 * LEASE_MS), (500, 5 * LEASE_MS)][case as usize % 3];
         w.copies = Some(LateCopies { share: 1.0, from_ms, to_ms });
         w.run_ms = (0..12).map(|n| (name(n), 15_000)).collect();
-        (0..6).for_each(|n| w.submit_surely(&job(&name(n), Shape::Array, 2)));
+        (0..6).for_each(|n| w.submit_surely(&job(&name(n), JobKind::Array, 2)));
         w.until(20_000, "all run", |w| (0..6).map(|n| w.on(&name(n)).len()).sum::<usize>() == 12);
         let victim = w.on(&name(1))[0].1.clone();
         let leader = w.leader().unwrap();
@@ -158,7 +158,7 @@
         }
         w.run(LEASE_MS);
         w.heal();
-        (6..12).for_each(|n| w.submit_surely(&job(&name(n), Shape::Array, 2)));
+        (6..12).for_each(|n| w.submit_surely(&job(&name(n), JobKind::Array, 2)));
         (0..12).for_each(|n| w.until_done(&name(n), 240_000));
         w.nobody_is_forgotten();
     }
@@ -178,7 +178,7 @@
         w.hop_ms = Some(LEASE_MS / 18);
         w.run(2_500);
         w.run_ms = (0..8).map(|n| (name(n), 70_000)).collect();
-        (0..8).for_each(|n| w.submit_surely(&job(&name(n), Shape::Array, 1)));
+        (0..8).for_each(|n| w.submit_surely(&job(&name(n), JobKind::Array, 1)));
         w.until(20_000, "all run", |w| w.starts.len() == 8);
         let leader = w.leader().unwrap();
         let lonely: Vec<usize> = match case / 2 % 4 {
@@ -211,7 +211,7 @@
             let began = w.now;
             while !w.starts.contains_key("wk-000100/0") {
                 assert!(w.now < began + CANCEL_MS, "case {case}: nothing new is started");
-                w.submit(other, &job("wk-000100", Shape::Array, 1));
+                w.submit(other, &job("wk-000100", JobKind::Array, 1));
                 w.run(1_000);
             }
             w.run(CANCEL_MS);
@@ -235,9 +235,9 @@
         let mut w = world(6, 11_400 + case);
         w.max_delay = if case % 2 == 0 { 4 } else { 150 };
         w.run_ms = (0..4).map(|n| (name(n), 6_000)).collect();
-        w.submit_surely(&job(&name(0), Shape::Service, 4));
-        w.submit_surely(&job(&name(1), Shape::Gang, 4));
-        w.submit_surely(&job(&name(2), Shape::Array, 3));
+        w.submit_surely(&job(&name(0), JobKind::Service, 4));
+        w.submit_surely(&job(&name(1), JobKind::Gang, 4));
+        w.submit_surely(&job(&name(2), JobKind::Array, 3));
         w.run(200 + 130 * (case / 4));
         let machines: Vec<String> = w.workers.keys().cloned().collect();
         let victim = machines[case as usize % 6].clone();
@@ -254,7 +254,7 @@
                 w.reboot(&victim, 200);
             }
         }
-        w.submit_surely(&behind(job(&name(3), Shape::Array, 2), &[&name(2)]));
+        w.submit_surely(&unwritten_records(job(&name(3), JobKind::Array, 2), &[&name(2)]));
         (1..4).for_each(|n| w.until_done(&name(n), 200_000));
         w.until(60_000, "all replicas", |w| w.on(&name(0)).len() == 4);
         w.nobody_is_forgotten();
--- a/crates/core/tests/stories/inline.rs
+++ b/crates/core/tests/stories/inline.rs
@@ -4,7 +4,7 @@
 use crate::world::{job, Cut, End, World, CANCEL_MS};
 use ciborium::value::Value;
 use quartzgate_core::records::{checked_size, JobRecord};
-use quartzgate_wire::msg::{JobStatus, Shape};
+use quartzgate_wire::msg::{JobKind, JobStatus};
 
 /// A cluster on which format 3 stands.
 fn world(workers: usize, kb: Option<f64>, seed: u64) -> World {
@@ -37,14 +37,14 @@
     let leader = w.leader().unwrap();
     let before = w.state.writes;
     for n in 0..8 {
-        w.submit(leader, &job(&format!("wk-00000{n}"), Shape::Array, 1));
+        w.submit(leader, &job(&format!("wk-00000{n}"), JobKind::Array, 1));
         w.run(700);
     }
     assert!(recorded(&w, "wk-000007").share.is_some_and(|s| !s.sets.is_empty()));
     w.run(15_000);
     for n in 0..8 {
         let id = format!("wk-00000{n}");
-        w.poll(leader, &id);
+        w.query_status(leader, &id);
         w.run(20);
         assert_eq!(w.told[&id], JobStatus::Done);
         assert!(recorded(&w, &id).share.is_none(), "an end is small");
@@ -66,7 +66,7 @@
         w.until(20_000, "format 2 stands", |w| w.stands().version == 2);
         w.run(2_500);
         w.run_ms.insert("wk-000001".into(), 30_000);
-        w.submit_surely(&job("wk-000001", Shape::Array, 20));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 20));
         assert_eq!(share_keys(&w), 1);
         (0..3).for_each(|n| {
             w.tables.remove(&n);
@@ -75,10 +75,10 @@
         w.until(30_000, "format 3 stands", |w| w.stands().version >= 3);
         w.run(1_500);
         w.run_ms.insert("wk-000002".into(), 30_000);
-        w.submit_surely(&job("wk-000002", Shape::Array, 20));
-        w.submit_surely(&job("wk-000003", Shape::Service, 4));
-        let mut gang = job("wk-000004", Shape::Gang, 4);
-        gang.checkpoint_s = 1.0;
+        w.submit_surely(&job("wk-000002", JobKind::Array, 20));
+        w.submit_surely(&job("wk-000003", JobKind::Service, 4));
+        let mut gang = job("wk-000004", JobKind::Gang, 4);
+        gang.checkpoint_interval_s = 1.0;
         w.submit_surely(&gang);
         w.run(case * 300);
         assert!(share_keys(&w) <= 1, "none of format 3");
@@ -105,9 +105,9 @@
         w.state.limits = Some((1228, 12, 0.0));
         w.run_ms.insert("wk-000001".into(), 25_000);
         // Dealt as machines fall free, and so more and more of it.
-        w.submit(w.leader().unwrap(), &job("wk-000002", Shape::Array, 64));
+        w.submit(w.leader().unwrap(), &job("wk-000002", JobKind::Array, 64));
         w.run(200);
-        w.submit_surely(&job("wk-000001", Shape::Array, 40));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 40));
         w.run(case * 400);
         moved += usize::from(share_keys(&w) > 0);
         if case % 2 == 0 {
@@ -133,7 +133,7 @@
         let mut w = world(8, None, 540 + case);
         let leader = w.leader().unwrap();
         w.run_ms.insert("wk-000001".into(), 600_000);
-        w.submit_surely(&job("wk-000001", Shape::Array, 30));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 30));
         w.run(case * 61);
         if case % 2 == 0 {
             // Decided by the records alone, while the leader goes on dealing.
@@ -154,7 +154,7 @@
         w.heal();
         w.run(CANCEL_MS);
         assert_eq!(w.on("wk-000001").len(), 0);
-        w.submit_surely(&job("wk-000002", Shape::Array, 3));
+        w.submit_surely(&job("wk-000002", JobKind::Array, 3));
         w.until_done("wk-000002", 60_000);
         w.keep_rules();
     }
@@ -169,7 +169,7 @@
         let mut w = world(70, Some(1.5), 560 + tasks as u64);
         w.state.limits = Some((1536, 12, 0.0));
         w.run_ms.insert("wk-000001".into(), 600_000);
-        w.submit_surely(&job("wk-000001", Shape::Array, tasks));
+        w.submit_surely(&job("wk-000001", JobKind::Array, tasks));
         w.run(2_000);
         let size = checked_size(&w.state.keys["jobs/wk-000001"].0);
         large += u32::from((1380..=1536).contains(&size));
@@ -191,8 +191,8 @@
     for case in 0..2 {
         let mut w = world(10, None, 590 + case);
         w.run_ms.insert("wk-000001".into(), 5_000);
-        w.submit_surely(&job("wk-000001", Shape::Array, 3));
-        w.submit_surely(&job("wk-000002", Shape::Array, 3));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 3));
+        w.submit_surely(&job("wk-000002", JobKind::Array, 3));
         (0..3).for_each(|n| w.kill(n));
         let mut record = recorded(&w, "wk-000001");
         let share = record.share.as_mut().unwrap();
--- a/crates/core/tests/stories/input.rs
+++ b/crates/core/tests/stories/input.rs
@@ -3,7 +3,7 @@
 
 use crate::world::{job, without, World};
 use ciborium::value::Value;
-use quartzgate_wire::msg::{Forward, JobSpec, JobStatus, MeshMessage, Shape};
+use quartzgate_wire::msg::{Forward, JobKind, JobSpec, JobStatus, MeshMessage};
 use quartzgate_wire::to_cbor;
 
 fn with(spec: &JobSpec, field: &str, value: Value) -> Value {
@@ -60,7 +60,7 @@
     let mut next = 0;
     let mut fresh = || {
         next += 1;
-        let mut spec = job(&format!("wk-{next:06}"), Shape::Array, 1);
+        let mut spec = job(&format!("wk-{next:06}"), JobKind::Array, 1);
         (spec.types, spec.zone, spec.deadline_s) =
             (Some(vec!["k8".into()]), Some("a".into()), Some(60.0));
         spec
@@ -153,7 +153,7 @@
         w.start_paged(case % 2 == 0);
         w.run_ms = [("wk-000001".into(), 600_000), ("wk-000003".into(), 600_000)].into();
         for n in 1..4 {
-            w.submit_surely(&job(&format!("wk-00000{n}"), Shape::Array, 1));
+            w.submit_surely(&job(&format!("wk-00000{n}"), JobKind::Array, 1));
         }
         w.until_done("wk-000002", 20_000);
         w.abort_surely("wk-000003");
@@ -165,7 +165,7 @@
             w.run(6_000);
         }
         for (n, status) in (1..4).zip(wanted) {
-            let spec = job(&format!("wk-00000{n}"), Shape::Array, 1);
+            let spec = job(&format!("wk-00000{n}"), JobKind::Array, 1);
             let mut other = spec.clone();
             (other.cpus, other.team, other.tasks) = (640.0, "nobody".into(), 9);
             let bodies = [
@@ -204,16 +204,16 @@
         ("an unknown type", |s| s.types = Some(vec!["g8".into()])),
         ("no type at all", |s| s.types = Some(Vec::new())),
         ("an unknown zone", |s| s.zone = Some("c".into())),
-        ("a gang above the limit", |s| (s.shape, s.tasks) = (Shape::Gang, 5)),
-        ("a service above the limit", |s| (s.shape, s.tasks) = (Shape::Service, 5)),
+        ("a gang above the limit", |s| (s.shape, s.tasks) = (JobKind::Gang, 5)),
+        ("a service above the limit", |s| (s.shape, s.tasks) = (JobKind::Service, 5)),
         ("a service spread in one zone", |s| {
-            (s.shape, s.tasks, s.spread, s.zone) = (Shape::Service, 3, true, Some("a".into()))
+            (s.shape, s.tasks, s.spread, s.zone) = (JobKind::Service, 3, true, Some("a".into()))
         }),
         ("a gang spread in one zone", |s| {
-            (s.shape, s.tasks, s.spread, s.zone) = (Shape::Gang, 2, true, Some("b".into()))
+            (s.shape, s.tasks, s.spread, s.zone) = (JobKind::Gang, 2, true, Some("b".into()))
         }),
         ("a gang together and spread", |s| {
-            (s.shape, s.tasks, s.spread, s.together) = (Shape::Gang, 2, true, true)
+            (s.shape, s.tasks, s.spread, s.together) = (JobKind::Gang, 2, true, true)
         }),
     ];
     let fine: [(&str, Change); 5] = [
@@ -223,7 +223,7 @@
         }),
         ("an array together and spread", |s| (s.tasks, s.spread, s.together) = (3, true, true)),
         ("one task, spread, in one zone", |s| (s.spread, s.zone) = (true, Some("a".into()))),
-        ("a gang that is spread", |s| (s.shape, s.tasks, s.spread) = (Shape::Gang, 4, true)),
+        ("a gang that is spread", |s| (s.shape, s.tasks, s.spread) = (JobKind::Gang, 4, true)),
     ];
     let mut w = World::new(3, 4, 16.0, 15_200);
     w.until(20_000, "all steps are taken", |w| w.stands().version >= 4);
@@ -237,7 +237,7 @@
     }
     let ids: Vec<String> = (1..=fine.len()).map(|n| format!("wk-00000{n}")).collect();
     for ((_, change), id) in fine.iter().zip(&ids) {
-        let mut spec = job(id, Shape::Array, 1);
+        let mut spec = job(id, JobKind::Array, 1);
         change(&mut spec);
         w.submit_surely(&spec);
     }
@@ -257,7 +257,7 @@
     w.until(20_000, "all steps are taken", |w| w.stands().version >= 4);
     w.run(1_000);
     w.run_ms = [("wk-000001".into(), 600_000)].into();
-    w.submit_surely(&job("wk-000001", Shape::Service, 3));
+    w.submit_surely(&job("wk-000001", JobKind::Service, 3));
     w.until(20_000, "it runs", |w| w.on("wk-000001").len() == 3);
     let starts = w.starts.clone();
     let text = |t: &str| Value::Text(t.to_string());
@@ -320,7 +320,13 @@
             path: p.into(),
             body: to_cbor(&"no letter"),
         });
-        to_cbor(&MeshMessage { version, from: from.into(), epoch: 0, has_state: true, forward })
+        to_cbor(&MeshMessage {
+            version,
+            from: from.into(),
+            epoch: 0,
+            store_reachable: true,
+            forward,
+        })
     };
     for node in 0..3 {
         let sibling = format!("n{}", (node + 1) % 3);
@@ -365,7 +371,7 @@
     assert!((0..3).all(|n| w.is_up(n)));
     assert_eq!(w.on("wk-000001").len(), 3);
     assert_eq!(w.starts, starts, "nothing had to be started again");
-    w.submit_surely(&job("wk-000002", Shape::Array, 2));
+    w.submit_surely(&job("wk-000002", JobKind::Array, 2));
     w.until_done("wk-000002", 20_000);
     w.all_is_well();
 }
--- a/crates/core/tests/stories/main.rs
+++ b/crates/core/tests/stories/main.rs
@@ -15,7 +15,7 @@
 mod upgrade;
 mod world;
 
-use quartzgate_wire::msg::{JobStatus, ReportTask, Shape, TaskStatus};
+use quartzgate_wire::msg::{HeartbeatTask, JobKind, JobStatus, TaskStatus};
 use world::{job, Cut, End, World, CANCEL_MS};
 
 /// Guards the whole ordinary path: accepted, started, told done; a service runs its
@@ -24,15 +24,15 @@
 fn a_quiet_day() {
     let mut w = World::new(3, 4, 0.0, 1);
     w.run(500);
-    w.submit_surely(&job("wk-000001", Shape::Array, 6));
-    w.submit_surely(&job("wk-000002", Shape::Service, 2));
+    w.submit_surely(&job("wk-000001", JobKind::Array, 6));
+    w.submit_surely(&job("wk-000002", JobKind::Service, 2));
     w.until_done("wk-000001", 20_000);
     assert_eq!(w.on("wk-000002").len(), 2);
     w.abort_surely("wk-000002");
     w.until(3_000, "replicas are gone", |w| w.on("wk-000002").is_empty());
-    let (poll, abort) = (w.poll(1, "wk-000009"), w.abort(2, "wk-000009"));
+    let (query_status, abort) = (w.query_status(1, "wk-000009"), w.abort(2, "wk-000009"));
     w.run(1_000);
-    assert_eq!((w.status(poll), w.status(abort)), (404, 404));
+    assert_eq!((w.status(query_status), w.status(abort)), (404, 404));
     w.keep_rules();
 }
 
@@ -42,7 +42,7 @@
     let mut w = World::new(3, 2, 0.0, 3);
     w.run(1_500);
     let leader = w.leader().unwrap();
-    let spec = job("wk-000001", Shape::Array, 1);
+    let spec = job("wk-000001", JobKind::Array, 1);
     let asks: Vec<usize> = (0..4).map(|_| w.submit(leader, &spec)).collect();
     w.run(500);
     assert!(asks.iter().all(|a| [200, 201, 503].contains(&w.status(*a))));
@@ -56,7 +56,7 @@
 fn a_repeated_submission_is_never_refused() {
     let mut w = World::new(3, 2, 0.0, 2);
     w.run(500);
-    let spec = job("wk-000001", Shape::Array, 1);
+    let spec = job("wk-000001", JobKind::Array, 1);
     w.submit_surely(&spec);
     w.until_done("wk-000001", 20_000);
     let mut misfit = spec.clone();
@@ -77,7 +77,7 @@
         let mut w = World::new(3, 4, 0.0, 100 + seed);
         w.run(500);
         w.run_ms.insert("wk-000001".into(), 9_000);
-        w.submit_surely(&job("wk-000001", Shape::Array, 12));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 12));
         let old = w.leader().unwrap();
         w.state.refuses.insert(old);
         w.until(20_000, "another leads", |w| w.leader().is_some_and(|l| l != old));
@@ -96,7 +96,7 @@
         let mut w = World::new(3, 4, 0.0, 250 + step);
         w.run(500);
         w.run_ms.insert("wk-000001".into(), 900);
-        w.submit_surely(&job("wk-000001", Shape::Array, 40));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 40));
         w.run(step * 130);
         let old = w.leader().unwrap();
         w.cut(End::Node(old), End::State, Cut::Hold);
@@ -132,7 +132,7 @@
         w.returns_off = true;
         w.run(500);
         w.run_ms.insert("wk-000001".into(), 600_000);
-        w.submit_surely(&job("wk-000001", Shape::Array, 6));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 6));
         w.until(5_000, "all run", |w| w.on("wk-000001").len() == 6);
         part(&mut w);
         w.abort_surely("wk-000001");
@@ -154,7 +154,7 @@
         w.returns_off = true;
         w.run(500);
         w.run_ms.insert("wk-000001".into(), 600_000);
-        w.submit_surely(&job("wk-000001", Shape::Array, 4));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 4));
         w.until(5_000, "all run", |w| w.on("wk-000001").len() == 4);
         part(&mut w);
         w.run(CANCEL_MS + 15_000);
@@ -171,7 +171,7 @@
     for seed in 0..8 {
         let mut w = World::new(3, 4, 0.0, 300 + seed);
         w.run(500);
-        w.submit_surely(&job("wk-000001", Shape::Array, 1));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 1));
         w.until_done("wk-000001", 20_000);
         let old = w.leader().unwrap();
         // Starts are ordered, but the orders stay in the network.
@@ -179,7 +179,7 @@
             w.cut(End::Node(old), End::Worker(format!("vm-{m:06}")), Cut::Hold);
         }
         w.run_ms.insert("wk-000002".into(), 15_000);
-        let spec = job("wk-000002", Shape::Array, 8);
+        let spec = job("wk-000002", JobKind::Array, 8);
         w.submit(old, &spec);
         w.run(600);
         w.kill(old);
@@ -204,7 +204,7 @@
         w.run_ms.insert("wk-000001".into(), 4_000);
         let held = ["vm-000000", "vm-000002"];
         held.iter().for_each(|m| w.cut(End::Node(0), End::Worker(m.to_string()), Cut::Hold));
-        w.submit_surely(&job("wk-000001", Shape::Array, 8));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 8));
         w.run(3_000);
         w.heal();
         w.run(500);
@@ -221,7 +221,7 @@
         let mut w = World::new(3, 4, 32.0, 500 + step);
         w.run(500);
         w.run_ms.insert("wk-000001".into(), 1_500);
-        let spec = job("wk-000001", Shape::Array, 10);
+        let spec = job("wk-000001", JobKind::Array, 10);
         w.submit(0, &spec);
         w.run(1 + step * step * 7);
         (0..3).for_each(|n| w.kill_for(n, 3_000));
@@ -245,7 +245,7 @@
         for late in 64..96 {
             w.run_ms.insert(format!("wk-000001/{late}"), 20_000);
         }
-        let spec = job("wk-000001", Shape::Array, 96);
+        let spec = job("wk-000001", JobKind::Array, 96);
         w.submit_surely(&spec);
         // The first chunk ends and is folded, the second runs on.
         w.run(5_000 + step * 500);
@@ -265,7 +265,7 @@
         let mut w = World::new(3, 4, 0.0, 600 + step);
         w.run(1_500);
         w.run_ms.insert("wk-000001".into(), 300_000);
-        w.submit((step % 3) as usize, &job("wk-000001", Shape::Array, 6));
+        w.submit((step % 3) as usize, &job("wk-000001", JobKind::Array, 6));
         w.run(1 + step * 3);
         w.abort_surely("wk-000001");
         w.run(CANCEL_MS + 5_000);
@@ -283,10 +283,10 @@
         let mut w = World::new(3, 4, 0.0, 700 + u64::from(swallowed));
         w.run(1_000);
         w.state.swallow_answers = swallowed;
-        w.submit_surely(&job("wk-000001", Shape::Array, 6));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 6));
         w.state.swallow_answers = swallowed;
         w.until_done("wk-000001", 60_000);
-        w.submit_surely(&job("wk-000002", Shape::Service, 2));
+        w.submit_surely(&job("wk-000002", JobKind::Service, 2));
         w.state.swallow_answers = 2;
         w.abort_surely("wk-000002");
         w.run(CANCEL_MS);
@@ -308,10 +308,10 @@
         for id in ["wk-000001", "wk-000002"] {
             w.run_ms.insert(id.into(), 6_000);
         }
-        let unseen = job("wk-000001", Shape::Array, 4);
+        let unseen = job("wk-000001", JobKind::Array, 4);
         w.submit(leader, &unseen);
         w.run(1_200);
-        w.submit_surely(&job("wk-000002", Shape::Array, 4));
+        w.submit_surely(&job("wk-000002", JobKind::Array, 4));
         w.until(8_000, "the second runs", |w| w.on("wk-000002").len() == 4);
         (0..3).for_each(|n| w.kill_for(n, 1_000));
         w.run(2_000);
@@ -331,7 +331,7 @@
         let mut w = World::new(3, 5, 16.0, 800 + seed);
         w.run(500);
         w.run_ms.insert("wk-000001".into(), 40_000);
-        w.submit_surely(&job("wk-000001", Shape::Array, 12));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 12));
         w.until(5_000, "four run", |w| w.on("wk-000001").len() == 4);
         let old = w.leader().unwrap();
         let near = w.on("wk-000001")[0].1.clone();
@@ -354,7 +354,7 @@
 fn spread_holds_when_a_zone_is_lost() {
     let mut w = World::new(3, 6, 0.0, 900);
     w.run(500);
-    let mut spec = job("wk-000001", Shape::Service, 5);
+    let mut spec = job("wk-000001", JobKind::Service, 5);
     spec.spread = true;
     w.submit_surely(&spec);
     w.until(5_000, "all run", |w| w.on("wk-000001").len() == 5);
@@ -398,10 +398,10 @@
         let leader = w.leader().unwrap();
         w.run_ms.insert("wk-000001".into(), 4_000);
         w.run_ms.insert("wk-000002".into(), 600_000);
-        w.submit_surely(&job("wk-000001", Shape::Array, 12));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 12));
         w.until(6_000, "all run", |w| w.on("wk-000001").len() == 12);
         part_zones(&mut w, leader);
-        w.submit_surely(&job("wk-000002", Shape::Array, 12));
+        w.submit_surely(&job("wk-000002", JobKind::Array, 12));
         w.until(25_000, "all run in both zones", |w| w.on("wk-000002").len() == 12);
         w.until_done("wk-000001", 10_000);
         if seed % 2 == 0 {
@@ -427,14 +427,14 @@
     w.cut(End::Node(old), End::Worker("vm-000000".into()), Cut::Drop);
     w.run(1_500);
     // It has seen a later epoch, and holds something that the old owner would stop.
-    let later = (report.token >> 24) + 1;
-    (report.token, report.seq) = (later << 24, report.seq + 100);
-    report.tasks = vec![ReportTask {
+    let later = (report.fencing_token >> 24) + 1;
+    (report.fencing_token, report.seq) = (later << 24, report.seq + 100);
+    report.tasks = vec![HeartbeatTask {
         task: "wk-000009/0".into(),
         attempt: later << 24,
         status: TaskStatus::Running,
         cause: None,
-        saved: None,
+        checkpointed: None,
     }];
     let tokens = w.answer_inspect(old, &report);
     assert!(tokens.iter().all(|t| t >> 24 < later), "commands with {tokens:x?}");
@@ -449,8 +449,8 @@
         w.run(2_000);
         let leader = w.leader().unwrap();
         // The leader is alone with zone a; the others have zone b.
-        w.submit_surely(&job("wk-000001", Shape::Service, 4));
-        w.submit_surely(&job("wk-000002", Shape::Service, 8));
+        w.submit_surely(&job("wk-000001", JobKind::Service, 4));
+        w.submit_surely(&job("wk-000002", JobKind::Service, 8));
         w.until(8_000, "all run", |w| w.on("wk-000001").len() + w.on("wk-000002").len() == 12);
         part_zones(&mut w, leader);
         let starts: usize = w.starts.values().map(Vec::len).sum();
@@ -474,7 +474,7 @@
 fn a_cancelled_task_on_a_hanging_machine_is_fenced() {
     let mut w = World::new(3, 6, 0.0, 990);
     w.run(500);
-    w.submit_surely(&job("wk-000001", Shape::Service, 1));
+    w.submit_surely(&job("wk-000001", JobKind::Service, 1));
     w.until(5_000, "it runs", |w| w.on("wk-000001").len() == 1);
     let machine = w.on("wk-000001")[0].1.clone();
     // So many hang that silence alone sends none of them back.
@@ -503,7 +503,7 @@
         }
         w.run(4_000);
         w.run_ms.insert("wk-000001".into(), 300_000);
-        w.submit(others[0], &job("wk-000001", Shape::Array, 3));
+        w.submit(others[0], &job("wk-000001", JobKind::Array, 3));
         w.run(20 + step * 8);
         let end = w.now + 10_000;
         while w.now < end && w.told.get("wk-000001") != Some(&JobStatus::Aborted) {
@@ -528,13 +528,13 @@
         w.cut(End::Node(leader), End::Node(n), Cut::Drop);
     }
     w.run(4_000);
-    let a = w.submit(other, &job("wk-000001", Shape::Array, 3));
+    let a = w.submit(other, &job("wk-000001", JobKind::Array, 3));
     w.run(3_000);
     assert_eq!(w.status(a), 201);
     w.until_done("wk-000001", 30_000);
     // And an abort past the leader reaches it as well.
     w.run_ms.insert("wk-000002".into(), 300_000);
-    w.submit(leader, &job("wk-000002", Shape::Array, 3));
+    w.submit(leader, &job("wk-000002", JobKind::Array, 3));
     w.until(5_000, "all run", |w| w.on("wk-000002").len() == 3);
     let a = w.abort(other, "wk-000002");
     w.run(3_000);
@@ -549,21 +549,21 @@
 fn an_outage_is_answered_at_once() {
     let mut w = World::new(3, 4, 0.0, 1100);
     w.run(500);
-    w.submit_surely(&job("wk-000001", Shape::Array, 2));
+    w.submit_surely(&job("wk-000001", JobKind::Array, 2));
     w.until_done("wk-000001", 20_000);
-    w.submit_surely(&job("wk-000002", Shape::Service, 2));
+    w.submit_surely(&job("wk-000002", JobKind::Service, 2));
     w.until(5_000, "both run", |w| w.on("wk-000002").len() == 2);
     w.state.down = true;
     w.run(6_000);
     let leader = w.leader().unwrap();
-    let (ended, live) = (w.poll(leader, "wk-000001"), w.poll(leader, "wk-000002"));
-    let fresh = w.submit(leader, &job("wk-000003", Shape::Array, 2));
+    let (ended, live) = (w.query_status(leader, "wk-000001"), w.query_status(leader, "wk-000002"));
+    let fresh = w.submit(leader, &job("wk-000003", JobKind::Array, 2));
     let ready = w.ask(leader, "GET", "/ready", Vec::new());
     w.run(100);
     assert_eq!((w.status(ended), w.status(live), w.status(fresh)), (200, 503, 503));
     assert_eq!(w.status(ready), 200);
     w.state.down = false;
-    w.submit_surely(&job("wk-000003", Shape::Array, 2));
+    w.submit_surely(&job("wk-000003", JobKind::Array, 2));
     w.until_done("wk-000003", 30_000);
     assert_eq!(w.on("wk-000002").len(), 2, "replicas live through the outage");
     w.keep_rules();
@@ -575,7 +575,7 @@
     let mut w = World::new(3, 4, 0.0, 1200);
     w.run(500);
     w.run_ms.insert("wk-000001".into(), 8_000);
-    let mut spec = job("wk-000001", Shape::Gang, 4);
+    let mut spec = job("wk-000001", JobKind::Gang, 4);
     spec.together = true;
     w.submit_surely(&spec);
     w.until(5_000, "it runs", |w| running(w, "wk-000001") == 4);
@@ -608,7 +608,7 @@
     w.run(500);
     w.workers.get_mut("vm-000001").unwrap().fails = true;
     for n in 1..5 {
-        w.submit_surely(&job(&format!("wk-00000{n}"), Shape::Array, 8));
+        w.submit_surely(&job(&format!("wk-00000{n}"), JobKind::Array, 8));
     }
     for n in 1..5 {
         w.until_done(&format!("wk-00000{n}"), 60_000);
@@ -624,13 +624,13 @@
         let mut w = World::new(3, 6, 0.0, 1700);
         w.run(500);
         w.run_ms.insert("wk-000001".into(), 600_000);
-        w.submit_surely(&job("wk-000001", Shape::Array, 6));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 6));
         w.until(5_000, "all run", |w| w.on("wk-000001").len() == 6);
         let leader = w.leader().unwrap();
         let names: Vec<String> = w.workers.keys().cloned().collect();
         names.iter().for_each(|n| w.cut(End::Node(leader), End::Worker(n.clone()), how));
         w.run(12_000);
-        w.submit_surely(&job("wk-000002", Shape::Array, 6));
+        w.submit_surely(&job("wk-000002", JobKind::Array, 6));
         w.until_done("wk-000002", 12_000);
         assert_eq!((w.leader(), w.workers.len()), (Some(leader), 6));
         let kept = w.starts.iter().filter(|(t, s)| t.starts_with("wk-000001/") && s.len() == 1);
@@ -652,7 +652,7 @@
         let mut w = World::new(3, 0, 0.0, 1720 + seed);
         w.run(1_500);
         w.run_ms.insert("wk-000001".into(), 600_000);
-        w.submit_surely(&job("wk-000001", Shape::Array, 1));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 1));
         let old = w.leader().unwrap();
         // Only the old owner hears the first machine, and only the others the second.
         w.cut(End::Node(old), End::State, Cut::Drop);
@@ -679,7 +679,7 @@
     let mut w = World::new(3, 2, 0.0, 1740);
     w.run(500);
     w.run_ms.insert("wk-000001".into(), 600_000);
-    w.submit_surely(&job("wk-000001", Shape::Array, 1));
+    w.submit_surely(&job("wk-000001", JobKind::Array, 1));
     w.until(5_000, "it runs", |w| w.on("wk-000001").len() == 1);
     let leader = w.leader().unwrap();
     let (keeper, other) = ((leader + 1) % 3, (leader + 2) % 3);
@@ -701,7 +701,7 @@
     let mut w = World::new(3, 2, 0.0, 1760);
     w.run(500);
     w.run_ms.insert("wk-000001".into(), 600_000);
-    w.submit_surely(&job("wk-000001", Shape::Array, 2));
+    w.submit_surely(&job("wk-000001", JobKind::Array, 2));
     w.until(5_000, "it runs", |w| w.on("wk-000001").len() == 2);
     let leader = w.leader().unwrap();
     // Its machines hang, so that the tasks are still there when the refusal comes.
@@ -726,19 +726,19 @@
     let mut w = World::new(3, 2, 0.0, 1780);
     w.run(500);
     w.run_ms.insert("wk-000001".into(), 600_000);
-    w.submit_surely(&job("wk-000001", Shape::Array, 1));
+    w.submit_surely(&job("wk-000001", JobKind::Array, 1));
     w.until(5_000, "it runs", |w| w.on("wk-000001").len() == 1);
     let garbage = ciborium::value::Value::Text("?".into());
     w.state.keys.get_mut("shares/wk-000001/0/0").unwrap().0 = garbage.clone();
     (0..3).for_each(|n| w.kill_for(n, 500));
     w.run(2_000);
-    w.submit_surely(&job("wk-000002", Shape::Array, 2));
+    w.submit_surely(&job("wk-000002", JobKind::Array, 2));
     w.until_done("wk-000002", 20_000);
     w.run(20_000);
     assert_eq!(w.state.keys["shares/wk-000001/0/0"].0, garbage);
-    let poll = w.poll(0, "wk-000001");
+    let query_status = w.query_status(0, "wk-000001");
     w.run(500);
-    assert!([200, 503].contains(&w.status(poll)));
+    assert!([200, 503].contains(&w.status(query_status)));
     w.keep_rules();
 }
 
@@ -750,7 +750,7 @@
     w.run(500);
     w.run_ms.insert("wk-000001".into(), 600_000);
     w.unlisted.extend(["vm-000002".to_string(), "vm-000003".to_string()]);
-    w.submit_surely(&job("wk-000001", Shape::Array, 8));
+    w.submit_surely(&job("wk-000001", JobKind::Array, 8));
     w.until(5_000, "all run", |w| w.on("wk-000001").len() == 8);
     let old = w.leader().unwrap();
     w.kill(old);
@@ -773,12 +773,12 @@
     let ids: Vec<String> = (1..6).map(|n| format!("wk-00000{n}")).collect();
     for id in &ids {
         w.run_ms.insert(id.clone(), 600_000);
-        w.submit_surely(&job(id, Shape::Array, 1));
+        w.submit_surely(&job(id, JobKind::Array, 1));
     }
     let leader = w.leader().unwrap();
     let (reads, mut asks) = (w.state.requests, Vec::new());
     for _ in 0..200 {
-        asks.extend(ids.iter().map(|id| w.poll(leader, id)));
+        asks.extend(ids.iter().map(|id| w.query_status(leader, id)));
         w.run(10);
     }
     w.run(1_000);
@@ -791,7 +791,7 @@
     w.run(3_000);
     let abort = w.abort((leader + 1) % 3, &ids[0]);
     w.until(3_000, "aborted past the leader", |w| w.status(abort) == 200);
-    let ask = w.poll(leader, &ids[0]);
+    let ask = w.query_status(leader, &ids[0]);
     w.run(200);
     assert_eq!(w.status(ask), 200);
     assert_eq!(w.told.get(&ids[0]), Some(&JobStatus::Aborted));
@@ -804,11 +804,11 @@
     w.run(500);
     w.run_ms.insert("wk-000001".into(), 7_000);
     w.run_ms.insert("wk-000003".into(), 600_000);
-    let mut service = job("wk-000002", Shape::Service, 4);
+    let mut service = job("wk-000002", JobKind::Service, 4);
     service.spread = true;
     w.submit_surely(&service);
-    w.submit_surely(&job("wk-000003", Shape::Array, 2));
-    w.submit_surely(&job("wk-000001", Shape::Array, 14));
+    w.submit_surely(&job("wk-000003", JobKind::Array, 2));
+    w.submit_surely(&job("wk-000001", JobKind::Array, 14));
     w
 }
 
@@ -834,7 +834,7 @@
             }
             let ask = w.abort((who + 1) % 3, "wk-000003");
             w.run(300);
-            let spec = job("wk-000004", Shape::Array, 3);
+            let spec = job("wk-000004", JobKind::Array, 3);
             w.submit((who + 2) % 3, &spec);
             w.run(pause);
             if w.status(ask) != 200 {
@@ -889,13 +889,13 @@
         w.workers.get_mut("vm-000003").unwrap().fails = faulty;
         for n in 1..5 {
             let id = format!("wk-00000{n}");
-            w.mistaken.insert(id.clone(), 0);
-            w.submit_surely(&job(&id, Shape::Array, 6));
+            w.failing_everywhere.insert(id.clone(), 0);
+            w.submit_surely(&job(&id, JobKind::Array, 6));
         }
         w.run(5_000);
-        let before: Vec<u32> = w.mistaken.values().copied().collect();
+        let before: Vec<u32> = w.failing_everywhere.values().copied().collect();
         for n in 1..5 {
-            w.submit_surely(&job(&format!("wk-00001{n}"), Shape::Array, 8));
+            w.submit_surely(&job(&format!("wk-00001{n}"), JobKind::Array, 8));
         }
         for n in 1..5 {
             w.until_done(&format!("wk-00001{n}"), 20_000);
@@ -903,7 +903,7 @@
         w.run(30_000);
         assert_eq!(w.workers.len(), if faulty { 7 } else { 8 }, "only what is faulty goes back");
         assert_eq!(w.workers.contains_key("vm-000003"), !faulty);
-        for (failed, before) in w.mistaken.values().zip(before) {
+        for (failed, before) in w.failing_everywhere.values().zip(before) {
             assert!(failed - before <= 8, "{failed} failures, {before} of them early");
         }
         for n in 1..5 {
@@ -967,13 +967,13 @@
         for n in 0..12 {
             let id = format!("wk-{:06}", n + 1);
             let shape = match n % 4 {
-                0 => Shape::Service,
-                3 => Shape::Gang,
-                _ => Shape::Array,
+                0 => JobKind::Service,
+                3 => JobKind::Gang,
+                _ => JobKind::Array,
             };
             w.run_ms.insert(id.clone(), rng.random_range(500..12_000));
             let mut spec = job(&id, shape, rng.random_range(1..5));
-            spec.spread = shape == Shape::Service;
+            spec.spread = shape == JobKind::Service;
             w.submit(rng.random_range(0..3), &spec);
             ids.push((id, spec));
             let node = trouble(&mut w, &mut rng);
@@ -990,13 +990,13 @@
         (0..3).for_each(|n| w.kill_for(n, 1_000));
         w.run(2_000);
         for (id, spec) in &ids {
-            if spec.shape == Shape::Service {
+            if spec.shape == JobKind::Service {
                 w.submit_surely(spec);
                 w.abort_surely(id);
             }
         }
         for (id, spec) in &ids {
-            if spec.shape != Shape::Service {
+            if spec.shape != JobKind::Service {
                 w.submit_surely(spec);
                 if w.told.get(id) != Some(&JobStatus::Aborted) {
                     w.until_done(id, 300_000);
@@ -1013,7 +1013,7 @@
     for n in 0..tenths * each {
         let id = format!("wk-{:06}", first + n);
         w.run_ms.insert(id.clone(), 300);
-        asks.push((w.submit(node, &job(&id, Shape::Array, 1)), id));
+        asks.push((w.submit(node, &job(&id, JobKind::Array, 1)), id));
         if n % each == each - 1 {
             w.run(100);
         }
@@ -1034,7 +1034,7 @@
     let leader = w.leader().unwrap();
     // Three times as many as the state service takes changes.
     let first = flood(&mut w, leader, 1, 40, 12);
-    let service = w.submit(leader, &job("wk-900000", Shape::Service, 2));
+    let service = w.submit(leader, &job("wk-900000", JobKind::Service, 2));
     let more = flood(&mut w, leader, 1_000, 20, 12);
     assert_eq!(w.figures(leader)["writes_short"], 1.0);
     assert_eq!(w.status(service), 201, "urgent work is taken as it comes");
--- a/crates/core/tests/stories/meetings.rs
+++ b/crates/core/tests/stories/meetings.rs
@@ -2,7 +2,7 @@
 //! for all, and its neighbours.
 
 use crate::world::{job, Cut, End, LateWrites, World, CANCEL_MS, LEASE_MS, REPORT_MS};
-use quartzgate_wire::msg::{JobStatus, Shape};
+use quartzgate_wire::msg::{JobKind, JobStatus};
 
 fn name(n: u32) -> String {
     format!("wk-{n:06}")
@@ -15,9 +15,9 @@
     w.run(1_000);
     w.cloud_off = false;
     w.run_ms = (1..9).map(|n| (name(n), 600_000)).collect();
-    w.submit_surely(&job(&name(1), Shape::Array, 5));
-    w.submit_surely(&job(&name(2), Shape::Service, 3));
-    w.submit_surely(&job(&name(3), Shape::Array, 2));
+    w.submit_surely(&job(&name(1), JobKind::Array, 5));
+    w.submit_surely(&job(&name(2), JobKind::Service, 3));
+    w.submit_surely(&job(&name(3), JobKind::Array, 2));
     w.until(20_000, "all run", |w| (1..4).map(|n| w.on(&name(n)).len()).sum::<usize>() == 10);
     w
 }
@@ -63,7 +63,7 @@
     Direct,
     Relay,
     /// Some of them, while a sibling keeps the others.
-    Keeper,
+    LeaseProxy,
 }
 
 /// Days of each route: in steps of a quarter of a report round they cover all times from at once to
@@ -89,7 +89,7 @@
             Route::Relay => {
                 (0..6).for_each(|m| w.cut(End::Node(old), End::Worker(vm(m)), Cut::Drop))
             }
-            Route::Keeper => {
+            Route::LeaseProxy => {
                 for n in [one, other] {
                     w.cut(End::Node(old), End::Node(n), Cut::Drop);
                     (0..3).for_each(|m| w.cut(End::Node(n), End::Worker(vm(m)), Cut::Drop));
@@ -133,9 +133,9 @@
         if told {
             assert!(w.on(&name(1)).is_empty(), "case {case}");
             for n in 0..3 {
-                let poll = w.poll(n, &name(1));
+                let query_status = w.query_status(n, &name(1));
                 w.run(1_500);
-                assert!(w.status(poll) != 404);
+                assert!(w.status(query_status) != 404);
             }
             assert_eq!(w.told[&name(1)], JobStatus::Aborted);
         }
@@ -157,7 +157,7 @@
 
 #[test]
 fn a_cancellation_in_the_gap_is_kept_where_a_keeper_answers() {
-    gap(Route::Keeper);
+    gap(Route::LeaseProxy);
 }
 
 fn vm(n: u32) -> String {
@@ -236,9 +236,9 @@
         w.until(20_000, "all steps are taken", |w| w.stands().version >= 4);
         (w.returns_off, w.keeps_idle) = (true, true);
         w.run_ms = (1..3).map(|n| (name(n), 600_000)).collect();
-        w.submit_surely(&job(&name(2), Shape::Service, 3));
+        w.submit_surely(&job(&name(2), JobKind::Service, 3));
         // Its share stands in keys of its own, whose writes leave its record as it is.
-        w.submit_surely(&job(&name(1), Shape::Array, 70));
+        w.submit_surely(&job(&name(1), JobKind::Array, 70));
         w.until(20_000, "all run", |w| w.on(&name(1)).len() == 9 && w.on(&name(2)).len() == 3);
         let old = w.leader().unwrap();
         let other = (old + 1) % 3;
@@ -256,7 +256,7 @@
             if w.told[&name(1)] == JobStatus::Aborted {
                 break;
             }
-            w.poll(other, &name(1));
+            w.query_status(other, &name(1));
             w.run(50);
         }
         // Then it loses the state service too, before it reads its live jobs again.
@@ -283,7 +283,7 @@
     w.until(20_000, "all steps are taken", |w| w.stands().version >= 4);
     w.run(1_000);
     w.cloud_off = false;
-    let spec = |n: u32| job(&name(n), Shape::Array, 1 + n % 3);
+    let spec = |n: u32| job(&name(n), JobKind::Array, 1 + n % 3);
     for n in 0..12 {
         // Tasks of one job end far apart.
         w.run_ms.insert(format!("{}/1", name(n)), 12_000 + u64::from(n) * 700);
@@ -298,7 +298,7 @@
         }
         for n in 0..12 {
             if w.told.contains_key(&name(n)) {
-                w.poll((node + n as usize) % 3, &name(n));
+                w.query_status((node + n as usize) % 3, &name(n));
             }
         }
         w.run(200);
@@ -361,7 +361,7 @@
     for case in 0..36u64 {
         let mut w = world(13_000 + case);
         let leader = w.leader().unwrap();
-        w.submit(leader, &job(&name(10), Shape::Array, 4));
+        w.submit(leader, &job(&name(10), JobKind::Array, 4));
         w.run(3 + case % 40);
         w.kill_for(leader, [200, 5_000][case as usize % 2]);
         let stop = w.state.writes + case / 2;
@@ -377,7 +377,7 @@
             }
         });
         w.run(8_000);
-        w.submit_surely(&job(&name(10), Shape::Array, 4));
+        w.submit_surely(&job(&name(10), JobKind::Array, 4));
         w.abort_surely(&name(1));
         w.until_done(&name(10), 120_000);
         w.run(CANCEL_MS);
@@ -402,10 +402,10 @@
             w.workers.get_mut(&vm(m)).unwrap().hang_between = Some((case as usize / 2 % 2, hang));
         }
         for n in 1..4 {
-            w.submit(n as usize % 3, &job(&name(n), Shape::Array, 3));
+            w.submit(n as usize % 3, &job(&name(n), JobKind::Array, 3));
         }
         w.run(700);
-        w.submit_surely(&job(&name(1), Shape::Array, 3));
+        w.submit_surely(&job(&name(1), JobKind::Array, 3));
         w.abort_surely(&name(1));
         if case % 3 == 0 {
             let leader = w.leader().unwrap();
@@ -413,7 +413,7 @@
         }
         w.run(CANCEL_MS + LEASE_MS);
         for n in 2..4 {
-            w.submit_surely(&job(&name(n), Shape::Array, 3));
+            w.submit_surely(&job(&name(n), JobKind::Array, 3));
             w.until_done(&name(n), 120_000);
         }
         w.nobody_is_forgotten();
--- a/crates/core/tests/stories/moments.rs
+++ b/crates/core/tests/stories/moments.rs
@@ -1,9 +1,9 @@
 //! Stories of what meets at a moment: an old report and a new leader, a question and an end, a
 //! cancellation and a hand-over, a write whose answer alone is lost.
 
-use crate::world::{behind, job, Cut, Deaf, End, Fate, LateWrites, Unanswered, World};
+use crate::world::{job, unwritten_records, Cut, Deaf, End, Fate, LateWrites, Unanswered, World};
 use crate::world::{CANCEL_MS, LEASE_MS, REPORT_MS};
-use quartzgate_wire::msg::{JobSpec, JobStatus, Rank, Shape};
+use quartzgate_wire::msg::{JobKind, JobSpec, JobStatus, Priority};
 use quartzgate_wire::to_cbor;
 
 fn name(n: u32) -> String {
@@ -29,7 +29,7 @@
         let mut w = world(4, 0.0, 14_000 + case);
         w.returns_off = true;
         w.run_ms = [(name(1), 600_000)].into();
-        w.submit_surely(&job(&name(1), Shape::Array, 1));
+        w.submit_surely(&job(&name(1), JobKind::Array, 1));
         w.until(20_000, "it runs", |w| w.on(&name(1)).len() == 1);
         w.run(2 * REPORT_MS);
         let first = w.on(&name(1))[0].1.clone();
@@ -43,24 +43,24 @@
         // The first machine is not heard for a while.
         w.mute.insert(first.clone());
         w.deaf.insert(first.clone(), Deaf { answers: false, orders: true });
-        let (leader, epoch) = (w.leader().unwrap(), w.view_stamp());
+        let (leader, epoch) = (w.leader().unwrap(), w.epoch_revision());
         w.kill_for(leader, 60_000);
         // The second finds none but one that will not lead.
         for n in 0..3 {
             w.cut(End::Node(n), End::Worker(second.clone()), Cut::Drop);
         }
-        w.until(20_000, "another begins", |w| w.view_stamp() > epoch);
+        w.until(20_000, "another begins", |w| w.epoch_revision() > epoch);
         let heir = w.leader().unwrap();
         let keeper = 3 - leader - heir;
         w.heal_between(&End::Node(keeper), &End::Worker(second.clone()));
         w.cut(End::Node(heir), End::Node(keeper), Cut::Drop);
         (0..40).for_each(|n| w.copy_later(&old, heir, 1 + case * 29 % 900 + n * 25));
-        let before = w.workers[&second].token;
+        let before = w.workers[&second].fencing_token;
         w.run(2 * REPORT_MS + case * 41 % (2 * REPORT_MS));
         w.mute.clear();
         w.deaf.clear();
         w.run(LEASE_MS);
-        kept += u64::from(w.workers[&second].token > before);
+        kept += u64::from(w.workers[&second].fencing_token > before);
         w.heal();
         w.keep_rules();
         w.until(60_000, "it runs", |w| w.on(&name(1)).len() == 1);
@@ -76,16 +76,16 @@
 /// What a mixed day's users submit: small jobs whose tasks end apart, one of two chunks, a service,
 /// a gang, a chain of three.
 fn mixed() -> Vec<JobSpec> {
-    let mut out: Vec<JobSpec> = (1..9).map(|n| job(&name(n), Shape::Array, 1 + n % 3)).collect();
-    let mut many = job(&name(9), Shape::Array, 70);
+    let mut out: Vec<JobSpec> = (1..9).map(|n| job(&name(n), JobKind::Array, 1 + n % 3)).collect();
+    let mut many = job(&name(9), JobKind::Array, 70);
     (many.cpus, many.memory_gb) = (0.02, 0.02);
     out.push(many);
-    let mut service = job(&name(10), Shape::Service, 3);
+    let mut service = job(&name(10), JobKind::Service, 3);
     service.spread = true;
     out.push(service);
-    out.push(job(&name(11), Shape::Gang, 2));
-    out.push(behind(job(&name(12), Shape::Array, 1), &[&name(1)]));
-    out.push(behind(job(&name(13), Shape::Array, 2), &[&name(12), &name(2)]));
+    out.push(job(&name(11), JobKind::Gang, 2));
+    out.push(unwritten_records(job(&name(12), JobKind::Array, 1), &[&name(1)]));
+    out.push(unwritten_records(job(&name(13), JobKind::Array, 2), &[&name(12), &name(2)]));
     out
 }
 
@@ -124,7 +124,7 @@
                     w.told.contains_key(&spec.id).then(|| w.abort((node + 1) % 3, &spec.id));
             }
             if turn % 7 == at as u64 % 7 && w.told.contains_key(&spec.id) {
-                w.poll((node + turn as usize) % 3, &spec.id);
+                w.query_status((node + turn as usize) % 3, &spec.id);
             }
         }
         w.run(100);
@@ -145,7 +145,7 @@
     let wanted = |w: &World| -> Vec<String> {
         let called = |id: &String| w.called_off(id);
         let lives = |id: &String| match w.jobs[id].shape {
-            Shape::Service => w.on(id).len() as u32 == w.jobs[id].tasks,
+            JobKind::Service => w.on(id).len() as u32 == w.jobs[id].tasks,
             _ => w.told[id] == JobStatus::Done,
         };
         let open = w.told.keys().filter(|id| !called(id) && !lives(id));
@@ -154,7 +154,7 @@
     let until = w.now + 120_000;
     while w.now < until && !wanted(w).is_empty() {
         for id in wanted(w) {
-            w.poll((w.now / 500) as usize % 3, &id);
+            w.query_status((w.now / 500) as usize % 3, &id);
         }
         w.run(500);
     }
@@ -286,7 +286,7 @@
             w.run(3_000);
         }
         let spec = |n: u32| {
-            let mut spec = job(&name(n), Shape::Array, 2);
+            let mut spec = job(&name(n), JobKind::Array, 2);
             spec.gpus = f64::from(u8::from(gpus));
             spec
         };
@@ -352,7 +352,7 @@
         w.cloud_off = false;
         w.returns_off = case % 2 == 0;
         w.run_ms = (1..9).map(|n| (name(n), 600_000)).collect();
-        (1..7).for_each(|n| w.submit_surely(&job(&name(n), Shape::Array, 2)));
+        (1..7).for_each(|n| w.submit_surely(&job(&name(n), JobKind::Array, 2)));
         w.until(20_000, "all run", |w| (1..7).all(|n| w.on(&name(n)).len() == 2));
         let first = w.leader().unwrap();
         let how = case % 4;
@@ -362,7 +362,7 @@
             2 => w.pause(who, 4_000 + case * 10),
             _ => w.cut(End::Node(who), End::State, Cut::Hold),
         };
-        let epoch = w.view_stamp();
+        let epoch = w.epoch_revision();
         change(&mut w, first);
         // One each at another moment, before, in and after the change.
         let wait = 5 + case * 17 % 400;
@@ -370,7 +370,7 @@
             w.abort((first + n as usize) % 3, &name(n));
             w.run(wait);
         }
-        w.until(20_000, "another leads", |w| w.view_stamp() > epoch);
+        w.until(20_000, "another leads", |w| w.epoch_revision() > epoch);
         w.run(case * 11 % 700);
         w.abort(case as usize % 3, &name(4));
         // Back to the first, whose last life or lease is not long ago.
@@ -384,12 +384,12 @@
         let third = (0..3).find(|n| *n != first && Some(*n) != w.leader()).unwrap();
         let second = w.leader().unwrap();
         if second != first {
-            let epoch = w.view_stamp();
+            let epoch = w.epoch_revision();
             w.kill_for(second, 20_000);
             w.kill_for(third, 4_000);
             w.run(case * 13 % 900);
             w.abort(first, &name(5));
-            w.until(20_000, "it goes on", |w| w.view_stamp() > epoch);
+            w.until(20_000, "it goes on", |w| w.epoch_revision() > epoch);
             back += u64::from(w.leader() == Some(first));
         }
         w.abort(first, &name(1));
@@ -423,7 +423,7 @@
             _ => {}
         }
         for n in 1..6 {
-            w.submit(n as usize % 3, &job(&name(n), Shape::Array, 3));
+            w.submit(n as usize % 3, &job(&name(n), JobKind::Array, 3));
             w.run(150);
         }
         w.run(1_200 + case * 83 % 3_000);
@@ -432,13 +432,13 @@
             w.kill_for(leader, [200, 5_000][case as usize / 3 % 2]);
             w.run(2_800 + case * 37 % 900);
             for n in 1..6 {
-                w.submit((n as usize + 1) % 3, &job(&name(n), Shape::Array, 3));
+                w.submit((n as usize + 1) % 3, &job(&name(n), JobKind::Array, 3));
             }
         }
         w.end_troubles();
         w.run(5_000);
         for n in 1..6 {
-            w.submit_surely(&job(&name(n), Shape::Array, 3));
+            w.submit_surely(&job(&name(n), JobKind::Array, 3));
         }
         (1..6).for_each(|n| w.until_done(&name(n), 150_000));
         w.all_is_well();
@@ -493,7 +493,7 @@
         w.close_looks = case % 2 == 1;
         let tasks = 260u32;
         let spec = |n: u32| {
-            let mut spec = job(&name(n), Shape::Array, 1);
+            let mut spec = job(&name(n), JobKind::Array, 1);
             (spec.cpus, spec.memory_gb, spec.image_gb) = (0.5, 0.5, 0.1);
             spec
         };
@@ -508,7 +508,7 @@
                 }
             }
             if n % 5 == 0 && n > 20 {
-                w.poll(n as usize % 3, &name(n - 17));
+                w.query_status(n as usize % 3, &name(n - 17));
             }
             if n % 90 == 60 {
                 let leader = w.leader().unwrap_or(0);
@@ -538,7 +538,7 @@
                 match (w.told.contains_key(&name(n)), off(n)) {
                     (false, _) => w.submit(node, &spec(n)),
                     (true, true) => w.abort(node, &name(n)),
-                    (true, false) => w.poll(node, &name(n)),
+                    (true, false) => w.query_status(node, &name(n)),
                 };
             }
             w.run(2_000);
@@ -579,7 +579,7 @@
         let what = if case % 2 == 0 { Unanswered::AtOnce } else { Unanswered::Late(late) };
         let prefix = if w.paged { "pages/" } else { "jobs/" };
         w.state.fates = vec![Fate { prefix, what, left: 1 }];
-        let spec = job(&name(1), Shape::Array, 2);
+        let spec = job(&name(1), JobKind::Array, 2);
         w.submit(leader, &spec);
         w.run(200 + late);
         for turn in 0..20 {
@@ -592,7 +592,7 @@
         assert!(w.told.contains_key(&name(1)), "case {case}: it is accepted");
         let until = w.now + 10_000;
         while w.now < until && w.on(&name(1)).len() < 2 {
-            w.poll(others[case as usize % 2], &name(1));
+            w.query_status(others[case as usize % 2], &name(1));
             w.run(500);
         }
         assert_eq!(w.on(&name(1)).len(), 2, "case {case}: it runs while the leader hears nobody");
@@ -612,7 +612,7 @@
         w.run_ms = [(name(1), 600_000)].into();
         let (leader, others) = alone(&mut w);
         w.run(1_500);
-        let spec = job(&name(1), Shape::Array, 2);
+        let spec = job(&name(1), JobKind::Array, 2);
         let note = "inbox/wk-000001";
         for turn in 0..4_000 {
             if turn % 1_200 == 0 {
@@ -672,8 +672,8 @@
         (w.max_delay, w.loss) = (60 + 40 * case, 0.01);
         let jobs: Vec<JobSpec> = (1..25)
             .map(|n| {
-                let mut spec = job(&name(n), Shape::Array, 3);
-                spec.rank = [Rank::Low, Rank::Normal, Rank::High][n as usize % 3];
+                let mut spec = job(&name(n), JobKind::Array, 3);
+                spec.priority = [Priority::Low, Priority::Normal, Priority::High][n as usize % 3];
                 spec
             })
             .collect();
@@ -706,7 +706,7 @@
         let mut w = world(4, 0.0, 15_400 + case);
         w.start_paged(case % 3 == 0);
         w.run(1_000);
-        let spec = job(&name(1), Shape::Array, 2);
+        let spec = job(&name(1), JobKind::Array, 2);
         w.submit_surely(&spec);
         w.until(20_000, "its last task has ended", |w| {
             w.done.get(&name(1)).is_some_and(|d| d.len() == 2)
@@ -717,7 +717,7 @@
             match (turn + case as usize) % 3 {
                 0 => w.abort((node + turn) % 3, &name(1)),
                 1 => w.submit((node + turn) % 3, &spec),
-                _ => w.poll((node + turn) % 3, &name(1)),
+                _ => w.query_status((node + turn) % 3, &name(1)),
             };
             w.run(1 + case % 4);
         }
@@ -739,7 +739,7 @@
         w.cloud_off = false;
         w.run_ms = (1..9).map(|n| (name(n), 600_000)).collect();
         for n in 1..6 {
-            let mut spec = job(&name(n), Shape::Array, 2);
+            let mut spec = job(&name(n), JobKind::Array, 2);
             spec.zone = (n == 1).then(|| "a".into()).or((n == 2).then(|| "b".into()));
             w.submit_surely(&spec);
         }
@@ -779,7 +779,7 @@
     for case in 0..8u64 {
         let mut w = world(8, 0.0, 15_600 + case);
         w.run_ms = [(name(1), 600_000)].into();
-        w.submit_surely(&job(&name(1), Shape::Service, 3));
+        w.submit_surely(&job(&name(1), JobKind::Service, 3));
         let mut views = std::collections::BTreeSet::new();
         for turn in 0..12u32 {
             let leader = w.leader().unwrap_or(turn as usize % 3);
@@ -788,7 +788,7 @@
                 1 => drop(w.state.refuses.insert(leader)),
                 _ => w.pause(leader, 3_500),
             }
-            w.submit((leader + 1) % 3, &job(&name(10 + turn), Shape::Array, 2));
+            w.submit((leader + 1) % 3, &job(&name(10 + turn), JobKind::Array, 2));
             w.run(case * 97 % 900);
             if turn % 4 == 1 {
                 w.state.down = true;
@@ -797,7 +797,7 @@
             }
             w.run(7_000);
             w.state.refuses.clear();
-            views.insert(w.view_stamp());
+            views.insert(w.epoch_revision());
             if turn % 3 == 0 {
                 w.abort(turn as usize % 3, &name(10 + turn));
             }
@@ -809,7 +809,7 @@
                 0 if w.told.contains_key(&name(10 + turn)) => w.abort_surely(&name(10 + turn)),
                 0 => {}
                 _ => {
-                    w.submit_surely(&job(&name(10 + turn), Shape::Array, 2));
+                    w.submit_surely(&job(&name(10 + turn), JobKind::Array, 2));
                     w.until_done(&name(10 + turn), 60_000);
                 }
             }
@@ -826,9 +826,9 @@
     for case in 0..16u64 {
         let mut w = world(6, 16.0, 15_700 + case);
         w.run_ms = (1..4).map(|n| (name(n), 40_000)).collect();
-        w.submit_surely(&job(&name(1), Shape::Array, 2));
-        w.submit_surely(&job(&name(2), Shape::Gang, 2));
-        w.submit_surely(&job(&name(3), Shape::Array, 2));
+        w.submit_surely(&job(&name(1), JobKind::Array, 2));
+        w.submit_surely(&job(&name(2), JobKind::Gang, 2));
+        w.submit_surely(&job(&name(3), JobKind::Array, 2));
         w.run(2_000);
         w.abort((case % 3) as usize, &name(3));
         w.run(case * 7 % 60);
@@ -859,7 +859,7 @@
         let mut w = world(6, [0.0, 24.0][case as usize % 2], 15_800 + case);
         w.run_ms = (1..6).map(|n| (name(n), 600_000)).collect();
         for n in 1..4 {
-            w.submit_surely(&job(&name(n), Shape::Array, 2));
+            w.submit_surely(&job(&name(n), JobKind::Array, 2));
         }
         w.until(20_000, "all run", |w| (1..4).all(|n| w.on(&name(n)).len() == 2));
         w.mute.extend((0..1 + case as usize % 4).map(vm));
@@ -871,7 +871,7 @@
         }
         w.run(LEASE_MS / 2 + case * 500);
         w.abort_surely(&name(1));
-        w.submit_surely(&job(&name(4), Shape::Array, 2));
+        w.submit_surely(&job(&name(4), JobKind::Array, 2));
         w.run(LEASE_MS);
         w.mute.clear();
         w.run(CANCEL_MS);
@@ -890,10 +890,10 @@
         w.cloud_off = false;
         w.run_ms = (1..9).map(|n| (name(n), 600_000)).collect();
         for n in 1..5 {
-            w.submit_surely(&job(&name(n), [Shape::Array, Shape::Gang][n as usize % 2], 2));
+            w.submit_surely(&job(&name(n), [JobKind::Array, JobKind::Gang][n as usize % 2], 2));
         }
         w.until(30_000, "the limit is reached", |w| (1..5).all(|n| w.on(&name(n)).len() == 2));
-        (5..8).for_each(|n| w.submit_surely(&job(&name(n), Shape::Array, 2)));
+        (5..8).for_each(|n| w.submit_surely(&job(&name(n), JobKind::Array, 2)));
         let leader = w.leader().unwrap();
         w.kill_for(leader, [200, 12_000][case as usize % 2]);
         let how = if case % 3 == 0 { Cut::Hold } else { Cut::Drop };
@@ -925,12 +925,12 @@
         w.cloud_off = case % 2 == 0;
         (w.boot_ms, w.list_lag_ms) = ((0, 2_000), 2_000);
         w.run_ms = (1..5).map(|n| (name(n), 30_000)).collect();
-        for (n, shape) in [(1, Shape::Array), (2, Shape::Gang), (3, Shape::Service)] {
+        for (n, shape) in [(1, JobKind::Array), (2, JobKind::Gang), (3, JobKind::Service)] {
             let mut spec = job(&name(n), shape, 2);
             spec.zone = Some("b".into());
             w.submit_surely(&spec);
         }
-        let mut together = job(&name(4), Shape::Array, 3);
+        let mut together = job(&name(4), JobKind::Array, 3);
         together.together = true;
         w.submit_surely(&together);
         w.run(3_000 + case * 60);
@@ -961,7 +961,7 @@
     for case in 0..48u64 {
         let mut w = world(4, 0.0, 16_100 + case);
         w.run_ms = [(name(1), 600_000)].into();
-        w.submit_surely(&job(&name(1), Shape::Array, 2));
+        w.submit_surely(&job(&name(1), JobKind::Array, 2));
         w.until(20_000, "it runs", |w| w.on(&name(1)).len() == 2);
         let (leader, others) = alone(&mut w);
         let held: Vec<String> = w.on(&name(1)).into_iter().map(|(_, m)| m).collect();
--- a/crates/core/tests/stories/pages.rs
+++ b/crates/core/tests/stories/pages.rs
@@ -3,8 +3,8 @@
 use crate::trouble;
 use crate::world::{job, Cut, End, World, CANCEL_MS};
 use ciborium::value::Value;
-use quartzgate_core::records::{PageRecord, PAGES};
-use quartzgate_wire::msg::{JobStatus, Rank, Shape};
+use quartzgate_core::records::{BatchRecord, BATCH_PREFIX};
+use quartzgate_wire::msg::{JobKind, JobStatus, Priority};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -27,11 +27,11 @@
 
 /// Submits jobs of so many tasks at once to one controller; what was asked.
 fn together(w: &mut World, node: usize, ids: std::ops::Range<u32>, tasks: u32) -> Vec<usize> {
-    ids.map(|n| w.submit(node, &job(&name(n), Shape::Array, tasks))).collect()
+    ids.map(|n| w.submit(node, &job(&name(n), JobKind::Array, tasks))).collect()
 }
 
-fn pages(w: &World) -> Vec<PageRecord> {
-    let keys = w.state.keys.iter().filter(|(k, _)| k.starts_with(PAGES));
+fn pages(w: &World) -> Vec<BatchRecord> {
+    let keys = w.state.keys.iter().filter(|(k, _)| k.starts_with(BATCH_PREFIX));
     keys.map(|(_, v)| v.0.deserialized().unwrap()).collect()
 }
 
@@ -57,7 +57,7 @@
     assert!(w.starts.len() > 30, "{} of them started", w.starts.len());
     w.run(30_000);
     for n in 0..40 {
-        w.poll(leader, &name(n));
+        w.query_status(leader, &name(n));
     }
     w.run(1_000);
     assert!((0..40).all(|n| w.told[&name(n)] == JobStatus::Done));
@@ -83,7 +83,7 @@
         w.run_ms.extend(ids.clone().map(|n| (name(n), 300)));
         asks.extend(together(&mut w, leader, ids, 1));
         if tenth == 30 {
-            w.submit(leader, &job("wk-900000", Shape::Service, 2));
+            w.submit(leader, &job("wk-900000", JobKind::Service, 2));
         }
         w.run(100);
     }
@@ -117,7 +117,7 @@
         (0..3).for_each(|n| w.kill_for(n, 400));
         w.run(3_000);
         for n in 0..20 {
-            w.submit_surely(&job(&name(n), Shape::Array, if n < 12 { 2 } else { 1 }));
+            w.submit_surely(&job(&name(n), JobKind::Array, if n < 12 { 2 } else { 1 }));
             if w.told[&name(n)] != JobStatus::Aborted {
                 w.until_done(&name(n), 120_000);
             }
@@ -146,9 +146,9 @@
     }
     w.run(2_000);
     let reads = w.state.requests;
-    let asks: Vec<usize> = (0..20).map(|n| w.poll(other, &name(n))).collect();
-    let nobody = w.poll(other, "wk-777777");
-    let again = w.submit(other, &job(&name(15), Shape::Array, 1));
+    let asks: Vec<usize> = (0..20).map(|n| w.query_status(other, &name(n))).collect();
+    let nobody = w.query_status(other, "wk-777777");
+    let again = w.submit(other, &job(&name(15), JobKind::Array, 1));
     w.run(1_500);
     let requests = w.state.requests - reads;
     assert!(asks.iter().all(|a| w.status(*a) == 200));
@@ -159,7 +159,7 @@
     // A cancellation past the leader, of a job in a page; its neighbours go on.
     w.insist(20_000, |w, _| w.abort(other, &name(16)), |s| s == 200);
     // One of that nobody heard of is taken past the leader, once.
-    w.insist(20_000, |w, _| w.submit(other, &job("wk-000099", Shape::Array, 1)), |s| s < 300);
+    w.insist(20_000, |w, _| w.submit(other, &job("wk-000099", JobKind::Array, 1)), |s| s < 300);
     w.heal();
     w.run(CANCEL_MS);
     assert_eq!(w.on(&name(16)).len(), 0);
@@ -186,8 +186,8 @@
     for round in 1..6u32 {
         let all = round * 30;
         let some = (0..all).rev().step_by(4 * round as usize);
-        let asks: Vec<usize> = some.map(|n| w.poll(other, &name(n))).collect();
-        let nobody = w.poll(other, "wk-777777");
+        let asks: Vec<usize> = some.map(|n| w.query_status(other, &name(n))).collect();
+        let nobody = w.query_status(other, "wk-777777");
         w.run(900);
         let told: Vec<u16> = asks.iter().map(|a| w.status(*a)).collect();
         assert!(told.iter().all(|s| *s == 200), "round {round}: {told:?}");
@@ -198,7 +198,7 @@
     let reads = w.state.page_reads;
     assert!((1..=2).contains(&reads), "all pages were read {reads} times");
     // The leader knows all pages.
-    let nobody = w.poll(leader, "wk-777778");
+    let nobody = w.query_status(leader, "wk-777778");
     w.run(300);
     assert_eq!((w.status(nobody), w.state.page_reads), (404, reads));
     w.heal();
@@ -221,10 +221,10 @@
     let mut asks = Vec::new();
     for n in 0..60 {
         for k in 0..12 {
-            w.poll(other, &name((n + k) % 20));
+            w.query_status(other, &name((n + k) % 20));
         }
         if n % 6 == 0 {
-            asks.push(w.submit(other, &job(&name(20 + n / 6), Shape::Array, 1)));
+            asks.push(w.submit(other, &job(&name(20 + n / 6), JobKind::Array, 1)));
         }
         w.run(50);
     }
@@ -237,7 +237,7 @@
 
 /// A flood of one-task jobs of this priority, more than there are changes for their ends; gives
 /// how many ends wait.
-fn flood_of(w: &mut World, rank: Rank) -> usize {
+fn flood_of(w: &mut World, priority: Priority) -> usize {
     w.state.limits = Some((usize::MAX, 12, 10.0));
     w.next = Some(serde_json::json!({"write_rps": 10.0}));
     (0..3).for_each(|n| {
@@ -248,8 +248,8 @@
     let leader = w.leader().unwrap();
     w.run_ms = (0..250).map(|n| (name(n), 500)).collect();
     for n in 0..250 {
-        let mut spec = job(&name(n), Shape::Array, 1);
-        (spec.rank, spec.class) = (rank, "flood".into());
+        let mut spec = job(&name(n), JobKind::Array, 1);
+        (spec.priority, spec.class) = (priority, "flood".into());
         w.submit(leader, &spec);
         if n % 10 == 9 {
             w.run(100);
@@ -266,12 +266,12 @@
 /// told done as soon as ever, one after another; and the flood's ends are all recorded in the end.
 #[test]
 fn a_floods_ends_keep_no_other_class_waiting() {
-    for rank in [Rank::Low, Rank::Normal] {
+    for priority in [Priority::Low, Priority::Normal] {
         let mut w = world(30, 655);
-        let waits = flood_of(&mut w, rank);
+        let waits = flood_of(&mut w, priority);
         for n in 900_000..900_003 {
             w.run_ms.insert(name(n), 1_000);
-            w.submit_surely(&job(&name(n), Shape::Array, 40));
+            w.submit_surely(&job(&name(n), JobKind::Array, 40));
             w.until_done(&name(n), 6_000);
         }
         assert!(paged(&w).len() > waits / 3, "most of the flood's ends still wait");
@@ -298,19 +298,19 @@
         }
         w.run(2_500);
         if case % 2 == 0 {
-            w.submit(leader, &job("wk-000002", Shape::Array, 1));
+            w.submit(leader, &job("wk-000002", JobKind::Array, 1));
             w.run(case * 2);
         }
-        w.submit(other, &job("wk-000001", Shape::Array, 2));
+        w.submit(other, &job("wk-000001", JobKind::Array, 2));
         w.run(case);
-        w.submit(leader, &job("wk-000001", Shape::Array, 2));
+        w.submit(leader, &job("wk-000001", JobKind::Array, 2));
         w.run(1_500);
         past += usize::from(w.state.journal.iter().any(|(k, _)| k.starts_with("inbox/")));
         let held = paged(&w).iter().filter(|id| *id == "wk-000001").count();
         let own = w.state.keys.contains_key("jobs/wk-000001");
         assert!(held + usize::from(own) <= 1, "in {held} pages and own record {own}");
         w.heal();
-        w.submit_surely(&job("wk-000001", Shape::Array, 2));
+        w.submit_surely(&job("wk-000001", JobKind::Array, 2));
         w.until_done("wk-000001", 60_000);
         assert!(w.starts.values().all(|s| s.len() == 1));
         w.keep_rules();
@@ -353,15 +353,16 @@
         w.run(900);
         w.state.refuses_late = None;
         for n in 0..8 {
-            w.submit_surely(&job(&name(n), Shape::Array, 2));
+            w.submit_surely(&job(&name(n), JobKind::Array, 2));
         }
         for n in 0..8 {
             w.until_done(&name(n), 120_000);
         }
         w.run(3_000);
         assert_eq!(paged(&w).len(), 0);
-        let made = w.state.journal.iter().filter(|(k, _)| k.starts_with(PAGES));
-        let mut numbers: Vec<u64> = made.map(|(k, _)| k[PAGES.len()..].parse().unwrap()).collect();
+        let made = w.state.journal.iter().filter(|(k, _)| k.starts_with(BATCH_PREFIX));
+        let mut numbers: Vec<u64> =
+            made.map(|(k, _)| k[BATCH_PREFIX.len()..].parse().unwrap()).collect();
         numbers.sort_unstable();
         numbers.dedup();
         assert_eq!(numbers, (1..=numbers.len() as u64).collect::<Vec<_>>(), "none is skipped");
@@ -378,18 +379,18 @@
         let mut w = world(12, 720 + case);
         let leader = w.leader().unwrap();
         w.run_ms = (0..16).map(|n| (name(n), 9_000)).collect();
-        w.state.busy_for = Some((format!("{PAGES}{:012}", 1), 150 + 60 * case));
+        w.state.busy_for = Some((format!("{BATCH_PREFIX}{:012}", 1), 150 + 60 * case));
         for n in 0..4 {
             together(&mut w, leader, 4 * n..4 * n + 4, 1);
             w.run(130);
         }
         w.run(1_000);
         assert!(w.state.busy_for.is_none());
-        (0..16).for_each(|n| w.submit_surely(&job(&name(n), Shape::Array, 1)));
+        (0..16).for_each(|n| w.submit_surely(&job(&name(n), JobKind::Array, 1)));
         w.keep_rules();
         (0..3).for_each(|n| w.kill_for(n, 200));
         for n in 0..16 {
-            w.submit_surely(&job(&name(n), Shape::Array, 1));
+            w.submit_surely(&job(&name(n), JobKind::Array, 1));
             w.until_done(&name(n), 60_000);
         }
         w.keep_rules();
@@ -410,7 +411,7 @@
         together(&mut w, leader, 3..6, 1);
         w.run(900);
         (0..3).for_each(|n| w.kill(n));
-        let key = format!("{PAGES}{:012}", 1);
+        let key = format!("{BATCH_PREFIX}{:012}", 1);
         let value = &mut w.state.keys.get_mut(&key).unwrap().0;
         match case {
             0 => {
@@ -429,14 +430,14 @@
         for n in (if case == 0 { 2 } else { 3 })..6 {
             w.until_done(&name(n), 60_000);
         }
-        w.submit_surely(&job("wk-000050", Shape::Array, 2));
+        w.submit_surely(&job("wk-000050", JobKind::Array, 2));
         w.until_done("wk-000050", 60_000);
         assert_eq!(w.state.keys[&key].0, damaged, "left as it is");
-        let asked = w.poll(0, &name(1));
+        let asked = w.query_status(0, &name(1));
         w.run(1_000);
         assert_eq!(w.status(asked), 503);
         if case == 0 {
-            let again = w.submit(w.leader().unwrap(), &job(&name(1), Shape::Array, 1));
+            let again = w.submit(w.leader().unwrap(), &job(&name(1), JobKind::Array, 1));
             w.run(1_000);
             assert_eq!(w.status(again), 503, "not accepted anew");
         }
@@ -464,7 +465,7 @@
         w.run(700 + 300 * case);
         (0..3).for_each(|n| w.kill_for(n, 400));
         for n in 0..12 {
-            w.submit_surely(&job(&name(n), Shape::Array, if n < 6 { 4 } else { 1 }));
+            w.submit_surely(&job(&name(n), JobKind::Array, if n < 6 { 4 } else { 1 }));
         }
         for n in 0..12 {
             w.until_done(&name(n), 120_000);
@@ -487,7 +488,7 @@
         for _ in 0..12 {
             let node = rng.random_range(0..3);
             for _ in 0..rng.random_range(1..5) {
-                let spec = job(&name(next), Shape::Array, rng.random_range(1..4));
+                let spec = job(&name(next), JobKind::Array, rng.random_range(1..4));
                 next += 1;
                 w.run_ms.insert(spec.id.clone(), rng.random_range(500..12_000));
                 w.submit(node, &spec);
@@ -539,22 +540,22 @@
         w.run(800);
         assert_eq!(paged(&w).len(), 3);
         // As an earlier build left it.
-        let large = job(&name(50), Shape::Array, 80);
+        let large = job(&name(50), JobKind::Array, 80);
         if case < 4 {
             together(&mut w, leader, 50..51, 80);
         } else {
-            let mut page = PageRecord::default();
-            page.add(&job(&name(51), Shape::Array, 2), 1_000_000, None);
+            let mut page = BatchRecord::default();
+            page.add(&job(&name(51), JobKind::Array, 2), 1_000_000, None);
             page.add(&large, 1_000_000, None);
-            for spec in [job(&name(51), Shape::Array, 2), large] {
+            for spec in [job(&name(51), JobKind::Array, 2), large] {
                 w.jobs.insert(spec.id.clone(), spec.clone());
                 w.told.insert(spec.id, JobStatus::Queued);
             }
             w.kill(leader);
             w.state.rev += 1;
-            let last = w.state.keys.keys().rfind(|k| k.starts_with(PAGES)).unwrap();
-            let number: u64 = last[PAGES.len()..].parse().unwrap();
-            let (key, rev) = (format!("{PAGES}{:012}", number + 1), w.state.rev);
+            let last = w.state.keys.keys().rfind(|k| k.starts_with(BATCH_PREFIX)).unwrap();
+            let number: u64 = last[BATCH_PREFIX.len()..].parse().unwrap();
+            let (key, rev) = (format!("{BATCH_PREFIX}{:012}", number + 1), w.state.rev);
             w.state.keys.insert(key, (Value::serialized(&page).unwrap(), rev, None));
             w.run(4_000);
             w.start(leader);
--- a/crates/core/tests/stories/restarts.rs
+++ b/crates/core/tests/stories/restarts.rs
@@ -2,8 +2,8 @@
 //! keys, claims, posts, calls and orders are all still there, and nobody may have noticed.
 
 use crate::world::{job, Cut, End, World, CANCEL_MS, LEASE_MS, REPORT_MS};
-use quartzgate_core::records::{Leader, LEADER};
-use quartzgate_wire::msg::{JobStatus, Shape};
+use quartzgate_core::records::{LeaderRecord, LEADER_KEY};
+use quartzgate_wire::msg::{JobKind, JobStatus};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -21,14 +21,14 @@
     w
 }
 
-fn leads(w: &World) -> Option<Leader> {
-    w.state.keys.get(LEADER).and_then(|(v, _, _)| v.deserialized().ok())
+fn leads(w: &World) -> Option<LeaderRecord> {
+    w.state.keys.get(LEADER_KEY).and_then(|(v, _, _)| v.deserialized().ok())
 }
 
 /// Milliseconds until a task of a job that is submitted now has been started.
 fn to_first_start(w: &mut World, id: &str) -> u64 {
     let began = w.now;
-    let (spec, task) = (job(id, Shape::Array, 1), format!("{id}/0"));
+    let (spec, task) = (job(id, JobKind::Array, 1), format!("{id}/0"));
     while !w.starts.contains_key(&task) {
         assert!(w.now < began + 60_000, "no task is started");
         (0..w.size()).filter(|n| w.is_up(*n)).collect::<Vec<_>>().into_iter().for_each(|n| {
@@ -52,7 +52,7 @@
         let mut w = world(12, 9_000 + case);
         w.max_delay = if case % 2 == 0 { 4 } else { 120 };
         w.run_ms = (0..8).map(|n| (name(n), 45_000)).collect();
-        (0..8).for_each(|n| w.submit_surely(&job(&name(n), Shape::Array, 1)));
+        (0..8).for_each(|n| w.submit_surely(&job(&name(n), JobKind::Array, 1)));
         w.until(20_000, "all run", |w| w.starts.len() == 8);
         let leader = w.leader().unwrap();
         let (heir, third) = ((leader + 1) % 3, (leader + 2) % 3);
@@ -61,7 +61,7 @@
             1 => {
                 w.cut(End::Node(leader), End::State, Cut::Hold);
                 for n in 8..12 {
-                    w.submit(leader, &job(&name(n), Shape::Array, 2));
+                    w.submit(leader, &job(&name(n), JobKind::Array, 2));
                 }
                 w.run(150);
             }
@@ -78,7 +78,7 @@
                 w.cut(End::Node(leader), End::Node(heir), Cut::Hold);
                 w.cut(End::Node(leader), End::Node(third), Cut::Hold);
                 for n in 8..12 {
-                    w.submit(heir, &job(&name(n), Shape::Array, 2));
+                    w.submit(heir, &job(&name(n), JobKind::Array, 2));
                 }
                 w.run(300);
             }
@@ -92,7 +92,7 @@
                 }
                 w.run(5 * REPORT_MS);
                 for n in 8..12 {
-                    w.submit(heir, &job(&name(n), Shape::Array, 2));
+                    w.submit(heir, &job(&name(n), JobKind::Array, 2));
                 }
                 w.run(400);
             }
@@ -163,7 +163,7 @@
     for case in 0..12u64 {
         let mut w = world(12, 9_300 + case);
         w.run_ms = (0..10).map(|n| (name(n), 60_000)).collect();
-        (0..10).for_each(|n| w.submit_surely(&job(&name(n), Shape::Array, 1)));
+        (0..10).for_each(|n| w.submit_surely(&job(&name(n), JobKind::Array, 1)));
         w.until(20_000, "all run", |w| w.starts.len() == 10);
         let leader = w.leader().unwrap();
         let keeper = (leader + 1) % 3;
@@ -202,7 +202,7 @@
         w.run_ms = (0..60).map(|n| (name(n), 2_000)).collect();
         let (mut ends, began) = (0, w.state.requests);
         for n in 0..60u32 {
-            let spec = job(&name(n), Shape::Array, 1);
+            let spec = job(&name(n), JobKind::Array, 1);
             let node = (0..3).find(|n| w.is_up(*n) && *n != looping).unwrap();
             w.submit(node, &spec);
             if n % 3 == 0 {
@@ -215,7 +215,7 @@
         let requests = w.state.requests - began;
         assert!(requests < 60 * 80, "{requests} requests with {ends} ends");
         for n in 0..60 {
-            w.submit_surely(&job(&name(n), Shape::Array, 1));
+            w.submit_surely(&job(&name(n), JobKind::Array, 1));
             w.until_done(&name(n), 60_000);
         }
         assert!(w.told.values().all(|s| *s == JobStatus::Done));
@@ -248,7 +248,7 @@
         }
         let asks: Vec<usize> = (0..10)
             .map(|n| {
-                let ask = w.submit(at, &job(&name(n), Shape::Array, 1 + n % 3));
+                let ask = w.submit(at, &job(&name(n), JobKind::Array, 1 + n % 3));
                 w.run(3 + 7 * (case / 6));
                 ask
             })
--- a/crates/core/tests/stories/rolls.rs
+++ b/crates/core/tests/stories/rolls.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeSet;
 
 use crate::world::{job, Cut, End, World, CANCEL_MS};
-use quartzgate_core::records::{encode, FORMAT};
+use quartzgate_core::records::{encode, FORMAT_KEY};
 use quartzgate_ladder::{Comes, FeatureEntry, StandingRecord, Table, VersionEntry, TABLE};
-use quartzgate_wire::msg::Shape;
+use quartzgate_wire::msg::JobKind;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -65,8 +65,8 @@
     }
     w.run(2_500);
     w.run_ms.insert("wk-000001".into(), 15_000);
-    w.submit_surely(&job("wk-000001", Shape::Array, 12));
-    w.submit_surely(&job("wk-000002", Shape::Service, 3));
+    w.submit_surely(&job("wk-000001", JobKind::Array, 12));
+    w.submit_surely(&job("wk-000002", JobKind::Service, 3));
     w
 }
 
@@ -76,7 +76,7 @@
 
 /// What was switched on, in order.
 fn climbed(w: &World) -> Vec<StandingRecord> {
-    let set = w.state.journal.iter().filter(|(key, _)| key == FORMAT);
+    let set = w.state.journal.iter().filter(|(key, _)| key == FORMAT_KEY);
     set.map(|(_, value)| value.deserialized().unwrap()).collect()
 }
 
@@ -91,7 +91,7 @@
 /// The work that was there goes on, new work is done, and what every controller says of
 /// itself and of what stands is the same.
 fn all_is_well(w: &mut World) {
-    w.submit_surely(&job("wk-000009", Shape::Array, 3));
+    w.submit_surely(&job("wk-000009", JobKind::Array, 3));
     w.until_done("wk-000001", 120_000);
     w.until_done("wk-000009", 60_000);
     w.run(3_000);
@@ -296,7 +296,7 @@
     w.run(3_000);
     (0..3).filter(|n| *n != 1).for_each(|n| w.kill(n));
     let ready = w.ask(1, "GET", "/ready", Vec::new());
-    let ask = w.submit(1, &job("wk-000003", Shape::Array, 1));
+    let ask = w.submit(1, &job("wk-000003", JobKind::Array, 1));
     w.run(15_000);
     assert_eq!((w.status(ready), w.status(ask)), (503, 503));
     assert_ne!(w.leader(), Some(1));
@@ -369,7 +369,7 @@
     assert_eq!(w.stands().version, 1);
     w.replace(2, &TOMORROW, 300);
     w.until(40_000, "all steps are taken", complete);
-    w.state.keys.insert(FORMAT.into(), (encode(&"?"), rev, None));
+    w.state.keys.insert(FORMAT_KEY.into(), (encode(&"?"), rev, None));
     w.kill_for(1, 300);
     w.run(4_000);
     assert_eq!(w.figures(1)["format_foreign"], 1.0);
@@ -411,7 +411,7 @@
             _ => {
                 let id = format!("wk-{jobs:06}");
                 jobs += 1;
-                w.submit(n, &job(&id, Shape::Array, 2));
+                w.submit(n, &job(&id, JobKind::Array, 2));
                 if rng.random_bool(0.3) {
                     w.abort(rng.random_range(0..nodes), &id);
                 }
--- a/crates/core/tests/stories/search.rs
+++ b/crates/core/tests/stories/search.rs
@@ -8,9 +8,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::world::{behind, job, Cut, Deaf, Edge, End, LateCopies, LateWrites, World};
+use crate::world::{job, unwritten_records, Cut, Deaf, Edge, End, LateCopies, LateWrites, World};
 use crate::world::{CANCEL_MS, LEASE_MS, REPORT_MS};
-use quartzgate_wire::msg::{JobSpec, JobStatus, Shape};
+use quartzgate_wire::msg::{JobKind, JobSpec, JobStatus};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -70,7 +70,7 @@
         who: Place,
     },
     EndAll,
-    Pause {
+    ProcessStall {
         who: Place,
     },
     MachineEnds {
@@ -167,7 +167,7 @@
         23 => Kind::End { who: 0 },
         14 if silent => Kind::EndAll,
         14 => Kind::MachineEnds { which: machine },
-        _ => Kind::Pause { who },
+        _ => Kind::ProcessStall { who },
     }
 }
 
@@ -177,7 +177,7 @@
     let ends_a_lead = |t: &&Trouble| {
         matches!(
             t.kind,
-            Kind::End { who: 0 } | Kind::Refusal { who: 0, .. } | Kind::Pause { who: 0 }
+            Kind::End { who: 0 } | Kind::Refusal { who: 0, .. } | Kind::ProcessStall { who: 0 }
         )
     };
     let edges = [Edge::Confirmed, Edge::Elected, Edge::Unanswered, Edge::LastEnd, Edge::Cleared];
@@ -253,7 +253,7 @@
             Kind::Refusal { who, .. }
             | Kind::CutOff { who, .. }
             | Kind::End { who }
-            | Kind::Pause { who } => who,
+            | Kind::ProcessStall { who } => who,
             _ => 0,
         };
         let who = (leader + place) % NODES;
@@ -289,7 +289,7 @@
                     w.kill_for(n, if n == who { 200 } else { gone_ms });
                 })
             }
-            Kind::Pause { .. } if w.is_up(who) => w.pause(who, trouble.for_ms),
+            Kind::ProcessStall { .. } if w.is_up(who) => w.pause(who, trouble.for_ms),
             Kind::MachineEnds { which } => w.reboot(&vm(which), gone_ms),
             Kind::LostAnswers { share } => w.state.lost_answers = share,
             Kind::KeptCopies { share } => w.kept_copies = share,
@@ -357,14 +357,14 @@
     for n in 0..14u32 {
         let id = name(n);
         let shape = match n {
-            0 | 5 => Shape::Service,
-            3 => Shape::Gang,
-            _ => Shape::Array,
+            0 | 5 => JobKind::Service,
+            3 => JobKind::Gang,
+            _ => JobKind::Array,
         };
         let mut spec = job(&id, shape, if n % 4 == 0 { 2 } else { 1 + n % 3 });
         spec.spread = n == 0;
         if n == 9 {
-            spec = behind(spec, &[&name(6)]);
+            spec = unwritten_records(spec, &[&name(6)]);
         }
         for t in 0..spec.tasks {
             let long = rng.random_range(500..9_000) + if t == 0 { 0 } else { 18_000 };
@@ -426,7 +426,7 @@
             let known: Vec<String> = w.told.keys().cloned().collect();
             for id in known {
                 let node = rng.random_range(0..NODES);
-                w.poll(node, &id);
+                w.query_status(node, &id);
             }
         }
         w.run(step);
@@ -445,13 +445,13 @@
     let wanted: Vec<String> =
         w.told.keys().filter(|j| !cancelled.contains(j) && !w.called_off(j)).cloned().collect();
     let lives = |w: &World, id: &String| match w.jobs[id].shape {
-        Shape::Service => w.on(id).len() as u32 == w.jobs[id].tasks,
+        JobKind::Service => w.on(id).len() as u32 == w.jobs[id].tasks,
         _ => w.told.get(id) == Some(&JobStatus::Done),
     };
     while w.now < until && !wanted.iter().all(|id| lives(&w, id)) {
         for id in &wanted {
             let node = rng.random_range(0..NODES);
-            w.poll(node, id);
+            w.query_status(node, id);
         }
         w.run(1_000);
         if !w.breaches.is_empty() {
--- a/crates/core/tests/stories/upgrade.rs
+++ b/crates/core/tests/stories/upgrade.rs
@@ -7,18 +7,19 @@
 //! before the latch is held against them.
 
 use crate::rolls::TODAY;
-use crate::world::{behind, job, Cut, End, World, CANCEL_MS};
+use crate::world::{job, unwritten_records, Cut, End, World, CANCEL_MS};
 use ciborium::value::Value;
 use quartzgate_core::records::{
-    checked_size, pack_share, read_share, JobRecord, Leader, ProbeSet, ShareRecord, View, CHUNK,
+    checked_size, pack_placement, read_placement, EpochRecord, JobRecord, LeaderRecord,
+    PlacementRecord, ProbeSet, TASKS_PER_CHUNK,
 };
-use quartzgate_wire::msg::{JobStatus, MeshMessage, Shape};
+use quartzgate_wire::msg::{JobKind, JobStatus, MeshMessage};
 use quartzgate_wire::{from_cbor, to_cbor};
 
 /// The first version's types, as they were; nothing here follows the code.
 mod frozen {
     use ciborium::value::Value;
-    use quartzgate_wire::msg::{OrdersRequest, Rank, Report, Shape};
+    use quartzgate_wire::msg::{Heartbeat, JobKind, OrdersRequest, Priority};
     use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
     #[derive(Serialize, Deserialize)]
@@ -28,8 +29,8 @@
         id: String,
         job_class: String,
         owner: String,
-        shape: Shape,
-        rank: Rank,
+        shape: JobKind,
+        priority: Priority,
         pieces: u32,
         vcpus: f64,
         gpus: f64,
@@ -79,7 +80,7 @@
 
     #[derive(Serialize, Deserialize)]
     #[serde(deny_unknown_fields)]
-    pub struct ShareRecord {
+    pub struct PlacementRecord {
         epoch: u64,
         machines: Vec<String>,
         sets: Vec<ProbeSet>,
@@ -90,7 +91,7 @@
 
     #[derive(Serialize, Deserialize)]
     #[serde(deny_unknown_fields)]
-    pub struct View {
+    pub struct EpochRecord {
         epoch: u64,
         leader: String,
         members: Vec<String>,
@@ -98,14 +99,14 @@
 
     #[derive(Serialize, Deserialize)]
     #[serde(deny_unknown_fields)]
-    pub struct Leader {
+    pub struct LeaderRecord {
         epoch: u64,
         node: String,
     }
 
     #[derive(Serialize, Deserialize)]
     #[serde(deny_unknown_fields)]
-    pub struct Letter {
+    pub struct Envelope {
         id: u64,
         addr: String,
         orders: OrdersRequest,
@@ -115,17 +116,17 @@
     #[serde(deny_unknown_fields)]
     pub struct Reply {
         id: u64,
-        report: Option<Report>,
+        report: Option<Heartbeat>,
     }
 
     #[derive(Serialize, Deserialize)]
     #[serde(deny_unknown_fields)]
-    pub struct Post {
+    pub struct MailboxRecord {
         epoch: u64,
         at_ms: u64,
-        orders: Vec<Letter>,
+        orders: Vec<Envelope>,
         replies: Vec<Reply>,
-        reports: Vec<Report>,
+        reports: Vec<Heartbeat>,
     }
 
     #[derive(Serialize, Deserialize)]
@@ -134,7 +135,7 @@
         version: u32,
         from: String,
         epoch: u64,
-        has_state: bool,
+        store_reachable: bool,
         forward: Option<Value>,
     }
 
@@ -148,13 +149,15 @@
     pub fn writes(key: &str, value: &Value) -> bool {
         match key.split('/').collect::<Vec<_>>()[..] {
             ["jobs", _] => same::<JobRecord>(value),
-            ["shares", _, "0", chunk] => chunk.parse::<u32>().is_ok() && same::<ShareRecord>(value),
+            ["shares", _, "0", chunk] => {
+                chunk.parse::<u32>().is_ok() && same::<PlacementRecord>(value)
+            }
             ["inbox", _] => same::<bool>(value),
             ["members", _] => same::<String>(value),
-            ["view"] => same::<View>(value),
-            ["view", "leader"] => same::<Leader>(value),
+            ["view"] => same::<EpochRecord>(value),
+            ["view", "leader"] => same::<LeaderRecord>(value),
             ["view", "keeper", _] => same::<u64>(value),
-            ["view", "post", _, _] => same::<Post>(value),
+            ["view", "post", _, _] => same::<MailboxRecord>(value),
             ["mesh"] => same::<Mesh>(value),
             _ => false,
         }
@@ -191,12 +194,12 @@
                 assert_eq!(Value::serialized(&record).unwrap(), value, "{key}");
             }
             "shares" => {
-                let share = read_share(&key, &value, 7).expect("a share");
+                let share = read_placement(&key, &value, 7).expect("a share");
                 assert!(share.whole());
                 assert_eq!(Value::serialized(&share.record).unwrap(), value, "{key}");
             }
-            "view" if key == "view" => drop(value.deserialized::<View>().unwrap()),
-            "view" if key == "view/leader" => drop(value.deserialized::<Leader>().unwrap()),
+            "view" if key == "view" => drop(value.deserialized::<EpochRecord>().unwrap()),
+            "view" if key == "view/leader" => drop(value.deserialized::<LeaderRecord>().unwrap()),
             "mesh" => {
                 let message: MeshMessage = from_cbor(&bytes).unwrap();
                 assert_eq!(to_cbor(&message), bytes);
@@ -215,10 +218,10 @@
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let chunk = rng.random_range(0..3);
-        let (first, machines) = (chunk * CHUNK, rng.random_range(1..150u32));
-        let mut record = ShareRecord { epoch: seed, ..Default::default() };
+        let (first, machines) = (chunk * TASKS_PER_CHUNK, rng.random_range(1..150u32));
+        let mut record = PlacementRecord { epoch: seed, ..Default::default() };
         record.machines = (0..machines).map(|n| format!("vm-{n:06}")).collect();
-        for n in 0..rng.random_range(1..=CHUNK) {
+        for n in 0..rng.random_range(1..=TASKS_PER_CHUNK) {
             if rng.random_bool(0.2) {
                 record.done.push((first + n, first + n));
             } else {
@@ -227,13 +230,13 @@
             }
             record.zones.push(["north", "south"][rng.random_range(0..2)].into());
         }
-        let pieces = pack_share(&record, chunk, 2048);
+        let pieces = pack_placement(&record, chunk, 2048);
         assert!(pieces.iter().all(|p| checked_size(p) <= 2048));
         assert!(pieces.len() <= 3, "{} pieces", pieces.len());
         let key = format!("shares/wk-000001/0/{chunk}");
         let read = |n: usize| {
             let value = Value::serialized(&pieces[n]).unwrap();
-            read_share(&key, &value, 9).expect("a piece")
+            read_placement(&key, &value, 9).expect("a piece")
         };
         let mut whole = read(pieces.len() - 1);
         for n in 0..pieces.len() - 1 {
@@ -242,7 +245,7 @@
         }
         assert!(whole.whole());
         assert!(!whole.join(read(0)), "a piece too many");
-        let by_task = |r: &ShareRecord| {
+        let by_task = |r: &PlacementRecord| {
             let mut all: Vec<(u32, Vec<String>)> = Vec::new();
             for set in &r.sets {
                 let names = |m: &u32| r.machines[*m as usize].clone();
@@ -272,12 +275,12 @@
     w.run(1_500);
     w.run_ms.insert("wk-000001".into(), 20_000);
     w.run_ms.insert("wk-000004".into(), 600_000);
-    w.submit_surely(&job("wk-000001", Shape::Array, 150));
-    let mut service = job("wk-000002", Shape::Service, 5);
+    w.submit_surely(&job("wk-000001", JobKind::Array, 150));
+    let mut service = job("wk-000002", JobKind::Service, 5);
     service.spread = true;
     w.submit_surely(&service);
-    w.submit_surely(&job("wk-000003", Shape::Gang, 3));
-    w.submit_surely(&job("wk-000004", Shape::Array, 2));
+    w.submit_surely(&job("wk-000003", JobKind::Gang, 3));
+    w.submit_surely(&job("wk-000004", JobKind::Array, 2));
     w
 }
 
@@ -288,7 +291,7 @@
 fn a_rolling_upgrade() {
     for case in 0..6u64 {
         let mut w = old_world(60, 200 + case);
-        let chained = behind(job("wk-000009", Shape::Array, 2), &["wk-000003"]);
+        let chained = unwritten_records(job("wk-000009", JobKind::Array, 2), &["wk-000003"]);
         for n in 0..3 {
             // The next to be replaced may lead, or one that is new already.
             let n = (n + case as usize) % 3;
@@ -388,7 +391,7 @@
             leader.into_iter().for_each(|l| w.kill_for(l, 1_000));
         }
         stood += u32::from(large);
-        w.submit_surely(&job("wk-000005", Shape::Array, 100));
+        w.submit_surely(&job("wk-000005", JobKind::Array, 100));
         w.abort_surely("wk-000004");
         w.until_done("wk-000005", 200_000);
         w.until_done("wk-000001", 200_000);
@@ -411,18 +414,18 @@
     w.run(1_500);
     w.state.poison = Some("shares/wk-000001".into());
     // Not recorded with the acceptance, which is refused with its first deal.
-    let one = job("wk-000001", Shape::Array, 3);
+    let one = job("wk-000001", JobKind::Array, 3);
     w.run_ms.insert("wk-000001".into(), 4_000);
     w.submit(w.leader().unwrap(), &one);
     w.run(500);
     w.state.poison = Some("shares/wk-000002".into());
     w.submit_surely(&one);
     // It waits, and so has no share yet.
-    let two = behind(job("wk-000002", Shape::Array, 3), &["wk-000001"]);
+    let two = unwritten_records(job("wk-000002", JobKind::Array, 3), &["wk-000001"]);
     w.submit_surely(&two);
     let refused = w.state.too_large;
     for n in 3..9 {
-        w.submit_surely(&job(&format!("wk-00000{n}"), Shape::Array, 3));
+        w.submit_surely(&job(&format!("wk-00000{n}"), JobKind::Array, 3));
     }
     for n in 3..9 {
         w.until_done(&format!("wk-00000{n}"), 20_000);
@@ -451,13 +454,19 @@
     w.run(1_500);
     w.state.limits = Some((2048, 4, 0.0));
     w.run_ms.insert("wk-000001".into(), 4_000);
-    w.submit_surely(&job("wk-000001", Shape::Array, 200));
-    let mut service = job("wk-000002", Shape::Service, 9);
+    w.submit_surely(&job("wk-000001", JobKind::Array, 200));
+    let mut service = job("wk-000002", JobKind::Service, 9);
     service.spread = true;
     w.submit_surely(&service);
     for n in 10..40 {
-        w.submit(n % 3, &behind(job(&format!("wk-0000{n}"), Shape::Array, 2), &["wk-000002"]));
-        w.submit(n % 3, &behind(job(&format!("wk-0000{n}"), Shape::Array, 2), &["wk-000001"]));
+        w.submit(
+            n % 3,
+            &unwritten_records(job(&format!("wk-0000{n}"), JobKind::Array, 2), &["wk-000002"]),
+        );
+        w.submit(
+            n % 3,
+            &unwritten_records(job(&format!("wk-0000{n}"), JobKind::Array, 2), &["wk-000001"]),
+        );
         w.run(100);
     }
     let leader = w.leader().unwrap();
@@ -479,8 +488,8 @@
     w.until(10_000, "the format is latched", World::latched);
     w.run(1_500);
     w.run_ms.insert("wk-000001".into(), 25_000);
-    w.submit_surely(&job("wk-000001", Shape::Array, 64));
-    let one = w.submit(w.leader().unwrap(), &job("wk-000002", Shape::Array, 64));
+    w.submit_surely(&job("wk-000001", JobKind::Array, 64));
+    let one = w.submit(w.leader().unwrap(), &job("wk-000002", JobKind::Array, 64));
     w.until(2_000, "accepted", |w| w.status(one) == 201);
     w.until(5_000, "in pieces", |w| w.state.keys.contains_key("shares/wk-000001/0/0.1"));
     w
@@ -521,14 +530,14 @@
         let before = w.state.keys.get(key).map(|k| k.1);
         let starts: usize = w.starts.iter().filter(|(t, _)| t.starts_with("wk-000001/")).count();
         (0..3).for_each(|n| w.start(n));
-        w.submit_surely(&job("wk-000003", Shape::Array, 3));
+        w.submit_surely(&job("wk-000003", JobKind::Array, 3));
         w.until_done("wk-000003", 120_000);
         w.until_done("wk-000002", 120_000);
         w.run(CANCEL_MS);
         assert_eq!(w.state.keys.get(key).map(|k| k.1), before, "left as it is");
         let now: usize = w.starts.iter().filter(|(t, _)| t.starts_with("wk-000001/")).count();
         assert_eq!(now, starts, "nothing of it starts");
-        w.poll(0, "wk-000001");
+        w.query_status(0, "wk-000001");
         w.run(1_000);
         assert_ne!(w.told["wk-000001"], JobStatus::Done);
         w.keep_rules();
--- a/crates/core/tests/stories/world.rs
+++ b/crates/core/tests/stories/world.rs
@@ -14,7 +14,9 @@
 
 use ciborium::value::Value;
 use quartzgate_core::config::{Config, Operator};
-use quartzgate_core::records::{JobRecord, PageRecord, FORMAT, FORMAT_NODES, PAGES, VIEW};
+use quartzgate_core::records::{
+    BatchRecord, JobRecord, BATCH_PREFIX, EPOCH_KEY, FORMAT_KEY, FORMAT_NODE_PREFIX,
+};
 use quartzgate_core::{Action, Call, CallId, Controller, Event, Now, Outcome, Peer};
 use quartzgate_ladder::{Ladder, StandingRecord, Stands, Table, TABLE};
 use quartzgate_wire::http::{Request, Response};
@@ -35,7 +37,7 @@
 pub enum End {
     Node(usize),
     State,
-    Cloud,
+    Provisioner,
     Worker(String),
 }
 
@@ -119,7 +121,7 @@
         since: u64,
         until: u64,
     },
-    Report {
+    Heartbeat {
         worker: String,
     },
     Checkin {
@@ -239,7 +241,7 @@
 pub struct Held {
     pub attempt: u64,
     pub status: TaskStatus,
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     pub ends_ms: u64,
 }
 
@@ -248,9 +250,9 @@
     pub kind: String,
     pub cpus: f64,
     pub spot: bool,
-    pub tenure: u64,
+    pub agent_epoch: u64,
     pub seq: u64,
-    pub token: u64,
+    pub fencing_token: u64,
     pub node: usize,
     pub lease_from: u64,
     /// Its lease by a clock that may be slow.
@@ -353,7 +355,7 @@
     pub breaches: Vec<String>,
     pub starts: BTreeMap<String, Vec<(String, u64)>>,
     /// Jobs that were submitted with a mistake, and how often their tasks have failed.
-    pub mistaken: BTreeMap<String, u32>,
+    pub failing_everywhere: BTreeMap<String, u32>,
     pub loss: f64,
     pub max_delay: u64,
     next_machine: u32,
@@ -457,13 +459,13 @@
     .unwrap()
 }
 
-pub fn job(id: &str, shape: Shape, tasks: u32) -> JobSpec {
+pub fn job(id: &str, shape: JobKind, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.into(),
         class: "c".into(),
         team: "t".into(),
         shape,
-        rank: if shape == Shape::Service { Rank::Production } else { Rank::Normal },
+        priority: if shape == JobKind::Service { Priority::Production } else { Priority::Normal },
         tasks,
         cpus: 4.0,
         gpus: 0.0,
@@ -476,15 +478,15 @@
         spread: false,
         spot: true,
         estimate_s: 5.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_cost_s: 0.0,
         deadline_s: None,
         dependencies: Vec::new(),
     }
 }
 
 /// The same job, needing others.
-pub fn behind(mut spec: JobSpec, needs: &[&str]) -> JobSpec {
+pub fn unwritten_records(mut spec: JobSpec, needs: &[&str]) -> JobSpec {
     spec.dependencies = needs.iter().map(|n| n.to_string()).collect();
     spec
 }
@@ -514,7 +516,7 @@
             told: BTreeMap::new(),
             breaches: Vec::new(),
             starts: BTreeMap::new(),
-            mistaken: BTreeMap::new(),
+            failing_everywhere: BTreeMap::new(),
             loss: 0.0,
             max_delay: 4,
             next_machine: 0,
@@ -581,9 +583,9 @@
             kind: "k8".into(),
             cpus: 8.0,
             spot,
-            tenure: 1,
+            agent_epoch: 1,
             seq: 0,
-            token: 0,
+            fencing_token: 0,
             node: 0,
             lease_from: self.now,
             lease_ms: LEASE_MS + self.slow_clocks * LEASE_MS / 2_000,
@@ -601,7 +603,7 @@
             fetched_ms: self.now,
         };
         self.workers.insert(name.into(), worker);
-        self.after(10, Msg::Report { worker: name.into() });
+        self.after(10, Msg::Heartbeat { worker: name.into() });
         self.after(50, Msg::Work { worker: name.into() });
     }
 
@@ -666,7 +668,7 @@
         let Some(w) = self.workers.get_mut(name) else { return };
         w.dead = true;
         w.tasks.clear();
-        w.tenure += 1;
+        w.agent_epoch += 1;
         self.after(ms, Msg::Reborn { worker: name.into() });
     }
 
@@ -729,13 +731,13 @@
 
     pub fn leader(&self) -> Option<usize> {
         let (value, _, _) = self.state.keys.get("view/leader")?;
-        let leader: quartzgate_core::records::Leader = value.deserialized().ok()?;
+        let leader: quartzgate_core::records::LeaderRecord = value.deserialized().ok()?;
         leader.node.trim_start_matches('n').parse().ok()
     }
 
     /// The revision of the view that stands: it rises with each new leader.
-    pub fn view_stamp(&self) -> u64 {
-        self.state.keys.get(VIEW).map_or(0, |(_, stamp, _)| *stamp)
+    pub fn epoch_revision(&self) -> u64 {
+        self.state.keys.get(EPOCH_KEY).map_or(0, |(_, revision, _)| *revision)
     }
 
     // The clock.
@@ -793,7 +795,7 @@
             Msg::WatchEnd { node, life, call, starts, since, until } => {
                 self.watch(node, life, call, starts, since, until)
             }
-            Msg::Report { worker } => self.report(&worker),
+            Msg::Heartbeat { worker } => self.report(&worker),
             Msg::Checkin { worker, node, sent_ms, body } => {
                 let end = End::Worker(worker.clone());
                 if self.nodes[node].is_none() || self.cut_between(&end, &End::Node(node)).is_some()
@@ -840,7 +842,7 @@
                     w.dead = false;
                     w.waiting = false;
                     w.lease_from = self.now;
-                    self.after(1, Msg::Report { worker: worker.clone() });
+                    self.after(1, Msg::Heartbeat { worker: worker.clone() });
                     self.after(2, Msg::Work { worker });
                 }
             }
@@ -916,7 +918,7 @@
     fn target(&self, from: usize, call: &Call) -> Option<End> {
         Some(match &call.peer {
             Peer::State => End::State,
-            Peer::Cloud => End::Cloud,
+            Peer::Cloud => End::Provisioner,
             Peer::Sibling(at) => End::Node(if *at >= from { at + 1 } else { *at }),
             Peer::Worker(addr) => {
                 let ip = addr.ip().to_string();
@@ -968,8 +970,8 @@
     fn arrive(&mut self, from: usize, life: u32, call: Call) {
         let Some(to) = self.target(from, &call) else { return };
         match &to {
-            End::State => self.state_call(from, life, call),
-            End::Cloud => {
+            End::State => self.call_store(from, life, call),
+            End::Provisioner => {
                 let r = self.cloud_call(&call);
                 let hires = call.method == "POST" && call.target == "/machines";
                 if hires && r.status == 200 && self.lost_hires > 0 {
@@ -1024,7 +1026,7 @@
 
     /// Lets a node go on by itself until it asks a machine for its report, answers with
     /// this one, and returns the tokens of all orders that the node then sends.
-    pub fn answer_inspect(&mut self, node: usize, report: &Report) -> Vec<u64> {
+    pub fn answer_inspect(&mut self, node: usize, report: &Heartbeat) -> Vec<u64> {
         let mut steady_ms = self.steady_ms(node);
         let core = &mut self.nodes[node].as_mut().unwrap().core;
         let mut step = |event: Event| {
@@ -1045,7 +1047,7 @@
             Action::Call(c) if c.target == "/orders" => from_cbor::<OrdersRequest>(&c.body).ok(),
             _ => None,
         });
-        orders.map(|o| o.token).collect()
+        orders.map(|o| o.fencing_token).collect()
     }
 
     /// A node's figures, as operators see them.
--- a/crates/core/tests/stories/world/checks.rs
+++ b/crates/core/tests/stories/world/checks.rs
@@ -76,8 +76,9 @@
         for (id, _) in self.told.iter().filter(|(_, s)| !matches!(s, JobStatus::Done)) {
             let Some(spec) = self.jobs.get(id) else { continue };
             let before = self.before(id);
-            let called_off =
-                |j: &String| self.abort_asked.contains(j) || self.mistaken.contains_key(j);
+            let called_off = |j: &String| {
+                self.abort_asked.contains(j) || self.failing_everywhere.contains_key(j)
+            };
             let done = |j: &String| self.told.get(j) == Some(&JobStatus::Done);
             if called_off(id) || before.iter().any(called_off) || !before.iter().all(done) {
                 continue;
@@ -117,7 +118,7 @@
                 true => room.values().max().copied().unwrap_or(0),
                 false => room.values().sum(),
             };
-            let need = if spec.shape == Shape::Gang { open } else { 1 };
+            let need = if spec.shape == JobKind::Gang { open } else { 1 };
             let limit = self.limit_cpus;
             let under = limit <= 0.0 || all_used + f64::from(need) * spec.cpus <= limit + 1e-6;
             // GPUs are not looked at here: whoever wants some is taken to have none beside it.
@@ -175,7 +176,8 @@
             kept.flat_map(|j| ready.iter().map(|n| (*n, j.clone()))).collect();
         let mut said: Vec<u16> = Vec::new();
         while !open.is_empty() && self.now < until {
-            let asks: Vec<usize> = open.iter().map(|(n, j)| self.poll(*n, &j.clone())).collect();
+            let asks: Vec<usize> =
+                open.iter().map(|(n, j)| self.query_status(*n, &j.clone())).collect();
             self.run(2_000);
             let left = open.into_iter().zip(asks).filter(|(_, a)| self.status(*a) != 200);
             (open, said) = left.map(|(o, a)| (o, self.status(a))).unzip();
@@ -193,11 +195,11 @@
     pub(super) fn check_steps(&mut self, txn: &Transaction) {
         for change in &txn.apply {
             let Change::Set { set, value, .. } = change else { continue };
-            if set != FORMAT {
+            if set != FORMAT_KEY {
                 continue;
             }
             let read = |v: &Value| v.deserialized::<StandingRecord>().unwrap();
-            let old = self.state.keys.get(FORMAT);
+            let old = self.state.keys.get(FORMAT_KEY);
             let old = old.map_or(StandingRecord::first(), |k| read(&k.0));
             let new = read(value);
             let steps = new.version - old.version.min(new.version)
@@ -237,8 +239,8 @@
     /// and its share in one place only.
     pub(super) fn check_places(&mut self) {
         let mut paged = BTreeSet::new();
-        for (_, v) in self.state.keys.iter().filter(|(k, _)| k.starts_with(PAGES)) {
-            match v.0.deserialized::<PageRecord>() {
+        for (_, v) in self.state.keys.iter().filter(|(k, _)| k.starts_with(BATCH_PREFIX)) {
+            match v.0.deserialized::<BatchRecord>() {
                 Ok(page) => paged.extend(page.ids().cloned()),
                 Err(_) => return,
             }
@@ -258,13 +260,17 @@
 
     /// No share is ever written by an owner of an earlier view.
     pub(super) fn check_epochs(&mut self, txn: &Transaction) {
-        use quartzgate_core::records::{read_share, View, SHARES};
-        let view = self.state.keys.get(VIEW).and_then(|(v, _, _)| v.deserialized::<View>().ok());
+        use quartzgate_core::records::{read_placement, EpochRecord, PLACEMENT_PREFIX};
+        let view = self
+            .state
+            .keys
+            .get(EPOCH_KEY)
+            .and_then(|(v, _, _)| v.deserialized::<EpochRecord>().ok());
         let epoch = view.map_or(0, |v| v.epoch);
         for change in &txn.apply {
             let Change::Set { set, value, .. } = change else { continue };
-            let share = read_share(set, value, 1).map(|s| s.record);
-            if set.starts_with(SHARES) && share.is_some_and(|s| s.epoch < epoch) {
+            let share = read_placement(set, value, 1).map(|s| s.record);
+            if set.starts_with(PLACEMENT_PREFIX) && share.is_some_and(|s| s.epoch < epoch) {
                 self.breaches.push(format!("{set} written by an owner of an earlier epoch"));
             }
         }
--- a/crates/core/tests/stories/world/state.rs
+++ b/crates/core/tests/stories/world/state.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    pub(super) fn state_call(&mut self, from: usize, life: u32, call: Call) {
+    pub(super) fn call_store(&mut self, from: usize, life: u32, call: Call) {
         self.state.requests += 1;
         self.expire_leases();
         let watch = call.target.starts_with("/changes");
@@ -23,42 +23,46 @@
         let response = if path == "/keys" {
             let starts = arg("starts").unwrap();
             let since = arg("since").unwrap_or_default();
-            self.state.page_reads += u64::from(starts == PAGES && since.is_empty());
+            self.state.page_reads += u64::from(starts == BATCH_PREFIX && since.is_empty());
             let most = self.state.page.unwrap_or(usize::MAX);
             let found = |k: &String| k.starts_with(&starts) && *k > since;
             let more = self.state.keys.keys().filter(|k| found(k)).count() > most;
-            let pairs: Vec<Pair> = self
+            let pairs: Vec<KeyValue> = self
                 .state
                 .keys
                 .iter()
                 .filter(|(k, _)| found(k))
                 .take(most)
-                .map(|(k, (v, s, _))| Pair {
+                .map(|(k, (v, s, _))| KeyValue {
                     path: k.clone(),
                     value: v.clone(),
-                    stamp: *s,
-                    permit: None,
+                    revision: *s,
+                    lease_id: None,
                 })
                 .collect();
-            ok(to_cbor(&PairList { pairs, more, ledger_rev: self.state.rev }))
+            ok(to_cbor(&KeyValueList { pairs, more, store_revision: self.state.rev }))
         } else if let Some(key) = path.strip_prefix("/keys/") {
             match self.state.keys.get(key) {
-                Some((v, s, p)) => {
-                    ok(to_cbor(&Pair { path: key.into(), value: v.clone(), stamp: *s, permit: *p }))
-                }
+                Some((v, s, p)) => ok(to_cbor(&KeyValue {
+                    path: key.into(),
+                    value: v.clone(),
+                    revision: *s,
+                    lease_id: *p,
+                })),
                 None => Response::new(404, Vec::new()),
             }
         } else if path == "/multi" {
             let txn: Transaction = from_cbor(&call.body).unwrap();
-            let word =
-                |c: &Change| matches!(c, Change::Set { set, .. } if set.starts_with(FORMAT_NODES));
+            let word = |c: &Change| matches!(c, Change::Set { set, .. } if set.starts_with(FORMAT_NODE_PREFIX));
             // The first version leaves no word of what it can do.
             if self.old.contains(&from) && txn.apply.iter().any(word) {
-                let body =
-                    to_cbor(&TransactionAnswer { ledger_rev: self.state.rev, failed: Vec::new() });
+                let body = to_cbor(&TransactionAnswer {
+                    store_revision: self.state.rev,
+                    failed: Vec::new(),
+                });
                 return self.back(from, life, call.id, Response::new(200, body), &End::State);
             }
-            let post = quartzgate_core::records::POST;
+            let post = quartzgate_core::records::MAILBOX_PREFIX;
             let is_post =
                 |c: &Change| matches!(c, Change::Set { set, .. } if set.starts_with(post));
             let late = self.state.refuses_late.filter(|(node, _)| *node == from);
@@ -74,7 +78,7 @@
                 let outcome = Outcome::Answer(Response::new(429, Vec::new()));
                 return self.after(ms, Msg::Outcome { node: from, life, call: call.id, outcome });
             }
-            let step = |c: &Change| matches!(c, Change::Set { set, .. } if set == FORMAT);
+            let step = |c: &Change| matches!(c, Change::Set { set, .. } if set == FORMAT_KEY);
             if self.state.hold_steps && txn.apply.iter().any(step) {
                 return self.held.push((from, life, call));
             }
@@ -105,12 +109,12 @@
         } else if path == "/leases" {
             let ttl = from_cbor::<LeaseRequest>(&call.body).unwrap().ttl_ms;
             self.state.next_lease += 1;
-            let permit = self.state.next_lease;
-            self.state.leases.insert(permit, (now + ttl, ttl));
-            ok(to_cbor(&LeaseAnswer { permit }))
+            let lease_id = self.state.next_lease;
+            self.state.leases.insert(lease_id, (now + ttl, ttl));
+            ok(to_cbor(&LeaseAnswer { lease_id }))
         } else if let Some(rest) = path.strip_prefix("/leases/") {
-            let permit: u64 = rest.trim_end_matches("/renew").parse().unwrap();
-            match self.state.leases.get_mut(&permit) {
+            let lease_id: u64 = rest.trim_end_matches("/renew").parse().unwrap();
+            match self.state.leases.get_mut(&lease_id) {
                 Some((until, ttl)) => {
                     *until = now + *ttl;
                     ok(Vec::new())
@@ -131,7 +135,7 @@
 
     /// Somebody else sets a key.
     pub fn put(&mut self, key: &str, value: Value) {
-        let set = Change::Set { set: key.into(), value, permit: None };
+        let set = Change::Set { set: key.into(), value, lease_id: None };
         self.transact(Transaction { guards: Vec::new(), apply: vec![set] });
     }
 
@@ -150,7 +154,7 @@
             .state
             .log
             .iter()
-            .skip(self.state.log.partition_point(|e| e.stamp <= since))
+            .skip(self.state.log.partition_point(|e| e.revision <= since))
             .filter(|e| {
                 let key = e.set.as_ref().or(e.delete.as_ref()).unwrap();
                 key.starts_with(&starts)
@@ -158,13 +162,13 @@
             .cloned()
             .collect();
         // Open watches wait through an outage.
-        let mute = self.state.no_inbox && starts == quartzgate_core::records::INBOX;
+        let mute = self.state.no_inbox && starts == quartzgate_core::records::HANDOFF_PREFIX;
         let log = if mute { Vec::new() } else { log };
         let deaf = self.state.down || self.state.refuses.contains(&node);
         if deaf || log.is_empty() && self.now < until {
             return self.after(10, Msg::WatchEnd { node, life, call, starts, since, until });
         }
-        let body = to_cbor(&ChangeLog { ledger_rev: self.state.rev, log });
+        let body = to_cbor(&ChangeLog { store_revision: self.state.rev, log });
         self.back(node, life, call, Response::new(200, body), &End::State);
     }
 
@@ -172,51 +176,51 @@
         let failed: Vec<String> = txn
             .guards
             .iter()
-            .filter(|g| self.state.keys.get(&g.path).map_or(0, |k| k.1) != g.stamp)
+            .filter(|g| self.state.keys.get(&g.path).map_or(0, |k| k.1) != g.revision)
             .map(|g| g.path.clone())
             .collect();
         if !failed.is_empty() {
-            let body = to_cbor(&TransactionAnswer { ledger_rev: self.state.rev, failed });
+            let body = to_cbor(&TransactionAnswer { store_revision: self.state.rev, failed });
             return Response::new(409, body);
         }
         if let Some(refusal) = self.beyond_limits(&txn) {
             return Response::new(refusal, Vec::new());
         }
         let lost = txn.apply.iter().any(|c| {
-            matches!(c, Change::Set { permit: Some(p), .. } if !self.state.leases.contains_key(p))
+            matches!(c, Change::Set { lease_id: Some(p), .. } if !self.state.leases.contains_key(p))
         });
         if lost {
             return Response::new(400, Vec::new());
         }
         self.check_epochs(&txn);
         self.check_steps(&txn);
-        if txn.apply.iter().any(|c| matches!(c, Change::Set { set, .. } if set == VIEW)) {
+        if txn.apply.iter().any(|c| matches!(c, Change::Set { set, .. } if set == EPOCH_KEY)) {
             self.edges.push((self.now, Edge::Elected));
             self.release_copies();
         }
         if !txn.apply.is_empty() {
             self.state.rev += 1;
         }
-        let stamp = self.state.rev;
+        let revision = self.state.rev;
         for change in txn.apply {
             if let Change::Set { set, value, .. } = &change {
                 self.state.journal.push((set.clone(), value.clone()));
             }
             self.state.writes += 1;
             let event = match change {
-                Change::Set { set, value, permit } => {
-                    self.state.keys.insert(set.clone(), (value.clone(), stamp, permit));
-                    ChangeEvent { set: Some(set), delete: None, value: Some(value), stamp }
+                Change::Set { set, value, lease_id } => {
+                    self.state.keys.insert(set.clone(), (value.clone(), revision, lease_id));
+                    ChangeEvent { set: Some(set), delete: None, value: Some(value), revision }
                 }
                 Change::Delete { delete } => {
                     self.state.keys.remove(&delete);
-                    ChangeEvent { set: None, delete: Some(delete), value: None, stamp }
+                    ChangeEvent { set: None, delete: Some(delete), value: None, revision }
                 }
             };
             self.state.log.push(event);
         }
         self.check_places();
-        let body = to_cbor(&TransactionAnswer { ledger_rev: stamp, failed: Vec::new() });
+        let body = to_cbor(&TransactionAnswer { store_revision: revision, failed: Vec::new() });
         Response::new(200, body)
     }
 
@@ -259,13 +263,13 @@
         }
         let over: Vec<u64> =
             self.state.leases.iter().filter(|(_, (u, _))| *u < now).map(|(p, _)| *p).collect();
-        for permit in over {
-            self.state.leases.remove(&permit);
+        for lease_id in over {
+            self.state.leases.remove(&lease_id);
             let keys: Vec<String> = self
                 .state
                 .keys
                 .iter()
-                .filter(|(_, (_, _, p))| *p == Some(permit))
+                .filter(|(_, (_, _, p))| *p == Some(lease_id))
                 .map(|(k, _)| k.clone())
                 .collect();
             for key in keys {
--- a/crates/core/tests/stories/world/troubles.rs
+++ b/crates/core/tests/stories/world/troubles.rs
@@ -60,7 +60,7 @@
     /// Carries out a transaction to which nobody gets an answer.
     pub(super) fn carry_out_late(&mut self, from: usize, txn: Transaction) {
         self.expire_leases();
-        if txn.apply.iter().any(|c| matches!(c, Change::Set { set, .. } if set == FORMAT)) {
+        if txn.apply.iter().any(|c| matches!(c, Change::Set { set, .. } if set == FORMAT_KEY)) {
             self.stepping = Some(from);
         }
         self.transact(txn);
@@ -143,7 +143,7 @@
             let spec = &self.jobs[job];
             let run = self.left_of(spec, task);
             let status = match spec.shape {
-                Shape::Gang => TaskStatus::Waiting,
+                JobKind::Gang => TaskStatus::Waiting,
                 _ => TaskStatus::Running,
             };
             let held = self.workers.get_mut(name).and_then(|w| w.tasks.get_mut(task));
@@ -159,7 +159,7 @@
     pub(super) fn look_closely(&mut self, id: &str) {
         let spec = self.jobs.get(id).cloned();
         for node in 0..self.nodes.len() {
-            self.poll(node, id);
+            self.query_status(node, id);
             if let Some(spec) = &spec {
                 self.ask(node, "POST", "/api/jobs", to_cbor(spec));
             }
@@ -209,7 +209,7 @@
     fn next_never(&mut self, status: u16) -> JobSpec {
         let id = format!("wk-9{:06}", self.never.len());
         self.never.insert(id.clone(), status);
-        job(&id, Shape::Array, 1)
+        job(&id, JobKind::Array, 1)
     }
 
     /// Submits a job that can never run.
--- a/crates/core/tests/stories/world/users.rs
+++ b/crates/core/tests/stories/world/users.rs
@@ -51,7 +51,7 @@
 
     /// What has been switched on.
     pub fn stands(&self) -> StandingRecord {
-        let key = self.state.keys.get(FORMAT);
+        let key = self.state.keys.get(FORMAT_KEY);
         key.map_or(StandingRecord::first(), |(v, _, _)| v.deserialized().unwrap())
     }
 
@@ -110,7 +110,7 @@
         self.ask(node, "POST", &format!("/api/jobs/{id}/abort"), Vec::new())
     }
 
-    pub fn poll(&mut self, node: usize, id: &str) -> usize {
+    pub fn query_status(&mut self, node: usize, id: &str) -> usize {
         self.ask(node, "GET", &format!("/api/jobs/{id}"), Vec::new())
     }
 
@@ -152,7 +152,7 @@
         let end = self.now + within_ms;
         let mut node = 0;
         while self.now < end {
-            self.poll(node, id);
+            self.query_status(node, id);
             self.run(500);
             if self.told.get(id) == Some(&JobStatus::Done) {
                 return;
@@ -239,8 +239,9 @@
                         self.breaches.push(format!("orphaned {id}: {:?}", a.status));
                     }
                     let asked = self.abort_asked.contains(&id);
-                    let behind = self.before(&id).iter().any(|p| self.abort_asked.contains(p));
-                    if a.status == JobStatus::Aborted && !asked && !behind {
+                    let unwritten_records =
+                        self.before(&id).iter().any(|p| self.abort_asked.contains(p));
+                    if a.status == JobStatus::Aborted && !asked && !unwritten_records {
                         self.breaches.push(format!("went_back {id}: nobody cancelled it"));
                     }
                     if a.status == JobStatus::Aborted {
--- a/crates/core/tests/stories/world/workers.rs
+++ b/crates/core/tests/stories/world/workers.rs
@@ -51,50 +51,50 @@
                 Response::new(200, Vec::new())
             }
             _ => {
-                let hire: HireRequest = from_cbor(&call.body).unwrap();
+                let provision: ProvisionRequest = from_cbor(&call.body).unwrap();
                 if self.cloud_off {
                     return Response::new(503, Vec::new());
                 }
-                if let Some(known) = self.hires.get(&hire.hire) {
+                if let Some(known) = self.hires.get(&provision.provision_id) {
                     return Response::new(200, to_cbor(&MachineNames { machines: known.clone() }));
                 }
                 let mut machines = Vec::new();
-                for _ in 0..hire.count.min(4) {
+                for _ in 0..provision.count.min(4) {
                     let name = format!("vm-{:06}", self.next_machine);
                     self.next_machine += 1;
-                    let zone = hire.zone.clone();
+                    let zone = provision.zone.clone();
                     let ms = self.rng.random_range(self.boot_ms.0..=self.boot_ms.1);
                     self.after(ms, Msg::Boot { machine: name.clone(), zone });
                     machines.push(name);
                 }
-                self.hires.insert(hire.hire, machines.clone());
+                self.hires.insert(provision.provision_id, machines.clone());
                 Response::new(200, to_cbor(&MachineNames { machines }))
             }
         }
     }
 
-    pub fn report_of(&mut self, name: &str) -> Option<Report> {
+    pub fn report_of(&mut self, name: &str) -> Option<Heartbeat> {
         let w = self.workers.get_mut(name)?;
         w.seq += 1;
-        Some(Report {
+        Some(Heartbeat {
             machine: name.into(),
             addr: addr_of(name),
             kind: w.kind.clone(),
             zone: w.zone.clone(),
             spot: w.spot,
-            tenure: w.tenure,
+            agent_epoch: w.agent_epoch,
             seq: w.seq,
-            token: w.token,
-            notice_s: None,
+            fencing_token: w.fencing_token,
+            interruption_notice_s: None,
             tasks: w
                 .tasks
                 .iter()
-                .map(|(t, h)| ReportTask {
+                .map(|(t, h)| HeartbeatTask {
                     task: t.clone(),
                     attempt: h.attempt,
                     status: h.status,
                     cause: h.cause,
-                    saved: None,
+                    checkpointed: None,
                 })
                 .collect(),
         })
@@ -107,7 +107,7 @@
         if w.dead {
             return;
         }
-        self.after(REPORT_MS * 3 / 4 + jitter, Msg::Report { worker: name.into() });
+        self.after(REPORT_MS * 3 / 4 + jitter, Msg::Heartbeat { worker: name.into() });
         let w = self.workers.get_mut(name).unwrap();
         if now < w.hung_until || w.waiting {
             return;
@@ -162,11 +162,11 @@
         w.waiting = false;
         match status {
             200 => {
-                let Ok(a) = from_cbor::<ReportAnswer>(body) else { return };
-                if a.token < w.token {
+                let Ok(a) = from_cbor::<HeartbeatAnswer>(body) else { return };
+                if a.fencing_token < w.fencing_token {
                     return;
                 }
-                w.token = a.token;
+                w.fencing_token = a.fencing_token;
                 w.lease_from = w.lease_from.max(sent_ms);
                 self.execute(name, a.orders);
             }
@@ -176,12 +176,12 @@
                 match to {
                     Some(n) if n != w.node => {
                         w.node = n;
-                        self.after(100, Msg::Report { worker: name.into() });
+                        self.after(100, Msg::Heartbeat { worker: name.into() });
                     }
                     _ => {
                         w.node = (w.node + 1) % nodes;
                         if let Some(ms) = self.hop_ms {
-                            self.after(ms, Msg::Report { worker: name.into() });
+                            self.after(ms, Msg::Heartbeat { worker: name.into() });
                         }
                     }
                 }
@@ -212,10 +212,10 @@
         if call.target == "/orders" {
             let o: OrdersRequest = from_cbor(&call.body).unwrap();
             let w = self.workers.get_mut(name).unwrap();
-            if o.token < w.token || o.tenure != w.tenure {
+            if o.fencing_token < w.fencing_token || o.agent_epoch != w.agent_epoch {
                 status = 409;
             } else {
-                w.token = o.token;
+                w.fencing_token = o.fencing_token;
                 self.execute(name, o.orders);
             }
         }
@@ -227,7 +227,7 @@
         let now = self.now;
         let w = self.workers.get_mut(name).unwrap();
         if let Some((after, ms)) = w.hang_between.take_if(|(after, _)| orders.len() > *after) {
-            w.rest = (w.tenure, orders.split_off(after));
+            w.rest = (w.agent_epoch, orders.split_off(after));
             w.hung_until = now + ms;
         }
         for order in orders {
@@ -238,7 +238,7 @@
                     if let Some(h) = w.tasks.get_mut(&task) {
                         if h.attempt == attempt && h.status != TaskStatus::Exited {
                             h.status = TaskStatus::Exited;
-                            h.cause = Some(Cause::Stopped);
+                            h.cause = Some(ExitCause::Stopped);
                         }
                     }
                 }
@@ -315,7 +315,8 @@
         }
         self.check_place(name, &spec);
         let run = self.left_of(&spec, &task);
-        let mistaken = self.mistaken.get_mut(job_id).map(|failed| *failed += 1).is_some();
+        let failing_everywhere =
+            self.failing_everywhere.get_mut(job_id).map(|failed| *failed += 1).is_some();
         let w = self.workers.get_mut(name).unwrap();
         let used: f64 = w
             .tasks
@@ -325,12 +326,12 @@
             .map(|s| s.cpus)
             .sum();
         let (status, cause) = if used + spec.cpus > w.cpus + 1e-6 {
-            (TaskStatus::Exited, Some(Cause::NoRoom))
-        } else if w.fails || mistaken {
-            (TaskStatus::Exited, Some(Cause::Error))
+            (TaskStatus::Exited, Some(ExitCause::InsufficientResources))
+        } else if w.fails || failing_everywhere {
+            (TaskStatus::Exited, Some(ExitCause::Error))
         } else if w.has_to_fetch(&spec, self.fetch_gb_per_s.is_some()) {
             (TaskStatus::Fetching, None)
-        } else if spec.shape == Shape::Gang {
+        } else if spec.shape == JobKind::Gang {
             (TaskStatus::Waiting, None)
         } else {
             (TaskStatus::Running, None)
@@ -348,7 +349,7 @@
         let done = self.done.get(&spec.id);
         match (n.is_some_and(|n: u32| done.is_some_and(|d| d.contains(&n))), spec.shape) {
             (true, _) => 0,
-            (_, Shape::Service) => u64::MAX / 2,
+            (_, JobKind::Service) => u64::MAX / 2,
             _ => self.run_of(task),
         }
     }
@@ -364,7 +365,7 @@
         let w = self.workers.get_mut(name).unwrap();
         if now > w.lease_from + w.lease_ms {
             w.tasks.clear();
-            w.tenure += 1;
+            w.agent_epoch += 1;
             w.lease_from = now;
         }
     }
@@ -382,8 +383,8 @@
         }
         self.expire_session(name);
         let w = self.workers.get_mut(name).unwrap();
-        let (tenure, rest) = std::mem::take(&mut w.rest);
-        if tenure == w.tenure {
+        let (agent_epoch, rest) = std::mem::take(&mut w.rest);
+        if agent_epoch == w.agent_epoch {
             self.execute(name, rest);
         }
         let inbox = std::mem::take(&mut self.workers.get_mut(name).unwrap().inbox);
@@ -402,7 +403,7 @@
                 self.breaches.push(format!("ran_cancelled {t} still on {name} at {now}"));
             }
             let mut next = held.clone();
-            if spec.shape == Shape::Gang && held.status != TaskStatus::Exited {
+            if spec.shape == JobKind::Gang && held.status != TaskStatus::Exited {
                 let peers = self
                     .workers
                     .values()
@@ -412,7 +413,7 @@
                     .filter(|(p, h)| {
                         p.rsplit_once('/').unwrap().0 == job_id
                             && h.attempt == held.attempt
-                            && (h.status != TaskStatus::Exited || h.cause == Some(Cause::Done))
+                            && (h.status != TaskStatus::Exited || h.cause == Some(ExitCause::Done))
                     })
                     .count() as u32;
                 let whole = peers == spec.tasks;
@@ -421,15 +422,15 @@
                     next.ends_ms = now + self.run_of(&t);
                 } else if held.status == TaskStatus::Running && !whole {
                     next.status = TaskStatus::Exited;
-                    next.cause = Some(Cause::Peers);
+                    next.cause = Some(ExitCause::Peers);
                 }
             }
             if next.status == TaskStatus::Running && now >= next.ends_ms {
                 next.status = TaskStatus::Exited;
-                next.cause = Some(Cause::Done);
+                next.cause = Some(ExitCause::Done);
                 let n: u32 = n.parse().unwrap();
                 self.done.entry(job_id.to_string()).or_default().insert(n);
-                if spec.shape == Shape::Gang {
+                if spec.shape == JobKind::Gang {
                     let all: BTreeSet<u32> = (0..spec.tasks).collect();
                     self.done.insert(job_id.to_string(), all);
                 }
@@ -443,7 +444,7 @@
             }
         }
         if changed && !self.workers[name].waiting {
-            self.after(10, Msg::Report { worker: name.into() });
+            self.after(10, Msg::Heartbeat { worker: name.into() });
         }
     }
 }
--- a/crates/core/tests/unit/cloud.rs
+++ b/crates/core/tests/unit/cloud.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 fn place(kind: &str, cpus: f64) -> Place {
-    let room = Room { cpus, gpus: 0.0, memory_gb: 4.0 * cpus };
+    let room = Resources { cpus, gpus: 0.0, memory_gb: 4.0 * cpus };
     Place { kind: kind.into(), zone: Some(0), spot: false, room: thousandths(&room) }
 }
 
@@ -22,14 +22,14 @@
             pool.add(place(["s", "m", "l"][*size as usize], f64::from(4 << size)), *n);
         }
         let cpus = |pool: &Pool| -> f64 {
-            pool.places.iter().map(|(p, n)| p.room().cpus * f64::from(*n)).sum()
+            pool.places.iter().map(|(p, n)| p.resources().cpus * f64::from(*n)).sum()
         };
         for (cpu, wanted) in jobs {
-            let need = Room { cpus: f64::from(cpu), gpus: 0.0, memory_gb: 1.0 };
+            let need = Resources { cpus: f64::from(cpu), gpus: 0.0, memory_gb: 1.0 };
             let one_by_one: u32 = pool
                 .places
                 .iter()
-                .flat_map(|(p, n)| (0..*n).map(|_| p.room().holds(&need)))
+                .flat_map(|(p, n)| (0..*n).map(|_| p.resources().holds(&need)))
                 .sum();
             let before = cpus(&pool);
             let left = pool.fill(&need, wanted, |_| true);
--- a/crates/core/tests/unit/queue.rs
+++ b/crates/core/tests/unit/queue.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 fn probe(remaining_s: f64, ratio: f64, slack: u32, arrived: u64) -> Standing {
-    let (rank, guaranteed, lost) = (Rank::Normal, false, 0);
-    Standing { rank, guaranteed, lost, remaining_s, ratio, slack, arrived }
+    let (priority, guaranteed, lost) = (Priority::Normal, false, 0);
+    Standing { priority, guaranteed, lost, remaining_s, ratio, slack, arrived }
 }
 
 /// Guards the switch to scarcity past both thresholds, and the way back.
@@ -64,7 +64,7 @@
 #[test]
 fn priority_then_guarantee_come_first() {
     let mut high = probe(500.0, 0.0, 0, 2);
-    high.rank = Rank::High;
+    high.priority = Priority::High;
     let mut owed = probe(400.0, 0.0, 0, 3);
     owed.guaranteed = true;
     let queue = [probe(1.0, 9.0, 5, 0), owed, high];
--- a/crates/quartzgate/src/daemon.rs
+++ b/crates/quartzgate/src/daemon.rs
@@ -149,7 +149,7 @@
             figures_ms: 0,
             rng: SmallRng::from_os_rng(),
             came_ms: 0,
-            report_ms: config.report_ms(),
+            report_ms: config.heartbeat_interval_ms(),
             spare: VecDeque::new(),
             core: Controller::new(config, SmallRng::from_os_rng()),
             started: Instant::now(),
