--- a/crates/scale/src/load.rs
+++ b/crates/scale/src/load.rs
@@ -129,12 +129,12 @@
 struct Held {
     attempt: u64,
     status: TaskStatus,
-    cause: Option<Cause>,
+    cause: Option<ExitCause>,
     at_ms: u64,
 }
 
 struct Worker {
-    report: Report,
+    report: Heartbeat,
     tasks: BTreeMap<String, Held>,
     images: Vec<String>,
     reported_ms: u64,
@@ -144,7 +144,7 @@
 
 enum Next {
     Tick,
-    Report(usize),
+    Heartbeat(usize),
     Wake(usize),
     Submit(Box<JobSpec>, u64),
     Outcome(CallId, usize, Outcome),
@@ -251,16 +251,16 @@
 
     fn add_worker(&mut self, n: u32) {
         let addr = format!("10.{}.{}.{}:9000", 2 + n / 62_500, n / 250 % 250, n % 250 + 1);
-        let report = Report {
+        let report = Heartbeat {
             machine: format!("vm-{n:06}"),
             addr: addr.clone(),
             kind: "m16".into(),
             zone: ["a", "b"][n as usize % 2].into(),
             spot: n % 4 == 3,
-            tenure: 1,
+            agent_epoch: 1,
             seq: 0,
-            token: 0,
-            notice_s: None,
+            fencing_token: 0,
+            interruption_notice_s: None,
             tasks: Vec::new(),
         };
         self.by_addr.insert(addr, self.workers.len());
@@ -285,8 +285,9 @@
 
     fn service(&mut self) -> JobSpec {
         let mut spec = self.batch();
-        (spec.class, spec.team, spec.shape) = ("web".into(), "web".into(), Shape::Service);
-        (spec.rank, spec.tasks, spec.spread, spec.spot) = (Rank::Production, 5, true, false);
+        (spec.class, spec.team, spec.shape) = ("web".into(), "web".into(), JobKind::Service);
+        (spec.priority, spec.tasks, spec.spread, spec.spot) =
+            (Priority::Production, 5, true, false);
         (spec.estimate_s, spec.deadline_s) = (0.0, None);
         spec
     }
@@ -303,8 +304,8 @@
             id,
             class: "batch".into(),
             team: "night".into(),
-            shape: Shape::Array,
-            rank: if high { Rank::High } else { Rank::Normal },
+            shape: JobKind::Array,
+            priority: if high { Priority::High } else { Priority::Normal },
             tasks: tasks.clamp(1, self.load.tasks * 5),
             cpus: 4.0,
             gpus: 0.0,
@@ -317,8 +318,8 @@
             spread: false,
             spot: true,
             estimate_s: run_s,
-            checkpoint_s: if high { 0.0 } else { 15.0 },
-            save_s: if high { 0.0 } else { 2.0 },
+            checkpoint_interval_s: if high { 0.0 } else { 15.0 },
+            checkpoint_cost_s: if high { 0.0 } else { 2.0 },
             deadline_s: (!high).then_some(2.0 * run_s + 20.0),
             dependencies: Vec::new(),
         }
@@ -351,7 +352,7 @@
                     self.after(25, Next::Tick);
                     self.feed(0, Event::Tick);
                 }
-                Next::Report(w) => self.report(w),
+                Next::Heartbeat(w) => self.report(w),
                 Next::Wake(w) => self.work(w),
                 Next::Submit(spec, first_ms) => self.submit(*spec, first_ms),
                 Next::Outcome(call, kind, outcome) => {
@@ -440,8 +441,9 @@
             }
         } else if let Some(w) = self.asked.remove(&id) {
             self.workers[w].asking = false;
-            if let Ok(answer) = from_cbor::<ReportAnswer>(&response.body) {
-                self.workers[w].report.token = self.workers[w].report.token.max(answer.token);
+            if let Ok(answer) = from_cbor::<HeartbeatAnswer>(&response.body) {
+                self.workers[w].report.fencing_token =
+                    self.workers[w].report.fencing_token.max(answer.fencing_token);
                 self.execute(w, answer.orders);
             }
             let round = self.load.report_s * 1000.0;
@@ -457,7 +459,7 @@
         let due = self.workers[w].due_ms;
         if due <= self.now || at_ms < due {
             self.workers[w].due_ms = at_ms;
-            self.after(at_ms.saturating_sub(self.now), Next::Report(w));
+            self.after(at_ms.saturating_sub(self.now), Next::Heartbeat(w));
         }
     }
 
@@ -466,17 +468,17 @@
         self.report_at(w, at);
     }
 
-    fn as_report(&mut self, w: usize) -> Report {
+    fn as_report(&mut self, w: usize) -> Heartbeat {
         let worker = &mut self.workers[w];
         worker.report.seq += 1;
-        let tasks = worker.tasks.iter().map(|(task, h)| ReportTask {
+        let tasks = worker.tasks.iter().map(|(task, h)| HeartbeatTask {
             task: task.clone(),
             attempt: h.attempt,
             status: h.status,
             cause: h.cause,
-            saved: None,
+            checkpointed: None,
         });
-        Report { tasks: tasks.collect(), ..worker.report.clone() }
+        Heartbeat { tasks: tasks.collect(), ..worker.report.clone() }
     }
 
     fn report(&mut self, w: usize) {
@@ -519,7 +521,7 @@
                 }
                 Order::Stop { task, .. } => {
                     if let Some(h) = self.workers[w].tasks.get_mut(&task) {
-                        (h.status, h.cause) = (TaskStatus::Exited, Some(Cause::Stopped));
+                        (h.status, h.cause) = (TaskStatus::Exited, Some(ExitCause::Stopped));
                         self.changed(w);
                     }
                 }
@@ -536,7 +538,7 @@
                 (TaskStatus::Fetching, Some((spec, _))) => {
                     h.status = TaskStatus::Running;
                     h.at_ms = match spec.shape {
-                        Shape::Service => u64::MAX,
+                        JobKind::Service => u64::MAX,
                         _ => now + (spec.estimate_s * 1000.0) as u64,
                     };
                     if h.at_ms < u64::MAX {
@@ -544,7 +546,7 @@
                     }
                 }
                 (TaskStatus::Running, _) => {
-                    (h.status, h.cause) = (TaskStatus::Exited, Some(Cause::Done));
+                    (h.status, h.cause) = (TaskStatus::Exited, Some(ExitCause::Done));
                     self.counts[3] += 1;
                 }
                 _ => continue,
@@ -565,7 +567,7 @@
                 Some(r) => (4, 5, Outcome::Answer(r)),
                 // A watch of which nothing comes.
                 None => {
-                    let log = ChangeLog { ledger_rev: self.rev, log: Vec::new() };
+                    let log = ChangeLog { store_revision: self.rev, log: Vec::new() };
                     (4, call.timeout_ms * 3 / 4, ok(to_cbor(&log)))
                 }
             },
@@ -573,7 +575,8 @@
             Peer::Worker(addr) => {
                 let w = self.by_addr[&addr.to_string()];
                 if let Ok(o) = from_cbor::<OrdersRequest>(&call.body) {
-                    self.workers[w].report.token = self.workers[w].report.token.max(o.token);
+                    self.workers[w].report.fencing_token =
+                        self.workers[w].report.fencing_token.max(o.fencing_token);
                     self.execute(w, o.orders);
                 }
                 (3, 2, ok(to_cbor(&self.as_report(w))))
@@ -594,40 +597,40 @@
             let starts = arg("starts=").unwrap_or_default();
             let since = arg("since=").unwrap_or_default();
             let most: usize = arg("most=").and_then(|m| m.parse().ok()).unwrap_or(1_000);
-            let stamped = |(k, (v, s)): (&String, &(Value, u64))| Pair {
+            let stamped = |(k, (v, s)): (&String, &(Value, u64))| KeyValue {
                 path: k.clone(),
                 value: v.clone(),
-                stamp: *s,
-                permit: None,
+                revision: *s,
+                lease_id: None,
             };
             let from = if since > starts { since } else { starts };
             let found = self.keys.range(from.to_string()..).filter(|(k, _)| k.as_str() != since);
             let found = found.take_while(|(k, _)| k.starts_with(starts));
-            let mut pairs: Vec<Pair> = found.take(most + 1).map(stamped).collect();
+            let mut pairs: Vec<KeyValue> = found.take(most + 1).map(stamped).collect();
             let more = pairs.len() > most;
             pairs.truncate(most);
-            return Some(ok(to_cbor(&PairList { pairs, more, ledger_rev: self.rev })));
+            return Some(ok(to_cbor(&KeyValueList { pairs, more, store_revision: self.rev })));
         }
         if let Some(key) = path.strip_prefix("/keys/") {
             return Some(match self.keys.get(key) {
-                Some((value, stamp)) => {
+                Some((value, revision)) => {
                     let (path, value) = (key.to_string(), value.clone());
-                    ok(to_cbor(&Pair { path, value, stamp: *stamp, permit: None }))
+                    ok(to_cbor(&KeyValue { path, value, revision: *revision, lease_id: None }))
                 }
                 None => Response::new(404, Vec::new()),
             });
         }
         if path.starts_with("/leases") {
-            return Some(ok(to_cbor(&LeaseAnswer { permit: 1 })));
+            return Some(ok(to_cbor(&LeaseAnswer { lease_id: 1 })));
         }
         let Ok(txn) = from_cbor::<Transaction>(&call.body) else {
             return Some(Response::new(400, Vec::new()));
         };
-        let stands = |g: &&Guard| self.keys.get(&g.path).map_or(0, |(_, s)| *s) != g.stamp;
+        let stands = |g: &&Guard| self.keys.get(&g.path).map_or(0, |(_, s)| *s) != g.revision;
         let failed: Vec<String> =
             txn.guards.iter().filter(stands).map(|g| g.path.clone()).collect();
         if !failed.is_empty() {
-            let body = to_cbor(&TransactionAnswer { ledger_rev: self.rev, failed });
+            let body = to_cbor(&TransactionAnswer { store_revision: self.rev, failed });
             return Some(Response::new(409, body));
         }
         self.rev += u64::from(!txn.apply.is_empty());
@@ -637,7 +640,7 @@
                 Change::Delete { delete } => drop(self.keys.remove(&delete)),
             }
         }
-        Some(ok(to_cbor(&TransactionAnswer { ledger_rev: self.rev, failed: Vec::new() })))
+        Some(ok(to_cbor(&TransactionAnswer { store_revision: self.rev, failed: Vec::new() })))
     }
 
     fn cloud(&mut self, call: &Call) -> Response {
--- a/crates/scale/src/served.rs
+++ b/crates/scale/src/served.rs
@@ -9,7 +9,7 @@
 
 /// What a report says, as far as it is read here. Shares are of jobs, 0 to 1.
 #[derive(Deserialize)]
-struct Report {
+struct Heartbeat {
     scenario: String,
     rules_broken: Broken,
     classes: BTreeMap<String, Count>,
@@ -144,12 +144,12 @@
     begin_within: f64,
 }
 
-fn read(path: &Path) -> Result<Report, ServedError> {
+fn read(path: &Path) -> Result<Heartbeat, ServedError> {
     let text = std::fs::read(path).map_err(|e| ServedError::Read(path.into(), e))?;
     serde_json::from_slice(&text).map_err(|e| ServedError::Parse(path.into(), e))
 }
 
-impl Report {
+impl Heartbeat {
     /// Classes and teams, the least served first.
     fn shares(&self) -> Vec<(f64, String, &Count)> {
         let classes = self.classes.iter().map(|(n, c)| (c.served(), n.clone(), c));
--- a/crates/scale/tests/unit/served.rs
+++ b/crates/scale/tests/unit/served.rs
@@ -5,7 +5,7 @@
 /// Guards against a day passing for good on which one team got less than half.
 #[test]
 fn a_team_below_half_fails_the_day() {
-    let report = |served: u64| -> Report {
+    let report = |served: u64| -> Heartbeat {
         let text = serde_json::json!({
             "scenario": "d", "rules_broken": { "total": 0 }, "node_stats": [],
             "classes": { "a": { "jobs": 100, "started": 90 } },
--- a/crates/wire/src/msg.rs
+++ b/crates/wire/src/msg.rs
@@ -5,7 +5,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Shape {
+pub enum JobKind {
     Array,
     Gang,
     Service,
@@ -13,7 +13,7 @@
 
 /// Priority of a job, lowest first so that the derived order is the ranking.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Rank {
+pub enum Priority {
     #[serde(rename = "idle")]
     Low,
     #[serde(rename = "normal")]
@@ -65,8 +65,9 @@
     #[serde(rename = "owner")]
     pub team: String,
     #[serde(rename = "shape")]
-    pub shape: Shape,
-    pub rank: Rank,
+    pub shape: JobKind,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
     #[serde(rename = "pieces")]
     pub tasks: u32,
     #[serde(rename = "vcpus", deserialize_with = "amount")]
@@ -90,9 +91,9 @@
     #[serde(rename = "expected_s", deserialize_with = "amount")]
     pub estimate_s: f64,
     #[serde(rename = "snapshot_every_s", deserialize_with = "amount")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     #[serde(rename = "snapshot_cost_s", deserialize_with = "amount")]
-    pub save_s: f64,
+    pub checkpoint_cost_s: f64,
     #[serde(
         rename = "due_s",
         default,
@@ -142,8 +143,8 @@
             ("ram_gb", self.memory_gb),
             ("image_gb", self.image_gb),
             ("expected_s", self.estimate_s),
-            ("snapshot_every_s", self.checkpoint_s),
-            ("snapshot_cost_s", self.save_s),
+            ("snapshot_every_s", self.checkpoint_interval_s),
+            ("snapshot_cost_s", self.checkpoint_cost_s),
             ("due_s", self.deadline_s.unwrap_or(0.0)),
         ];
         if let Some((name, a)) = amounts.iter().find(|(_, a)| !(0.0..=MAX_AMOUNT).contains(a)) {
@@ -208,13 +209,13 @@
     #[serde(rename = "running")]
     Running,
     #[serde(rename = "flushing")]
-    Saving,
+    Checkpointing,
     #[serde(rename = "exited")]
     Exited,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Cause {
+pub enum ExitCause {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "stopped")]
@@ -226,7 +227,7 @@
     #[serde(rename = "error")]
     Error,
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientResources,
     #[serde(rename = "in_use")]
     Busy,
     #[serde(rename = "no_such")]
@@ -234,21 +235,21 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportTask {
+pub struct HeartbeatTask {
     #[serde(rename = "piece")]
     pub task: String,
     #[serde(rename = "try")]
     pub attempt: u64,
     pub status: TaskStatus,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<bool>,
+    pub cause: Option<ExitCause>,
+    #[serde(rename = "saved", default, skip_serializing_if = "Option::is_none")]
+    pub checkpointed: Option<bool>,
 }
 
 /// A worker's report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "host")]
     pub machine: String,
     pub addr: String,
@@ -258,15 +259,16 @@
     pub zone: String,
     #[serde(rename = "loaners", default = "no")]
     pub spot: bool,
-    pub tenure: u64,
+    #[serde(rename = "tenure")]
+    pub agent_epoch: u64,
     #[serde(rename = "tally")]
     pub seq: u64,
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "recall_s", default, deserialize_with = "maybe_amount")]
-    pub notice_s: Option<f64>,
+    pub interruption_notice_s: Option<f64>,
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<ReportTask>,
+    pub tasks: Vec<HeartbeatTask>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -298,9 +300,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatAnswer {
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     pub orders: Vec<Order>,
 }
 
@@ -313,8 +315,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OrdersRequest {
     #[serde(rename = "baton")]
-    pub token: u64,
-    pub tenure: u64,
+    pub fencing_token: u64,
+    #[serde(rename = "tenure")]
+    pub agent_epoch: u64,
     pub orders: Vec<Order>,
 }
 
@@ -348,8 +351,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HireRequest {
-    pub hire: String,
+pub struct ProvisionRequest {
+    #[serde(rename = "hire")]
+    pub provision_id: String,
     #[serde(rename = "host_type")]
     pub kind: String,
     #[serde(rename = "hall")]
@@ -404,26 +408,29 @@
 
 /// One key of the state service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Pair {
+pub struct KeyValue {
     pub path: String,
     pub value: Value,
-    pub stamp: u64,
-    #[serde(default)]
-    pub permit: Option<u64>,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
+    #[serde(rename = "permit", default)]
+    pub lease_id: Option<u64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PairList {
-    pub pairs: Vec<Pair>,
+pub struct KeyValueList {
+    pub pairs: Vec<KeyValue>,
     #[serde(default)]
     pub more: bool,
-    pub ledger_rev: u64,
+    #[serde(rename = "ledger_rev")]
+    pub store_revision: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Guard {
     pub path: String,
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -432,8 +439,8 @@
     Set {
         set: String,
         value: Value,
-        #[serde(skip_serializing_if = "Option::is_none", default)]
-        permit: Option<u64>,
+        #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
+        lease_id: Option<u64>,
     },
     Delete {
         delete: String,
@@ -448,7 +455,8 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransactionAnswer {
-    pub ledger_rev: u64,
+    #[serde(rename = "ledger_rev")]
+    pub store_revision: u64,
     #[serde(default)]
     pub failed: Vec<String>,
 }
@@ -460,7 +468,8 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseAnswer {
-    pub permit: u64,
+    #[serde(rename = "permit")]
+    pub lease_id: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -471,12 +480,14 @@
     pub delete: Option<String>,
     #[serde(default)]
     pub value: Option<Value>,
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeLog {
-    pub ledger_rev: u64,
+    #[serde(rename = "ledger_rev")]
+    pub store_revision: u64,
     #[serde(default)]
     pub log: Vec<ChangeEvent>,
 }
@@ -491,7 +502,7 @@
     /// Epoch that the sender leads; 0 if it does not lead.
     pub epoch: u64,
     /// The state service answers the sender.
-    pub has_state: bool,
+    pub store_reachable: bool,
     #[serde(default)]
     pub forward: Option<Forward>,
 }
--- a/crates/wire/tests/hostile.rs
+++ b/crates/wire/tests/hostile.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use quartzgate_wire::http::{parse_request, parse_response, write_request, HttpError, MAX_BODY};
-use quartzgate_wire::msg::{JobSpec, MeshMessage, Report, Shape};
+use quartzgate_wire::msg::{Heartbeat, JobKind, JobSpec, MeshMessage};
 use quartzgate_wire::{from_cbor, to_cbor};
 
 fn runner(cases: u32) -> TestRunner {
@@ -53,7 +53,7 @@
             let _ = parse_request(&bytes);
             let _ = parse_response(&bytes);
             let _ = from_cbor::<JobSpec>(&bytes);
-            let _ = from_cbor::<Report>(&bytes);
+            let _ = from_cbor::<Heartbeat>(&bytes);
             let _ = from_cbor::<MeshMessage>(&bytes);
             Ok(())
         })
@@ -122,7 +122,7 @@
 fn jobs_are_refused_field_by_field() {
     use ciborium::value::Value as V;
     let V::Map(good) = value() else { unreachable!() };
-    assert_eq!(parse(&value()).unwrap().shape, Shape::Array);
+    assert_eq!(parse(&value()).unwrap().shape, JobKind::Array);
     let nullable = ["host_types", "due_s", "not_of_ours"];
     for at in 0..good.len() {
         let name = good[at].0.as_text().unwrap().to_string();
