--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -29,7 +29,7 @@
 
 impl Context {
     pub fn new(config: Config, rng: SmallRng) -> Self {
-        let latencies = Latencies::new();
+        let latencies = Latencies::new(config.max_timed_requests());
         Context { config, now: Now::default(), rng, latencies, actions: Vec::new(), next_call: 1 }
     }
 
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -102,20 +102,21 @@
 }
 
 /// Ends of jobs, which never change again. Bounded: the oldest are read anew.
-#[derive(Default)]
 pub(crate) struct TerminalJobs {
     known: HashMap<String, RecordedStatus>,
     order: VecDeque<String>,
+    max_terminal_jobs: usize,
 }
 
-/// How many ends are kept in memory.
-const MAX_TERMINAL_JOBS: usize = 20_000;
-
 impl TerminalJobs {
+    pub fn new(max_terminal_jobs: usize) -> Self {
+        TerminalJobs { known: HashMap::new(), order: VecDeque::new(), max_terminal_jobs }
+    }
+
     pub fn insert(&mut self, id: String, status: RecordedStatus) {
         if self.known.insert(id.clone(), status).is_none() {
             self.order.push_back(id);
-            if self.order.len() > MAX_TERMINAL_JOBS {
+            if self.order.len() > self.max_terminal_jobs {
                 if let Some(old) = self.order.pop_front() {
                     self.known.remove(&old);
                 }
@@ -152,7 +153,7 @@
     pub(crate) mailbox: Mailbox,
     /// Workers of other zones: since when they report here, and when they were last sent
     /// to the leader.
-    pub(crate) out_of_zone_workers: HashMap<String, (u64, u64)>,
+    pub(crate) out_of_zone_workers: BTreeMap<String, (u64, u64)>,
     pub(crate) stall: ProcessStall,
     pub(crate) types: Vec<MachineType>,
     pub(crate) types_at_ms: Option<u64>,
@@ -207,20 +208,23 @@
         let membership = Membership::new(&cfg);
         let feature_state = FeatureState::new(&cfg);
         let search_budget = SearchBudget::new(cfg.platform.params.limits.cpu_share);
+        let terminal_jobs = TerminalJobs::new(cfg.max_terminal_jobs());
+        let lease_proxy = LeaseProxy::new(&cfg);
+        let stall = ProcessStall::new(&cfg);
         Controller {
             context: Context::new(cfg, rng),
             calls: CallTable::default(),
             membership,
-            terminal_jobs: TerminalJobs::default(),
+            terminal_jobs,
             dependency_graph: DependencyGraph::default(),
             feature_state,
-            lease_proxy: LeaseProxy::new(),
+            lease_proxy,
             status_queries: StatusQueries::default(),
             job_batches: JobBatches::default(),
             batch_reads_to_retry: Vec::new(),
             mailbox: Mailbox::default(),
-            out_of_zone_workers: HashMap::new(),
-            stall: ProcessStall::new(),
+            out_of_zone_workers: BTreeMap::new(),
+            stall,
             types: Vec::new(),
             types_at_ms: None,
             types_asked_ms: 0,
--- a/crates/core/src/fleet/machines.rs
+++ b/crates/core/src/fleet/machines.rs
@@ -13,6 +13,7 @@
 use quartzgate_wire::msg::{HeartbeatTask, TaskStatus};
 use quartzgate_wire::{from_cbor, to_cbor};
 
+use crate::capacity::forget_oldest;
 use crate::controller::{Controller, InFlight};
 use crate::fleet::fault_attribution::JobHealth;
 use crate::ids::{
@@ -228,9 +229,6 @@
     }
 }
 
-/// Workers of other zones that a follower remembers.
-const STRAYS_MOST: usize = 2_000;
-
 /// How orders reach a machine.
 enum Route {
     Direct,
@@ -464,10 +462,11 @@
             return true;
         }
         let (now, lease) = (self.context.now.steady_ms, self.context.config.lease_ms());
-        if self.out_of_zone_workers.len() >= STRAYS_MOST
-            && !self.out_of_zone_workers.contains_key(&report.machine)
-        {
-            self.out_of_zone_workers.clear();
+        if !self.out_of_zone_workers.contains_key(&report.machine) {
+            let most = self.context.config.max_out_of_zone_workers();
+            forget_oldest(&mut self.out_of_zone_workers, most, |(since_ms, sent_ms)| {
+                *since_ms.max(sent_ms)
+            });
         }
         let stray = self.out_of_zone_workers.entry(report.machine.clone()).or_insert((now, 0));
         let stays = now < stray.0 + 2 * lease || stray.1 > 0 && now < stray.1 + 10 * lease;
--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -129,8 +129,8 @@
 
 /// Reads of one walk that are under way at a time.
 const WALK_READS: usize = 6;
-/// Walks at a time.
-const WALKS_MOST: usize = 500;
+/// What a name takes that a walk has seen.
+const WALK_NAME_BYTES: usize = 64;
 /// Unknown jobs that are asked for at a time.
 const UNKNOWN_READS: usize = 20;
 
@@ -427,7 +427,11 @@
     }
 
     fn begin_walk(&mut self, request: RequestId, purpose: Purpose, open: Vec<String>) {
-        if self.dependency_graph.walks.len() >= WALKS_MOST {
+        let walks = &self.dependency_graph.walks;
+        let names = walks.values().map(|w| w.seen.len()).sum::<usize>() + open.len();
+        let too_many = walks.len() >= self.context.config.max_dependency_walks();
+        let too_large = names * WALK_NAME_BYTES > self.context.config.max_held_bytes();
+        if too_many || too_large && !walks.is_empty() {
             return self.answer_busy(request);
         }
         let until_ms = self.context.now.steady_ms + 3 * self.context.config.store_timeout_ms();
--- a/crates/core/src/lease_proxy/mod.rs
+++ b/crates/core/src/lease_proxy/mod.rs
@@ -16,6 +16,8 @@
 };
 use quartzgate_wire::{from_cbor, to_cbor};
 
+use crate::capacity::{forget_oldest, heartbeat_bytes, BoundedList};
+use crate::config::Config;
 use crate::controller::{Controller, InFlight};
 use crate::ids::{epoch_of, parse_task, scoped_to_epoch};
 use crate::membership::Role;
@@ -42,17 +44,29 @@
     asked_ms: u64,
 }
 
+/// Where the messages of a worker stand that came here, and when the last one came.
+#[derive(Clone, Copy, Debug, Default)]
+struct Seen {
+    copies: Copies,
+    last_heard_ms: u64,
+}
+
+/// A heartbeat that waits for the claim or for a read, and until when.
+struct ParkedHeartbeat {
+    request: RequestId,
+    report: Heartbeat,
+    until_ms: u64,
+}
+
 pub(crate) struct LeaseProxy {
     claim: ProxyClaim,
     retry_ms: u64,
     used_ms: u64,
     jobs: BTreeMap<String, Known>,
-    /// Where the messages of each machine that came here stand.
-    copies: BTreeMap<String, Copies>,
+    seen: BTreeMap<String, Seen>,
     /// When each kept machine's token was last raised.
     raised: BTreeMap<String, u64>,
-    /// Reports that wait for the claim or for a read, and until when.
-    parked: Vec<(RequestId, Heartbeat, u64)>,
+    parked: BoundedList<ParkedHeartbeat>,
 }
 
 /// What became of a report that reached a controller which does not lead.
@@ -68,23 +82,17 @@
 
 /// A keeper raises a token by more than the leader does meanwhile.
 const TOKEN_STEP: u64 = 1 << 8;
-/// Reports that may wait at a time.
-const PARKED_MOST: usize = 200;
-/// Machines whose messages a keeper remembers at most.
-const MACHINES_MOST: usize = 4_000;
-/// Jobs that a keeper looks after at most.
-const JOBS_MOST: usize = 2_000;
 
 impl LeaseProxy {
-    pub fn new() -> Self {
+    pub fn new(cfg: &Config) -> Self {
         LeaseProxy {
             claim: ProxyClaim::None,
             retry_ms: 0,
             used_ms: 0,
             jobs: BTreeMap::new(),
-            copies: BTreeMap::new(),
+            seen: BTreeMap::new(),
             raised: BTreeMap::new(),
-            parked: Vec::new(),
+            parked: BoundedList::new(cfg.max_parked_heartbeats(), cfg.max_held_bytes()),
         }
     }
 }
@@ -116,35 +124,44 @@
 
     /// Takes a worker's report on the leader's behalf; false if it has to go elsewhere.
     pub(crate) fn serve_by_proxy(&mut self, id: RequestId, report: &Heartbeat) -> bool {
-        if self.lease_proxy.copies.len() >= MACHINES_MOST {
-            self.lease_proxy.copies.clear();
+        let now = self.context.now.steady_ms;
+        if !self.lease_proxy.seen.contains_key(&report.machine) {
+            let most = self.context.config.max_proxied_workers();
+            forget_oldest(&mut self.lease_proxy.seen, most, |seen| seen.last_heard_ms);
         }
-        let copies = self.lease_proxy.copies.entry(report.machine.clone()).or_default();
+        let seen = self.lease_proxy.seen.entry(report.machine.clone()).or_default();
+        seen.last_heard_ms = now;
         // A copy needs no keeper: nothing is claimed, posted or raised for it.
-        if copies.report(report.agent_epoch, report.seq) == Age::Copy {
+        if seen.copies.report(report.agent_epoch, report.seq) == Age::Copy {
             self.duplicates_dropped += 1;
             return false;
         }
         match self.try_serve_by_proxy(id, report) {
             Verdict::Kept => true,
             // Sent round once more it might find its lease run out.
-            Verdict::Soon if self.lease_proxy.parked.len() < PARKED_MOST => {
-                let until =
-                    self.context.now.steady_ms + self.context.config.max_heartbeat_hold_ms();
-                self.lease_proxy.parked.push((id, report.clone(), until));
-                true
+            Verdict::Soon => {
+                let until_ms = now + self.context.config.max_heartbeat_hold_ms();
+                let report = report.clone();
+                self.park(ParkedHeartbeat { request: id, report, until_ms })
             }
-            _ => false,
+            Verdict::No => false,
         }
     }
 
+    /// False if there is no room for it.
+    fn park(&mut self, parked: ParkedHeartbeat) -> bool {
+        let bytes = heartbeat_bytes(&parked.report);
+        self.lease_proxy.parked.push(parked, bytes)
+    }
+
     fn retry_parked(&mut self) {
         let now = self.context.now.steady_ms;
-        for (id, report, until) in std::mem::take(&mut self.lease_proxy.parked) {
-            match self.try_serve_by_proxy(id, &report) {
+        for (parked, _) in self.lease_proxy.parked.take() {
+            let request = parked.request;
+            match self.try_serve_by_proxy(request, &parked.report) {
                 Verdict::Kept => {}
-                Verdict::Soon if now < until => self.lease_proxy.parked.push((id, report, until)),
-                _ => self.redirect(id),
+                Verdict::Soon if now < parked.until_ms && self.park(parked) => {}
+                _ => self.redirect(request),
             }
         }
     }
@@ -230,7 +247,11 @@
 
     fn ask_job(&mut self, job: String) {
         let now = self.context.now.steady_ms;
-        if self.lease_proxy.jobs.len() >= JOBS_MOST || !self.may_read_for_request() {
+        if !self.lease_proxy.jobs.contains_key(&job) {
+            let most = self.context.config.max_proxied_jobs();
+            forget_oldest(&mut self.lease_proxy.jobs, most, |known| known.asked_ms);
+        }
+        if !self.may_read_for_request() {
             return;
         }
         let known = self.lease_proxy.jobs.entry(job.clone());
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,6 +6,7 @@
 //! be told again in a test.
 
 mod api;
+pub mod capacity;
 pub mod config;
 mod context;
 mod controller;
--- a/crates/core/src/membership/stall.rs
+++ b/crates/core/src/membership/stall.rs
@@ -6,6 +6,8 @@
 //! commands no worker and answers no report. Should the state service answer nobody, it
 //! goes on as one that is cut off: within the horizon, on which all safety rests.
 
+use crate::capacity::BoundedList;
+use crate::config::Config;
 use crate::controller::Controller;
 use crate::membership::Role;
 use crate::RequestId;
@@ -22,7 +24,7 @@
     /// When it last woke, and how often it has.
     pub resumed_ms: u64,
     pub noticed: u64,
-    held: Vec<HeldHeartbeat>,
+    held: BoundedList<HeldHeartbeat>,
 }
 
 /// A report that can't be answered before more is known: who leads, or what the records say.
@@ -34,12 +36,10 @@
     until_ms: u64,
 }
 
-/// Reports that may be held at a time.
-const HELD_MOST: usize = 2_000;
-
 impl ProcessStall {
-    pub fn new() -> Self {
-        ProcessStall { waking: StallState::Awake, resumed_ms: 0, noticed: 0, held: Vec::new() }
+    pub fn new(cfg: &Config) -> Self {
+        let held = BoundedList::new(cfg.max_held_heartbeats(), cfg.max_held_bytes());
+        ProcessStall { waking: StallState::Awake, resumed_ms: 0, noticed: 0, held }
     }
 }
 
@@ -78,9 +78,10 @@
         relayed_by: Option<usize>,
     ) {
         let until_ms = self.context.now.steady_ms + self.context.config.max_heartbeat_hold_ms();
-        match self.stall.held.len() < HELD_MOST {
-            true => self.stall.held.push(HeldHeartbeat { request, body, relayed_by, until_ms }),
-            false => self.redirect(request),
+        let bytes = body.len();
+        let held = HeldHeartbeat { request, body, relayed_by, until_ms };
+        if !self.stall.held.push(held, bytes) {
+            self.redirect(request);
         }
     }
 
@@ -88,10 +89,12 @@
     /// While the records are read, the others are looked at as the reading gets on.
     pub(crate) fn tick_held_heartbeats(&mut self) {
         let now = self.context.now.steady_ms;
-        let held = std::mem::take(&mut self.stall.held).into_iter();
-        let (late, held): (Vec<_>, _) = held.partition(|r| now >= r.until_ms);
-        self.stall.held = held;
-        late.into_iter().for_each(|r| self.redirect(r.request));
+        for (report, bytes) in self.stall.held.take() {
+            let request = report.request;
+            if now >= report.until_ms || !self.stall.held.push(report, bytes) {
+                self.redirect(request);
+            }
+        }
         if !self.leadership_unverified() && self.membership.role != Role::Recovering {
             self.retry_held_heartbeats();
         }
@@ -99,7 +102,7 @@
 
     /// Answers held reports that can be answered now.
     pub(crate) fn retry_held_heartbeats(&mut self) {
-        for report in std::mem::take(&mut self.stall.held) {
+        for (report, _) in self.stall.held.take() {
             let held = self.stall.held.len();
             self.on_heartbeat(report.request, report.body, report.relayed_by);
             // It waits on for as long as it might at first.
--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -62,8 +62,6 @@
     }
 }
 
-/// Acceptances without an answer that are looked for at a time.
-const DOUBTED_MOST: usize = 500;
 /// Items asked for at a time.
 const PAGE: u32 = 500;
 
@@ -540,7 +538,9 @@
     /// that the job is accepted, and it has to run: it is looked for, for as long as the horizon.
     pub(crate) fn track_indeterminate_submission(&mut self, job: String) {
         let until = self.context.now.steady_ms + self.context.config.lease_bound_ms();
-        if self.indeterminate_submissions.len() < DOUBTED_MOST {
+        if self.indeterminate_submissions.len()
+            < self.context.config.max_indeterminate_submissions()
+        {
             self.indeterminate_submissions.insert(job, until);
         }
     }
--- a/crates/core/src/storage/job_batches/mod.rs
+++ b/crates/core/src/storage/job_batches/mod.rs
@@ -104,8 +104,6 @@
     unreadable: BTreeSet<String>,
 }
 
-/// Questions that wait for a look through the pages.
-const LOOKS_MOST: usize = 1_000;
 /// Pages read at a time.
 const READ_AT_ONCE: u32 = 60;
 /// Guests' jobs in pages at a time: their ends take a change each, for so many seconds.
@@ -680,7 +678,7 @@
     }
 
     fn ask_for(&mut self, look: BatchLookup) {
-        if self.job_batches.queue.len() >= LOOKS_MOST {
+        if self.job_batches.queue.len() >= self.context.config.max_batch_lookups() {
             return self.on_outcome(*look.then, Outcome::NotSent);
         }
         self.job_batches.queue.push(look);
