--- a/crates/core/src/fleet/machines.rs
+++ b/crates/core/src/fleet/machines.rs
@@ -386,7 +386,7 @@
             return self.redirect(id);
         }
         if let Some(near) = self.nearer(&report).filter(|_| relayed_by.is_none()) {
-            let body = to_cbor(&Redirect { owner: Some(near) });
+            let body = to_cbor(&Redirect { leader: Some(near) });
             return self.answer(id, Response::new(421, body));
         }
         let ix = self.machine(&report.machine);
@@ -405,7 +405,7 @@
             // Nobody waits for an answer, and none that is given here may keep anything alive.
             Age::Copy => {
                 self.duplicates_dropped += 1;
-                return self.answer(id, Response::new(421, to_cbor(&Redirect { owner: None })));
+                return self.answer(id, Response::new(421, to_cbor(&Redirect { leader: None })));
             }
         }
         self.apply_heartbeat(ix, report);
@@ -509,7 +509,7 @@
     pub(crate) fn redirect(&mut self, id: RequestId) {
         self.let_go += 1;
         let owner = self.leader_sibling().and(self.known_leader());
-        self.answer(id, Response::new(421, to_cbor(&Redirect { owner })));
+        self.answer(id, Response::new(421, to_cbor(&Redirect { leader: owner })));
     }
 
     /// Takes in what a machine answered to a call of ours, or what a keeper heard of it. An
--- a/crates/core/tests/stories/chains.rs
+++ b/crates/core/tests/simulation/chains.rs
@@ -3,7 +3,7 @@
 //! that is called alive too long after one before it was cancelled, and one that is called
 //! cancelled though nobody cancelled it or one before it. Each says what it guards.
 
-use crate::world::{job, unwritten_records, Cut, End, World, CANCEL_MS};
+use crate::world::{behind, job, Cut, End, World, CANCEL_MS};
 use quartzgate_core::records::RecordedStatus;
 use quartzgate_wire::msg::{JobKind, JobStatus, Priority};
 use quartzgate_wire::to_cbor;
@@ -24,21 +24,18 @@
     w.run_ms.insert("wk-000001".into(), 8_000);
     w.submit_surely(&job("wk-000001", JobKind::Array, 1));
     for (n, needs) in [(2, vec!["wk-000001"]), (3, vec!["wk-000001"])] {
-        let spec = unwritten_records(job(&format!("wk-00000{n}"), JobKind::Array, 3), &needs);
+        let spec = behind(job(&format!("wk-00000{n}"), JobKind::Array, 3), &needs);
         let ask = w.submit(n % 3, &spec);
         w.run(300);
         assert_eq!(w.status(ask), 201);
     }
-    let last = unwritten_records(
-        job("wk-000004", JobKind::Gang, 2),
-        &["wk-000002", "wk-000003", "wk-000002"],
-    );
+    let last = behind(job("wk-000004", JobKind::Gang, 2), &["wk-000002", "wk-000003", "wk-000002"]);
     w.submit_surely(&last);
     // What waits licences nothing: other work has the whole limit but one task.
     w.submit_surely(&job("wk-000009", JobKind::Array, 1));
     w.until(2_500, "the other job runs", |w| w.starts.contains_key("wk-000009/0"));
     assert!(!w.done.contains_key("wk-000001"), "the first stage is still running");
-    w.query_status(1, "wk-000004");
+    w.poll(1, "wk-000004");
     w.run(300);
     assert_eq!(w.told.get("wk-000004"), Some(&JobStatus::Queued));
     w.until_done("wk-000004", 60_000);
@@ -67,7 +64,7 @@
         let long: Vec<&str> = long.iter().map(String::as_str).collect();
         let id = format!("wk-00001{node}");
         let ask = |w: &mut World, needs: &[&str]| {
-            let spec = unwritten_records(job(&id, JobKind::Array, 1), needs);
+            let spec = behind(job(&id, JobKind::Array, 1), needs);
             let ask = w.ask(node, "POST", "/api/jobs", to_cbor(&spec));
             w.run(600);
             w.status(ask)
@@ -104,7 +101,7 @@
         let leader = w.leader().unwrap();
         w.run_ms.insert("wk-000001".into(), 3_000);
         w.submit_surely(&job("wk-000001", JobKind::Array, 2));
-        w.submit_surely(&unwritten_records(job("wk-000002", JobKind::Array, 2), &["wk-000001"]));
+        w.submit_surely(&behind(job("wk-000002", JobKind::Array, 2), &["wk-000001"]));
         w.until(10_000, "it runs", |w| w.on("wk-000001").len() == 2);
         match case % 2 {
             0 => w.state.refuses_late = Some((leader, 50)),
@@ -130,7 +127,7 @@
         w.submit_surely(&job("wk-000001", JobKind::Array, 1));
         w.until(5_000, "it runs", |w| w.starts.contains_key("wk-000001/0"));
         for (id, needs) in [("wk-000002", "wk-000001"), ("wk-000003", "wk-000002")] {
-            let ask = w.submit(0, &unwritten_records(job(id, JobKind::Array, 1), &[needs]));
+            let ask = w.submit(0, &behind(job(id, JobKind::Array, 1), &[needs]));
             w.until(2_000, "accepted", |w| w.status(ask) == 201);
         }
         let leader = w.leader().unwrap();
@@ -151,7 +148,7 @@
                 ends[1] += 1;
                 w.run(3_000);
                 for id in ["wk-000002", "wk-000003"] {
-                    w.insist(20_000, |w, n| w.query_status(n, id), |s| s == 200);
+                    w.insist(20_000, |w, n| w.poll(n, id), |s| s == 200);
                     assert_eq!(w.told.get(id), Some(&JobStatus::Aborted), "{id}");
                 }
                 w.run(CANCEL_MS);
@@ -172,8 +169,8 @@
     let mut w = latched_world(4, 0.0, 70);
     w.run_ms.insert("wk-000001".into(), 600_000);
     w.submit_surely(&job("wk-000001", JobKind::Array, 1));
-    w.submit_surely(&unwritten_records(job("wk-000002", JobKind::Array, 1), &["wk-000001"]));
-    w.submit_surely(&unwritten_records(job("wk-000003", JobKind::Array, 1), &["wk-000002"]));
+    w.submit_surely(&behind(job("wk-000002", JobKind::Array, 1), &["wk-000001"]));
+    w.submit_surely(&behind(job("wk-000003", JobKind::Array, 1), &["wk-000002"]));
     let leader = w.leader().unwrap();
     let (a, b) = ((leader + 1) % 3, (leader + 2) % 3);
     w.cut(End::Node(leader), End::Node(a), Cut::Drop);
@@ -182,26 +179,26 @@
     w.run(3_000);
     let abort = w.abort(a, "wk-000001");
     w.until(3_000, "aborted past the leader", |w| w.status(abort) == 200);
-    let ask = w.query_status(b, "wk-000003");
+    let ask = w.poll(b, "wk-000003");
     w.run(300);
     assert_eq!(w.status(ask), 200);
     assert_eq!(w.told.get("wk-000003"), Some(&JobStatus::Aborted));
     assert_eq!(w.recorded("wk-000003"), Some(RecordedStatus::Live), "nobody wrote it down");
     // The world notes it if the leader now calls it anything else.
-    let ask = w.query_status(leader, "wk-000003");
+    let ask = w.poll(leader, "wk-000003");
     w.run(300);
     assert_eq!(w.status(ask), 200);
-    let late = w.submit(b, &unwritten_records(job("wk-000004", JobKind::Array, 1), &["wk-000003"]));
+    let late = w.submit(b, &behind(job("wk-000004", JobKind::Array, 1), &["wk-000003"]));
     w.run(600);
     assert_eq!(w.status(late), 201);
-    w.query_status(a, "wk-000004");
+    w.poll(a, "wk-000004");
     w.run(600);
     assert_eq!(w.told.get("wk-000004"), Some(&JobStatus::Aborted));
     w.heal();
     w.state.no_inbox = false;
     w.run(1_000);
     // It has missed the note of it, and hears of it by a question.
-    w.query_status(leader, "wk-000004");
+    w.poll(leader, "wk-000004");
     w.until(40_000, "written down", |w| {
         ["wk-000002", "wk-000003", "wk-000004"]
             .iter()
@@ -220,16 +217,10 @@
         w.run_ms.insert("wk-000005".into(), 600_000);
         w.submit_surely(&job("wk-000001", JobKind::Array, 3));
         w.submit_surely(&job("wk-000005", JobKind::Array, 1));
-        w.submit_surely(&unwritten_records(job("wk-000002", JobKind::Array, 70), &["wk-000001"]));
-        w.submit_surely(&unwritten_records(
-            job("wk-000003", JobKind::Gang, 2),
-            &["wk-000002", "wk-000001"],
-        ));
-        w.submit_surely(&unwritten_records(
-            job("wk-000006", JobKind::Array, 1),
-            &["wk-000005", "wk-000001"],
-        ));
-        w.submit_surely(&unwritten_records(job("wk-000007", JobKind::Array, 1), &["wk-000006"]));
+        w.submit_surely(&behind(job("wk-000002", JobKind::Array, 70), &["wk-000001"]));
+        w.submit_surely(&behind(job("wk-000003", JobKind::Gang, 2), &["wk-000002", "wk-000001"]));
+        w.submit_surely(&behind(job("wk-000006", JobKind::Array, 1), &["wk-000005", "wk-000001"]));
+        w.submit_surely(&behind(job("wk-000007", JobKind::Array, 1), &["wk-000006"]));
         w.run(300 * case);
         match case % 2 {
             0 => (0..3).for_each(|n| w.kill_for(n, 1_000)),
@@ -243,7 +234,7 @@
         w.abort_surely("wk-000005");
         w.until_done("wk-000003", 200_000);
         for id in ["wk-000006", "wk-000007"] {
-            w.insist(20_000, |w, n| w.query_status(n, id), |s| s == 200);
+            w.insist(20_000, |w, n| w.poll(n, id), |s| s == 200);
             assert_eq!(w.told.get(id), Some(&JobStatus::Aborted), "{id}");
         }
         w.keep_rules();
@@ -260,21 +251,21 @@
     let mut fan = Vec::new();
     for n in 0..60 {
         let id = format!("wk-0001{n:02}");
-        w.submit(n % 3, &unwritten_records(job(&id, JobKind::Array, 1), &["wk-000001"]));
+        w.submit(n % 3, &behind(job(&id, JobKind::Array, 1), &["wk-000001"]));
         w.run(150);
         fan.push(id);
     }
     let names: Vec<&str> = fan.iter().map(String::as_str).collect();
-    w.submit_surely(&unwritten_records(job("wk-000200", JobKind::Array, 1), &names));
+    w.submit_surely(&behind(job("wk-000200", JobKind::Array, 1), &names));
     let mut last = "wk-000200".to_string();
     for n in 0..40 {
         let id = format!("wk-0003{n:02}");
-        w.submit(n % 3, &unwritten_records(job(&id, JobKind::Array, 1), &[&last]));
+        w.submit(n % 3, &behind(job(&id, JobKind::Array, 1), &[&last]));
         w.run(150);
         last = id;
     }
     for node in 0..3 {
-        let ask = w.query_status(node, &last);
+        let ask = w.poll(node, &last);
         w.run(1_500);
         assert_eq!((w.status(ask), w.told[&last]), (200, JobStatus::Queued));
     }
@@ -282,7 +273,7 @@
     // It may have been done already; then everything is.
     w.run(CANCEL_MS);
     let end = w.told["wk-000139"];
-    w.insist(20_000, |w, n| w.query_status(n, &last), |s| s == 200);
+    w.insist(20_000, |w, n| w.poll(n, &last), |s| s == 200);
     assert_eq!(end, JobStatus::Aborted);
     assert_eq!(w.told[&last], JobStatus::Aborted);
     w.keep_rules();
@@ -295,14 +286,14 @@
     let mut w = latched_world(4, 0.0, 130);
     w.run_ms.insert("wk-000001".into(), 600_000);
     w.submit_surely(&job("wk-000001", JobKind::Array, 1));
-    w.submit_surely(&unwritten_records(job("wk-000002", JobKind::Array, 1), &["wk-000001"]));
+    w.submit_surely(&behind(job("wk-000002", JobKind::Array, 1), &["wk-000001"]));
     w.state.keys.get_mut("jobs/wk-000001").unwrap().0 = ciborium::value::Value::Text("?".into());
     (0..3).for_each(|n| w.kill_for(n, 500));
     w.run(6_000);
     w.submit_surely(&job("wk-000003", JobKind::Array, 2));
-    w.submit_surely(&unwritten_records(job("wk-000004", JobKind::Array, 2), &["wk-000003"]));
+    w.submit_surely(&behind(job("wk-000004", JobKind::Array, 2), &["wk-000003"]));
     w.until_done("wk-000004", 60_000);
-    let ask = w.query_status(0, "wk-000002");
+    let ask = w.poll(0, "wk-000002");
     w.run(2_500);
     assert_eq!(w.status(ask), 503, "it can't be said how it stands");
     assert!(w.on("wk-000002").is_empty());
@@ -326,7 +317,7 @@
             let ask = w.submit(0, &low);
             w.until(2_000, "accepted", |w| w.status(ask) == 201);
         }
-        let mut high = unwritten_records(job("wk-000003", JobKind::Array, 1), &["wk-000002"]);
+        let mut high = behind(job("wk-000003", JobKind::Array, 1), &["wk-000002"]);
         high.priority = Priority::High;
         let ask = w.submit(0, &high);
         w.until(2_000, "accepted", |w| w.status(ask) == 201);
@@ -358,7 +349,7 @@
     w.run(4_000);
     w.state.no_inbox = false;
     assert!(w.starts.is_empty(), "the leader has not heard of it");
-    let two = w.submit(a, &unwritten_records(job("wk-000002", JobKind::Array, 1), &["wk-000001"]));
+    let two = w.submit(a, &behind(job("wk-000002", JobKind::Array, 1), &["wk-000001"]));
     w.until(2_000, "accepted past the leader", |w| w.status(two) == 201);
     w.until(20_000, "both run", |w| w.starts.contains_key("wk-000002/0"));
     w.until_done("wk-000002", 20_000);
@@ -403,7 +394,7 @@
                 .map(String::as_str)
                 .collect();
             let shape = if n % 5 == 3 { JobKind::Gang } else { JobKind::Array };
-            let spec = unwritten_records(job(&id, shape, rng.random_range(1..5)), &accepted);
+            let spec = behind(job(&id, shape, rng.random_range(1..5)), &accepted);
             w.submit(rng.random_range(0..3), &spec);
             ids.push(id);
             let node = rng.random_range(0..3);
@@ -431,7 +422,7 @@
             for _ in 0..3 {
                 let at = rng.random_range(0..ids.len());
                 let id = ids[at].clone();
-                w.query_status(rng.random_range(0..3), &id);
+                w.poll(rng.random_range(0..3), &id);
                 w.run(rng.random_range(200..2_500));
             }
         }
@@ -447,7 +438,7 @@
             let end = w.now + 300_000;
             while !cancelled(&w) && w.told.get(id) != Some(&JobStatus::Done) {
                 assert!(w.now < end, "seed {seed}: {id} never ends; {:?}", w.breaches);
-                w.query_status(0, id);
+                w.poll(0, id);
                 w.run(500);
             }
         }
--- a/crates/core/tests/stories/hearing.rs
+++ b/crates/core/tests/simulation/hearing.rs
@@ -2,7 +2,7 @@
 //! machines that are back at once.
 
 use crate::world::{
-    job, unwritten_records, Cut, Deaf, End, LateCopies, World, CANCEL_MS, LEASE_MS, REPORT_MS,
+    behind, job, Cut, Deaf, End, LateCopies, World, CANCEL_MS, LEASE_MS, REPORT_MS,
 };
 use quartzgate_wire::msg::JobKind;
 
@@ -254,7 +254,7 @@
                 w.reboot(&victim, 200);
             }
         }
-        w.submit_surely(&unwritten_records(job(&name(3), JobKind::Array, 2), &[&name(2)]));
+        w.submit_surely(&behind(job(&name(3), JobKind::Array, 2), &[&name(2)]));
         (1..4).for_each(|n| w.until_done(&name(n), 200_000));
         w.until(60_000, "all replicas", |w| w.on(&name(0)).len() == 4);
         w.nobody_is_forgotten();
--- a/crates/core/tests/stories/inline.rs
+++ b/crates/core/tests/simulation/inline.rs
@@ -44,7 +44,7 @@
     w.run(15_000);
     for n in 0..8 {
         let id = format!("wk-00000{n}");
-        w.query_status(leader, &id);
+        w.poll(leader, &id);
         w.run(20);
         assert_eq!(w.told[&id], JobStatus::Done);
         assert!(recorded(&w, &id).share.is_none(), "an end is small");
--- a/crates/core/tests/stories/main.rs
+++ b/crates/core/tests/simulation/main.rs
@@ -30,9 +30,9 @@
     assert_eq!(w.on("wk-000002").len(), 2);
     w.abort_surely("wk-000002");
     w.until(3_000, "replicas are gone", |w| w.on("wk-000002").is_empty());
-    let (query_status, abort) = (w.query_status(1, "wk-000009"), w.abort(2, "wk-000009"));
+    let (poll, abort) = (w.poll(1, "wk-000009"), w.abort(2, "wk-000009"));
     w.run(1_000);
-    assert_eq!((w.status(query_status), w.status(abort)), (404, 404));
+    assert_eq!((w.status(poll), w.status(abort)), (404, 404));
     w.keep_rules();
 }
 
@@ -556,7 +556,7 @@
     w.state.down = true;
     w.run(6_000);
     let leader = w.leader().unwrap();
-    let (ended, live) = (w.query_status(leader, "wk-000001"), w.query_status(leader, "wk-000002"));
+    let (ended, live) = (w.poll(leader, "wk-000001"), w.poll(leader, "wk-000002"));
     let fresh = w.submit(leader, &job("wk-000003", JobKind::Array, 2));
     let ready = w.ask(leader, "GET", "/ready", Vec::new());
     w.run(100);
@@ -736,9 +736,9 @@
     w.until_done("wk-000002", 20_000);
     w.run(20_000);
     assert_eq!(w.state.keys["shares/wk-000001/0/0"].0, garbage);
-    let query_status = w.query_status(0, "wk-000001");
+    let poll = w.poll(0, "wk-000001");
     w.run(500);
-    assert!([200, 503].contains(&w.status(query_status)));
+    assert!([200, 503].contains(&w.status(poll)));
     w.keep_rules();
 }
 
@@ -778,7 +778,7 @@
     let leader = w.leader().unwrap();
     let (reads, mut asks) = (w.state.requests, Vec::new());
     for _ in 0..200 {
-        asks.extend(ids.iter().map(|id| w.query_status(leader, id)));
+        asks.extend(ids.iter().map(|id| w.poll(leader, id)));
         w.run(10);
     }
     w.run(1_000);
@@ -791,7 +791,7 @@
     w.run(3_000);
     let abort = w.abort((leader + 1) % 3, &ids[0]);
     w.until(3_000, "aborted past the leader", |w| w.status(abort) == 200);
-    let ask = w.query_status(leader, &ids[0]);
+    let ask = w.poll(leader, &ids[0]);
     w.run(200);
     assert_eq!(w.status(ask), 200);
     assert_eq!(w.told.get(&ids[0]), Some(&JobStatus::Aborted));
@@ -889,11 +889,11 @@
         w.workers.get_mut("vm-000003").unwrap().fails = faulty;
         for n in 1..5 {
             let id = format!("wk-00000{n}");
-            w.failing_everywhere.insert(id.clone(), 0);
+            w.mistaken.insert(id.clone(), 0);
             w.submit_surely(&job(&id, JobKind::Array, 6));
         }
         w.run(5_000);
-        let before: Vec<u32> = w.failing_everywhere.values().copied().collect();
+        let before: Vec<u32> = w.mistaken.values().copied().collect();
         for n in 1..5 {
             w.submit_surely(&job(&format!("wk-00001{n}"), JobKind::Array, 8));
         }
@@ -903,7 +903,7 @@
         w.run(30_000);
         assert_eq!(w.workers.len(), if faulty { 7 } else { 8 }, "only what is faulty goes back");
         assert_eq!(w.workers.contains_key("vm-000003"), !faulty);
-        for (failed, before) in w.failing_everywhere.values().zip(before) {
+        for (failed, before) in w.mistaken.values().zip(before) {
             assert!(failed - before <= 8, "{failed} failures, {before} of them early");
         }
         for n in 1..5 {
--- a/crates/core/tests/stories/meetings.rs
+++ b/crates/core/tests/simulation/meetings.rs
@@ -133,9 +133,9 @@
         if told {
             assert!(w.on(&name(1)).is_empty(), "case {case}");
             for n in 0..3 {
-                let query_status = w.query_status(n, &name(1));
+                let poll = w.poll(n, &name(1));
                 w.run(1_500);
-                assert!(w.status(query_status) != 404);
+                assert!(w.status(poll) != 404);
             }
             assert_eq!(w.told[&name(1)], JobStatus::Aborted);
         }
@@ -256,7 +256,7 @@
             if w.told[&name(1)] == JobStatus::Aborted {
                 break;
             }
-            w.query_status(other, &name(1));
+            w.poll(other, &name(1));
             w.run(50);
         }
         // Then it loses the state service too, before it reads its live jobs again.
@@ -298,7 +298,7 @@
         }
         for n in 0..12 {
             if w.told.contains_key(&name(n)) {
-                w.query_status((node + n as usize) % 3, &name(n));
+                w.poll((node + n as usize) % 3, &name(n));
             }
         }
         w.run(200);
--- a/crates/core/tests/stories/moments.rs
+++ b/crates/core/tests/simulation/moments.rs
@@ -1,7 +1,7 @@
 //! Stories of what meets at a moment: an old report and a new leader, a question and an end, a
 //! cancellation and a hand-over, a write whose answer alone is lost.
 
-use crate::world::{job, unwritten_records, Cut, Deaf, End, Fate, LateWrites, Unanswered, World};
+use crate::world::{behind, job, Cut, Deaf, End, Fate, LateWrites, Unanswered, World};
 use crate::world::{CANCEL_MS, LEASE_MS, REPORT_MS};
 use quartzgate_wire::msg::{JobKind, JobSpec, JobStatus, Priority};
 use quartzgate_wire::to_cbor;
@@ -43,13 +43,13 @@
         // The first machine is not heard for a while.
         w.mute.insert(first.clone());
         w.deaf.insert(first.clone(), Deaf { answers: false, orders: true });
-        let (leader, epoch) = (w.leader().unwrap(), w.epoch_revision());
+        let (leader, epoch) = (w.leader().unwrap(), w.view_stamp());
         w.kill_for(leader, 60_000);
         // The second finds none but one that will not lead.
         for n in 0..3 {
             w.cut(End::Node(n), End::Worker(second.clone()), Cut::Drop);
         }
-        w.until(20_000, "another begins", |w| w.epoch_revision() > epoch);
+        w.until(20_000, "another begins", |w| w.view_stamp() > epoch);
         let heir = w.leader().unwrap();
         let keeper = 3 - leader - heir;
         w.heal_between(&End::Node(keeper), &End::Worker(second.clone()));
@@ -84,8 +84,8 @@
     service.spread = true;
     out.push(service);
     out.push(job(&name(11), JobKind::Gang, 2));
-    out.push(unwritten_records(job(&name(12), JobKind::Array, 1), &[&name(1)]));
-    out.push(unwritten_records(job(&name(13), JobKind::Array, 2), &[&name(12), &name(2)]));
+    out.push(behind(job(&name(12), JobKind::Array, 1), &[&name(1)]));
+    out.push(behind(job(&name(13), JobKind::Array, 2), &[&name(12), &name(2)]));
     out
 }
 
@@ -124,7 +124,7 @@
                     w.told.contains_key(&spec.id).then(|| w.abort((node + 1) % 3, &spec.id));
             }
             if turn % 7 == at as u64 % 7 && w.told.contains_key(&spec.id) {
-                w.query_status((node + turn as usize) % 3, &spec.id);
+                w.poll((node + turn as usize) % 3, &spec.id);
             }
         }
         w.run(100);
@@ -154,7 +154,7 @@
     let until = w.now + 120_000;
     while w.now < until && !wanted(w).is_empty() {
         for id in wanted(w) {
-            w.query_status((w.now / 500) as usize % 3, &id);
+            w.poll((w.now / 500) as usize % 3, &id);
         }
         w.run(500);
     }
@@ -362,7 +362,7 @@
             2 => w.pause(who, 4_000 + case * 10),
             _ => w.cut(End::Node(who), End::State, Cut::Hold),
         };
-        let epoch = w.epoch_revision();
+        let epoch = w.view_stamp();
         change(&mut w, first);
         // One each at another moment, before, in and after the change.
         let wait = 5 + case * 17 % 400;
@@ -370,7 +370,7 @@
             w.abort((first + n as usize) % 3, &name(n));
             w.run(wait);
         }
-        w.until(20_000, "another leads", |w| w.epoch_revision() > epoch);
+        w.until(20_000, "another leads", |w| w.view_stamp() > epoch);
         w.run(case * 11 % 700);
         w.abort(case as usize % 3, &name(4));
         // Back to the first, whose last life or lease is not long ago.
@@ -384,12 +384,12 @@
         let third = (0..3).find(|n| *n != first && Some(*n) != w.leader()).unwrap();
         let second = w.leader().unwrap();
         if second != first {
-            let epoch = w.epoch_revision();
+            let epoch = w.view_stamp();
             w.kill_for(second, 20_000);
             w.kill_for(third, 4_000);
             w.run(case * 13 % 900);
             w.abort(first, &name(5));
-            w.until(20_000, "it goes on", |w| w.epoch_revision() > epoch);
+            w.until(20_000, "it goes on", |w| w.view_stamp() > epoch);
             back += u64::from(w.leader() == Some(first));
         }
         w.abort(first, &name(1));
@@ -508,7 +508,7 @@
                 }
             }
             if n % 5 == 0 && n > 20 {
-                w.query_status(n as usize % 3, &name(n - 17));
+                w.poll(n as usize % 3, &name(n - 17));
             }
             if n % 90 == 60 {
                 let leader = w.leader().unwrap_or(0);
@@ -538,7 +538,7 @@
                 match (w.told.contains_key(&name(n)), off(n)) {
                     (false, _) => w.submit(node, &spec(n)),
                     (true, true) => w.abort(node, &name(n)),
-                    (true, false) => w.query_status(node, &name(n)),
+                    (true, false) => w.poll(node, &name(n)),
                 };
             }
             w.run(2_000);
@@ -592,7 +592,7 @@
         assert!(w.told.contains_key(&name(1)), "case {case}: it is accepted");
         let until = w.now + 10_000;
         while w.now < until && w.on(&name(1)).len() < 2 {
-            w.query_status(others[case as usize % 2], &name(1));
+            w.poll(others[case as usize % 2], &name(1));
             w.run(500);
         }
         assert_eq!(w.on(&name(1)).len(), 2, "case {case}: it runs while the leader hears nobody");
@@ -717,7 +717,7 @@
             match (turn + case as usize) % 3 {
                 0 => w.abort((node + turn) % 3, &name(1)),
                 1 => w.submit((node + turn) % 3, &spec),
-                _ => w.query_status((node + turn) % 3, &name(1)),
+                _ => w.poll((node + turn) % 3, &name(1)),
             };
             w.run(1 + case % 4);
         }
@@ -797,7 +797,7 @@
             }
             w.run(7_000);
             w.state.refuses.clear();
-            views.insert(w.epoch_revision());
+            views.insert(w.view_stamp());
             if turn % 3 == 0 {
                 w.abort(turn as usize % 3, &name(10 + turn));
             }
--- a/crates/core/tests/stories/pages.rs
+++ b/crates/core/tests/simulation/pages.rs
@@ -57,7 +57,7 @@
     assert!(w.starts.len() > 30, "{} of them started", w.starts.len());
     w.run(30_000);
     for n in 0..40 {
-        w.query_status(leader, &name(n));
+        w.poll(leader, &name(n));
     }
     w.run(1_000);
     assert!((0..40).all(|n| w.told[&name(n)] == JobStatus::Done));
@@ -146,8 +146,8 @@
     }
     w.run(2_000);
     let reads = w.state.requests;
-    let asks: Vec<usize> = (0..20).map(|n| w.query_status(other, &name(n))).collect();
-    let nobody = w.query_status(other, "wk-777777");
+    let asks: Vec<usize> = (0..20).map(|n| w.poll(other, &name(n))).collect();
+    let nobody = w.poll(other, "wk-777777");
     let again = w.submit(other, &job(&name(15), JobKind::Array, 1));
     w.run(1_500);
     let requests = w.state.requests - reads;
@@ -186,8 +186,8 @@
     for round in 1..6u32 {
         let all = round * 30;
         let some = (0..all).rev().step_by(4 * round as usize);
-        let asks: Vec<usize> = some.map(|n| w.query_status(other, &name(n))).collect();
-        let nobody = w.query_status(other, "wk-777777");
+        let asks: Vec<usize> = some.map(|n| w.poll(other, &name(n))).collect();
+        let nobody = w.poll(other, "wk-777777");
         w.run(900);
         let told: Vec<u16> = asks.iter().map(|a| w.status(*a)).collect();
         assert!(told.iter().all(|s| *s == 200), "round {round}: {told:?}");
@@ -198,7 +198,7 @@
     let reads = w.state.page_reads;
     assert!((1..=2).contains(&reads), "all pages were read {reads} times");
     // The leader knows all pages.
-    let nobody = w.query_status(leader, "wk-777778");
+    let nobody = w.poll(leader, "wk-777778");
     w.run(300);
     assert_eq!((w.status(nobody), w.state.page_reads), (404, reads));
     w.heal();
@@ -221,7 +221,7 @@
     let mut asks = Vec::new();
     for n in 0..60 {
         for k in 0..12 {
-            w.query_status(other, &name((n + k) % 20));
+            w.poll(other, &name((n + k) % 20));
         }
         if n % 6 == 0 {
             asks.push(w.submit(other, &job(&name(20 + n / 6), JobKind::Array, 1)));
@@ -433,7 +433,7 @@
         w.submit_surely(&job("wk-000050", JobKind::Array, 2));
         w.until_done("wk-000050", 60_000);
         assert_eq!(w.state.keys[&key].0, damaged, "left as it is");
-        let asked = w.query_status(0, &name(1));
+        let asked = w.poll(0, &name(1));
         w.run(1_000);
         assert_eq!(w.status(asked), 503);
         if case == 0 {
--- a/crates/core/tests/stories/search.rs
+++ b/crates/core/tests/simulation/search.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::world::{job, unwritten_records, Cut, Deaf, Edge, End, LateCopies, LateWrites, World};
+use crate::world::{behind, job, Cut, Deaf, Edge, End, LateCopies, LateWrites, World};
 use crate::world::{CANCEL_MS, LEASE_MS, REPORT_MS};
 use quartzgate_wire::msg::{JobKind, JobSpec, JobStatus};
 use rand::rngs::SmallRng;
@@ -364,7 +364,7 @@
         let mut spec = job(&id, shape, if n % 4 == 0 { 2 } else { 1 + n % 3 });
         spec.spread = n == 0;
         if n == 9 {
-            spec = unwritten_records(spec, &[&name(6)]);
+            spec = behind(spec, &[&name(6)]);
         }
         for t in 0..spec.tasks {
             let long = rng.random_range(500..9_000) + if t == 0 { 0 } else { 18_000 };
@@ -426,7 +426,7 @@
             let known: Vec<String> = w.told.keys().cloned().collect();
             for id in known {
                 let node = rng.random_range(0..NODES);
-                w.query_status(node, &id);
+                w.poll(node, &id);
             }
         }
         w.run(step);
@@ -451,7 +451,7 @@
     while w.now < until && !wanted.iter().all(|id| lives(&w, id)) {
         for id in &wanted {
             let node = rng.random_range(0..NODES);
-            w.query_status(node, id);
+            w.poll(node, id);
         }
         w.run(1_000);
         if !w.breaches.is_empty() {
--- a/crates/core/tests/stories/upgrade.rs
+++ b/crates/core/tests/simulation/upgrade.rs
@@ -7,7 +7,7 @@
 //! before the latch is held against them.
 
 use crate::rolls::TODAY;
-use crate::world::{job, unwritten_records, Cut, End, World, CANCEL_MS};
+use crate::world::{behind, job, Cut, End, World, CANCEL_MS};
 use ciborium::value::Value;
 use quartzgate_core::records::{
     checked_size, pack_placement, read_placement, EpochRecord, JobRecord, LeaderRecord,
@@ -30,7 +30,7 @@
         job_class: String,
         owner: String,
         shape: JobKind,
-        priority: Priority,
+        rank: Priority,
         pieces: u32,
         vcpus: f64,
         gpus: f64,
@@ -135,7 +135,7 @@
         version: u32,
         from: String,
         epoch: u64,
-        store_reachable: bool,
+        has_state: bool,
         forward: Option<Value>,
     }
 
@@ -291,7 +291,7 @@
 fn a_rolling_upgrade() {
     for case in 0..6u64 {
         let mut w = old_world(60, 200 + case);
-        let chained = unwritten_records(job("wk-000009", JobKind::Array, 2), &["wk-000003"]);
+        let chained = behind(job("wk-000009", JobKind::Array, 2), &["wk-000003"]);
         for n in 0..3 {
             // The next to be replaced may lead, or one that is new already.
             let n = (n + case as usize) % 3;
@@ -421,7 +421,7 @@
     w.state.poison = Some("shares/wk-000002".into());
     w.submit_surely(&one);
     // It waits, and so has no share yet.
-    let two = unwritten_records(job("wk-000002", JobKind::Array, 3), &["wk-000001"]);
+    let two = behind(job("wk-000002", JobKind::Array, 3), &["wk-000001"]);
     w.submit_surely(&two);
     let refused = w.state.too_large;
     for n in 3..9 {
@@ -459,14 +459,8 @@
     service.spread = true;
     w.submit_surely(&service);
     for n in 10..40 {
-        w.submit(
-            n % 3,
-            &unwritten_records(job(&format!("wk-0000{n}"), JobKind::Array, 2), &["wk-000002"]),
-        );
-        w.submit(
-            n % 3,
-            &unwritten_records(job(&format!("wk-0000{n}"), JobKind::Array, 2), &["wk-000001"]),
-        );
+        w.submit(n % 3, &behind(job(&format!("wk-0000{n}"), JobKind::Array, 2), &["wk-000002"]));
+        w.submit(n % 3, &behind(job(&format!("wk-0000{n}"), JobKind::Array, 2), &["wk-000001"]));
         w.run(100);
     }
     let leader = w.leader().unwrap();
@@ -537,7 +531,7 @@
         assert_eq!(w.state.keys.get(key).map(|k| k.1), before, "left as it is");
         let now: usize = w.starts.iter().filter(|(t, _)| t.starts_with("wk-000001/")).count();
         assert_eq!(now, starts, "nothing of it starts");
-        w.query_status(0, "wk-000001");
+        w.poll(0, "wk-000001");
         w.run(1_000);
         assert_ne!(w.told["wk-000001"], JobStatus::Done);
         w.keep_rules();
--- a/crates/core/tests/stories/world.rs
+++ b/crates/core/tests/simulation/world.rs
@@ -355,7 +355,7 @@
     pub breaches: Vec<String>,
     pub starts: BTreeMap<String, Vec<(String, u64)>>,
     /// Jobs that were submitted with a mistake, and how often their tasks have failed.
-    pub failing_everywhere: BTreeMap<String, u32>,
+    pub mistaken: BTreeMap<String, u32>,
     pub loss: f64,
     pub max_delay: u64,
     next_machine: u32,
@@ -486,7 +486,7 @@
 }
 
 /// The same job, needing others.
-pub fn unwritten_records(mut spec: JobSpec, needs: &[&str]) -> JobSpec {
+pub fn behind(mut spec: JobSpec, needs: &[&str]) -> JobSpec {
     spec.dependencies = needs.iter().map(|n| n.to_string()).collect();
     spec
 }
@@ -516,7 +516,7 @@
             told: BTreeMap::new(),
             breaches: Vec::new(),
             starts: BTreeMap::new(),
-            failing_everywhere: BTreeMap::new(),
+            mistaken: BTreeMap::new(),
             loss: 0.0,
             max_delay: 4,
             next_machine: 0,
@@ -736,7 +736,7 @@
     }
 
     /// The revision of the view that stands: it rises with each new leader.
-    pub fn epoch_revision(&self) -> u64 {
+    pub fn view_stamp(&self) -> u64 {
         self.state.keys.get(EPOCH_KEY).map_or(0, |(_, revision, _)| *revision)
     }
 
@@ -970,7 +970,7 @@
     fn arrive(&mut self, from: usize, life: u32, call: Call) {
         let Some(to) = self.target(from, &call) else { return };
         match &to {
-            End::State => self.call_store(from, life, call),
+            End::State => self.state_call(from, life, call),
             End::Provisioner => {
                 let r = self.cloud_call(&call);
                 let hires = call.method == "POST" && call.target == "/machines";
--- a/crates/core/tests/stories/world/checks.rs
+++ b/crates/core/tests/simulation/world/checks.rs
@@ -76,9 +76,8 @@
         for (id, _) in self.told.iter().filter(|(_, s)| !matches!(s, JobStatus::Done)) {
             let Some(spec) = self.jobs.get(id) else { continue };
             let before = self.before(id);
-            let called_off = |j: &String| {
-                self.abort_asked.contains(j) || self.failing_everywhere.contains_key(j)
-            };
+            let called_off =
+                |j: &String| self.abort_asked.contains(j) || self.mistaken.contains_key(j);
             let done = |j: &String| self.told.get(j) == Some(&JobStatus::Done);
             if called_off(id) || before.iter().any(called_off) || !before.iter().all(done) {
                 continue;
@@ -176,8 +175,7 @@
             kept.flat_map(|j| ready.iter().map(|n| (*n, j.clone()))).collect();
         let mut said: Vec<u16> = Vec::new();
         while !open.is_empty() && self.now < until {
-            let asks: Vec<usize> =
-                open.iter().map(|(n, j)| self.query_status(*n, &j.clone())).collect();
+            let asks: Vec<usize> = open.iter().map(|(n, j)| self.poll(*n, &j.clone())).collect();
             self.run(2_000);
             let left = open.into_iter().zip(asks).filter(|(_, a)| self.status(*a) != 200);
             (open, said) = left.map(|(o, a)| (o, self.status(a))).unzip();
--- a/crates/core/tests/stories/world/state.rs
+++ b/crates/core/tests/simulation/world/state.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    pub(super) fn call_store(&mut self, from: usize, life: u32, call: Call) {
+    pub(super) fn state_call(&mut self, from: usize, life: u32, call: Call) {
         self.state.requests += 1;
         self.expire_leases();
         let watch = call.target.starts_with("/changes");
--- a/crates/core/tests/stories/world/troubles.rs
+++ b/crates/core/tests/simulation/world/troubles.rs
@@ -159,7 +159,7 @@
     pub(super) fn look_closely(&mut self, id: &str) {
         let spec = self.jobs.get(id).cloned();
         for node in 0..self.nodes.len() {
-            self.query_status(node, id);
+            self.poll(node, id);
             if let Some(spec) = &spec {
                 self.ask(node, "POST", "/api/jobs", to_cbor(spec));
             }
--- a/crates/core/tests/stories/world/users.rs
+++ b/crates/core/tests/simulation/world/users.rs
@@ -110,7 +110,7 @@
         self.ask(node, "POST", &format!("/api/jobs/{id}/abort"), Vec::new())
     }
 
-    pub fn query_status(&mut self, node: usize, id: &str) -> usize {
+    pub fn poll(&mut self, node: usize, id: &str) -> usize {
         self.ask(node, "GET", &format!("/api/jobs/{id}"), Vec::new())
     }
 
@@ -152,7 +152,7 @@
         let end = self.now + within_ms;
         let mut node = 0;
         while self.now < end {
-            self.query_status(node, id);
+            self.poll(node, id);
             self.run(500);
             if self.told.get(id) == Some(&JobStatus::Done) {
                 return;
@@ -239,9 +239,8 @@
                         self.breaches.push(format!("orphaned {id}: {:?}", a.status));
                     }
                     let asked = self.abort_asked.contains(&id);
-                    let unwritten_records =
-                        self.before(&id).iter().any(|p| self.abort_asked.contains(p));
-                    if a.status == JobStatus::Aborted && !asked && !unwritten_records {
+                    let behind = self.before(&id).iter().any(|p| self.abort_asked.contains(p));
+                    if a.status == JobStatus::Aborted && !asked && !behind {
                         self.breaches.push(format!("went_back {id}: nobody cancelled it"));
                     }
                     if a.status == JobStatus::Aborted {
--- a/crates/core/tests/stories/world/workers.rs
+++ b/crates/core/tests/simulation/world/workers.rs
@@ -51,23 +51,23 @@
                 Response::new(200, Vec::new())
             }
             _ => {
-                let provision: ProvisionRequest = from_cbor(&call.body).unwrap();
+                let hire: ProvisionRequest = from_cbor(&call.body).unwrap();
                 if self.cloud_off {
                     return Response::new(503, Vec::new());
                 }
-                if let Some(known) = self.hires.get(&provision.provision_id) {
+                if let Some(known) = self.hires.get(&hire.provision_id) {
                     return Response::new(200, to_cbor(&MachineNames { machines: known.clone() }));
                 }
                 let mut machines = Vec::new();
-                for _ in 0..provision.count.min(4) {
+                for _ in 0..hire.count.min(4) {
                     let name = format!("vm-{:06}", self.next_machine);
                     self.next_machine += 1;
-                    let zone = provision.zone.clone();
+                    let zone = hire.zone.clone();
                     let ms = self.rng.random_range(self.boot_ms.0..=self.boot_ms.1);
                     self.after(ms, Msg::Boot { machine: name.clone(), zone });
                     machines.push(name);
                 }
-                self.hires.insert(provision.provision_id, machines.clone());
+                self.hires.insert(hire.provision_id, machines.clone());
                 Response::new(200, to_cbor(&MachineNames { machines }))
             }
         }
@@ -171,7 +171,7 @@
                 self.execute(name, a.orders);
             }
             421 => {
-                let owner = from_cbor::<Redirect>(body).ok().and_then(|r| r.owner);
+                let owner = from_cbor::<Redirect>(body).ok().and_then(|r| r.leader);
                 let to = owner.and_then(|o| o.trim_start_matches('n').parse::<usize>().ok());
                 match to {
                     Some(n) if n != w.node => {
@@ -315,8 +315,7 @@
         }
         self.check_place(name, &spec);
         let run = self.left_of(&spec, &task);
-        let failing_everywhere =
-            self.failing_everywhere.get_mut(job_id).map(|failed| *failed += 1).is_some();
+        let mistaken = self.mistaken.get_mut(job_id).map(|failed| *failed += 1).is_some();
         let w = self.workers.get_mut(name).unwrap();
         let used: f64 = w
             .tasks
@@ -327,7 +326,7 @@
             .sum();
         let (status, cause) = if used + spec.cpus > w.cpus + 1e-6 {
             (TaskStatus::Exited, Some(ExitCause::InsufficientResources))
-        } else if w.fails || failing_everywhere {
+        } else if w.fails || mistaken {
             (TaskStatus::Exited, Some(ExitCause::Error))
         } else if w.has_to_fetch(&spec, self.fetch_gb_per_s.is_some()) {
             (TaskStatus::Fetching, None)
--- a/crates/wire/src/msg.rs
+++ b/crates/wire/src/msg.rs
@@ -309,7 +309,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none", default)]
-    pub owner: Option<String>,
+    pub leader: Option<String>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -502,6 +502,7 @@
     /// Epoch that the sender leads; 0 if it does not lead.
     pub epoch: u64,
     /// The state service answers the sender.
+    #[serde(rename = "has_state")]
     pub store_reachable: bool,
     #[serde(default)]
     pub forward: Option<Forward>,
