--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeSet;
 
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
 use quartzgate_wire::http::{Request, Response};
 use quartzgate_wire::msg::{
     valid_job_id, Change, Forward, Guard, JobAnswer, JobKind, JobSpec, JobStatus, KeyValue,
@@ -109,7 +109,7 @@
         }
         // Nothing that the first version would not understand before it is gone.
         let chained = matches!(&work, UserRequest::Submit(s, _) if !s.dependencies.is_empty());
-        if chained && !self.has(Feature::Chains) {
+        if chained && !self.has(Feature::JobDependencies) {
             return self.answer_busy(id);
         }
         if self.leads() {
@@ -387,7 +387,7 @@
     /// Takes a submission all of whose dependencies were accepted.
     pub(crate) fn submit_admitted(&mut self, id: RequestId, spec: JobSpec, cancelled: bool) {
         if !self.leads() {
-            if !self.has(Feature::SharedPages) {
+            if !self.has(Feature::BatchRecords) {
                 return self.record_alone(id, spec, cancelled, None);
             }
             // No look is worth it where it couldn't be recorded.
--- a/crates/core/src/fleet/machines.rs
+++ b/crates/core/src/fleet/machines.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-use quartzgate_hearing::{Age, Copies, Hearing, Limits};
+use quartzgate_reachability::{
+    CommandRoute, DuplicateDetector, Freshness, MessageNumber, Reachability, Timing,
+};
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
     ExitCause, Forward, Heartbeat, HeartbeatAnswer, JobKind, Order, OrdersRequest, Priority,
@@ -88,8 +90,8 @@
     pub state: MachineState,
     pub agent_epoch: u64,
     /// Where its messages stand, so that late copies say nothing.
-    pub copies: Copies,
-    pub reachability: Hearing,
+    pub duplicates: DuplicateDetector,
+    pub reachability: Reachability,
     pub acknowledged_token: u64,
     /// Token that we command it with: the epoch and a counter that rises whenever
     /// an order's fate is unknown, so that a late order can't match.
@@ -174,12 +176,12 @@
         self.state == MachineState::Ready
             && !self.quarantined
             && self.interruption_at_ms.is_none()
-            && !self.reachability.deaf()
+            && !self.reachability.is_one_way_unreachable()
     }
 
     /// May be given a start now.
     pub fn takes_work(&self, now_ms: u64) -> bool {
-        self.usable() && now_ms >= self.no_room_until_ms && self.reachability.takes_work()
+        self.usable() && now_ms >= self.no_room_until_ms && self.reachability.accepts_new_work()
     }
 }
 
@@ -254,8 +256,8 @@
             spot: false,
             state: MachineState::Provisioning,
             agent_epoch: 0,
-            copies: Copies::default(),
-            reachability: Hearing::default(),
+            duplicates: DuplicateDetector::default(),
+            reachability: Reachability::default(),
             acknowledged_token: 0,
             fencing_token: scoped_to_epoch(self.epoch(), 0),
             answered_ms: None,
@@ -322,7 +324,7 @@
         m.reported.clear();
         m.pending_starts.clear();
         m.images.clear();
-        m.reachability.silent();
+        m.reachability.on_lease_expired();
         m.idle_since_ms = now;
         let unproven = std::mem::take(&mut m.unproven);
         let lost: Vec<TaskKey> = m.tasks.keys().copied().collect();
@@ -391,10 +393,13 @@
         }
         let ix = self.machine(&report.machine);
         let Some(m) = self.machines.get_mut(ix) else { return };
-        match m.copies.report(report.agent_epoch, report.seq) {
-            Age::News => {}
+        match m.duplicates.record_heartbeat(MessageNumber {
+            agent_epoch: report.agent_epoch,
+            sequence: report.seq,
+        }) {
+            Freshness::New => {}
             // Sent before what we heard last, and so is the lease that an answer gives.
-            Age::Overtaken => {
+            Freshness::Superseded => {
                 m.answered_ms = Some(m.answered_ms.unwrap_or(0).max(m.last_heard_ms));
                 let body = to_cbor(&HeartbeatAnswer {
                     fencing_token: m.fencing_token,
@@ -403,7 +408,7 @@
                 return self.answer(id, Response::new(200, body));
             }
             // Nobody waits for an answer, and none that is given here may keep anything alive.
-            Age::Copy => {
+            Freshness::Duplicate => {
                 self.duplicates_dropped += 1;
                 return self.answer(id, Response::new(421, to_cbor(&Redirect { leader: None })));
             }
@@ -413,7 +418,7 @@
         let orders = self.standing_orders(ix);
         let Some(m) = self.machines.get_mut(ix) else { return };
         m.answered_ms = Some(now);
-        m.reachability.answered();
+        m.reachability.on_heartbeat_answered();
         m.relayed_by = relayed_by;
         (m.cut, m.via) = (m.cut && relayed_by.is_some(), None);
         let body = to_cbor(&HeartbeatAnswer { fencing_token: m.fencing_token, orders });
@@ -517,7 +522,10 @@
     pub(crate) fn observe_heartbeat(&mut self, ix: MachineIndex, report: Heartbeat) {
         let news = self.machines.get_mut(ix).is_some_and(|m| {
             epoch_of(report.fencing_token) > epoch_of(m.fencing_token)
-                || m.copies.told(report.agent_epoch, report.seq)
+                || m.duplicates.record_status(MessageNumber {
+                    agent_epoch: report.agent_epoch,
+                    sequence: report.seq,
+                })
         });
         if news {
             self.apply_heartbeat(ix, report);
@@ -529,15 +537,15 @@
         let now = self.context.now.steady_ms;
         if let Some(m) = self.machines.get_mut(ix) {
             m.last_heard_ms = now;
-            m.reachability.order_answered(now);
+            m.reachability.on_command_answered(now);
         }
         self.observe_heartbeat(ix, report);
     }
 
     /// Time between reports and the lease, as they bear on a machine's hearing.
-    fn hearing_limits(&self) -> Limits {
-        Limits {
-            report_ms: self.context.config.heartbeat_interval_ms(),
+    fn reachability_timing(&self) -> Timing {
+        Timing {
+            heartbeat_interval_ms: self.context.config.heartbeat_interval_ms(),
             lease_ms: self.context.config.lease_ms(),
         }
     }
@@ -551,7 +559,7 @@
             return self.step_down();
         }
         let now = self.context.now.steady_ms;
-        let (zone, limits) = (self.zone_ix(&report.zone), self.hearing_limits());
+        let (zone, limits) = (self.zone_ix(&report.zone), self.reachability_timing());
         let Some(m) = self.machines.get_mut(ix) else { return };
         m.last_heard_ms = now;
         let new_session = report.agent_epoch > m.agent_epoch;
@@ -559,10 +567,10 @@
         if new_session && m.agent_epoch > 0 && lost > 0 {
             tracing::info!(machine = %m.name, lost, "its lease ran out: a new session");
         }
-        let deaf = m.reachability.deaf();
-        m.reachability.report(now, new_session, &limits);
+        let deaf = m.reachability.is_one_way_unreachable();
+        m.reachability.on_heartbeat(now, new_session, &limits);
         if report.fencing_token >= m.fencing_token {
-            m.reachability.shows_token();
+            m.reachability.on_current_fencing_token();
         }
         (m.agent_epoch, m.acknowledged_token) = (report.agent_epoch, report.fencing_token);
         m.addr = report.addr.parse().ok();
@@ -589,7 +597,9 @@
 
     /// Follows up on a change of what is thought of a machine's hearing.
     fn heard_again(&mut self, ix: MachineIndex, was_deaf: bool) {
-        let Some(m) = self.machines.get(ix).filter(|m| m.reachability.deaf() != was_deaf) else {
+        let Some(m) =
+            self.machines.get(ix).filter(|m| m.reachability.is_one_way_unreachable() != was_deaf)
+        else {
             return;
         };
         self.supply_changed = true;
@@ -665,7 +675,9 @@
             self.set_machine_state(ix, MachineState::Registering);
             self.machines_to_command.insert(ix);
         }
-        if !knows_token || self.machines.get(ix).is_some_and(|m| m.reachability.deaf()) {
+        if !knows_token
+            || self.machines.get(ix).is_some_and(|m| m.reachability.is_one_way_unreachable())
+        {
             self.machines_to_command.insert(ix);
         }
         self.machines_to_dispatch.insert(ix);
@@ -850,8 +862,10 @@
         }
         let starts = std::mem::take(&mut m.pending_starts);
         // One that is taken for deaf is called now and then, to see whether it is.
-        let greet = m.acknowledged_token < m.fencing_token || m.reachability.deaf();
-        let may_call = m.reachability.may_call(self.context.now.steady_ms) || !starts.is_empty();
+        let greet =
+            m.acknowledged_token < m.fencing_token || m.reachability.is_one_way_unreachable();
+        let may_call =
+            m.reachability.may_send_command(self.context.now.steady_ms) || !starts.is_empty();
         if starts.is_empty() && stops.is_empty() && !greet || !may_call {
             return;
         }
@@ -932,19 +946,22 @@
         starts: Vec<(TaskKey, u64)>,
         outcome: Outcome,
     ) {
-        let (now, limits) = (self.context.now.steady_ms, self.hearing_limits());
-        let by_post = self.mailbox_route(ix).is_some();
+        let (now, limits) = (self.context.now.steady_ms, self.reachability_timing());
+        let route = match self.mailbox_route(ix) {
+            Some(_) => CommandRoute::Relayed,
+            None => CommandRoute::Direct,
+        };
         let Some(m) = self.machines.get_mut(ix) else { return };
         m.command_in_flight = false;
-        let deaf = m.reachability.deaf();
+        let deaf = m.reachability.is_one_way_unreachable();
         match &outcome {
             // An answer to a call is no copy: the machine lives now.
             Outcome::Answer(r) if matches!(r.status, 200 | 409) => {
                 m.last_heard_ms = now;
-                m.reachability.order_answered(now)
+                m.reachability.on_command_answered(now)
             }
             Outcome::NotSent => {}
-            _ => m.reachability.order_lost(now, !by_post, &limits),
+            _ => m.reachability.on_command_unanswered(now, route, &limits),
         }
         self.heard_again(ix, deaf);
         let Some(m) = self.machines.get_mut(ix) else { return };
@@ -1012,7 +1029,7 @@
         let (patience, at_first) =
             (self.context.config.lease_ms() / 3, self.context.config.lease_ms() * 3 / 4);
         let (time_to_answer, limits) =
-            (self.context.config.heartbeat_interval_ms() / 2, self.hearing_limits());
+            (self.context.config.heartbeat_interval_ms() / 2, self.reachability_timing());
         let (mut silent, mut heard, mut odd) = (Vec::new(), 0, 0);
         for (ix, m) in self.machines.iter() {
             let since = m.last_heard_ms.max(m.since_ms).max(self.epoch_began_ms);
@@ -1030,8 +1047,8 @@
             let asked = asked || m.addr.is_none() || unlisted || self.mailbox_route(ix).is_some();
             // It is heard, but nothing that it is told arrives; or the cloud has it no more, and
             // what is heard of it was held back.
-            let deaf = m.reachability.deaf();
-            let lost = m.reachability.lost(now, &limits) || deaf && unlisted;
+            let deaf = m.reachability.is_one_way_unreachable();
+            let lost = m.reachability.is_permanently_unreachable(now, &limits) || deaf && unlisted;
             match m.state {
                 MachineState::LeaseExpired | MachineState::Returning | MachineState::Terminated => {
                 }
@@ -1047,7 +1064,7 @@
         for (ix, holds, unlisted) in silent {
             let Some(m) = self.machines.get(ix) else { continue };
             if holds && (unlisted || !many) {
-                let deaf = m.reachability.deaf();
+                let deaf = m.reachability.is_one_way_unreachable();
                 tracing::info!(machine = %m.name, unlisted, deaf, "silent while others are heard");
                 self.begin_release(ix);
             }
--- a/crates/core/src/lease_proxy/mod.rs
+++ b/crates/core/src/lease_proxy/mod.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use quartzgate_hearing::{Age, Copies};
+use quartzgate_reachability::{DuplicateDetector, Freshness, MessageNumber};
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
     Change, Guard, Heartbeat, HeartbeatAnswer, Order, TaskStatus, Transaction, TransactionAnswer,
@@ -47,7 +47,7 @@
 /// Where the messages of a worker stand that came here, and when the last one came.
 #[derive(Clone, Copy, Debug, Default)]
 struct Seen {
-    copies: Copies,
+    duplicates: DuplicateDetector,
     last_heard_ms: u64,
 }
 
@@ -132,7 +132,8 @@
         let seen = self.lease_proxy.seen.entry(report.machine.clone()).or_default();
         seen.last_heard_ms = now;
         // A copy needs no keeper: nothing is claimed, posted or raised for it.
-        if seen.copies.report(report.agent_epoch, report.seq) == Age::Copy {
+        let number = MessageNumber { agent_epoch: report.agent_epoch, sequence: report.seq };
+        if seen.duplicates.record_heartbeat(number) == Freshness::Duplicate {
             self.duplicates_dropped += 1;
             return false;
         }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -2,7 +2,7 @@
 
 pub(crate) mod stall;
 
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
     Change, ChangeLog, Guard, KeyValueList, LeaseAnswer, LeaseRequest, MeshMessage, Transaction,
@@ -649,7 +649,11 @@
                 if l.retakes >= RETAKES {
                     return self.let_go(*revision);
                 }
-                (*revision, None, if self.has(Feature::Pieces) { l.retakes + 1 } else { 0 })
+                (
+                    *revision,
+                    None,
+                    if self.has(Feature::SplitPlacementRecords) { l.retakes + 1 } else { 0 },
+                )
             }
             (Some(_), _) => return,
             (None, Role::Follower) if now >= self.membership.elect_due_ms => (0, None, 0),
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use quartzgate_hearing::Standing;
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
+use quartzgate_reachability::ReachabilityState;
 use quartzgate_wire::to_cbor;
 
 use crate::controller::Controller;
@@ -28,18 +28,18 @@
         put("leads", f64::from(u8::from(self.leads())));
         put("load", f64::from(self.load as u8));
         put("in_doubt", f64::from(u8::from(self.leadership_unverified())));
-        let ladder = &self.feature_state.ladder;
-        put("format", f64::from(ladder.version()));
-        put("format_complete", f64::from(u8::from(ladder.complete() && !ladder.foreign())));
-        put("format_foreign", f64::from(u8::from(ladder.foreign())));
-        for (node, said) in ladder.nodes() {
+        let gates = &self.feature_state.gates;
+        put("format", f64::from(gates.format_version()));
+        put("format_complete", f64::from(u8::from(gates.is_complete() && !gates.is_unsupported())));
+        put("format_foreign", f64::from(u8::from(gates.is_unsupported())));
+        for (node, said) in gates.capabilities() {
             put(&format!("format_node.{node}"), f64::from(said.version));
         }
         for feature in Feature::all() {
             put(&format!("feature.{}", feature.name()), f64::from(u8::from(self.has(feature))));
         }
-        for held in ladder.held() {
-            for node in held.by.keys() {
+        for held in gates.blocked_steps() {
+            for node in held.blocked_by.keys() {
                 let for_s = now.saturating_sub(held.since_ms) as f64 / 1000.0;
                 put(&format!("step_held_s.{}.{node}", held.step), for_s);
             }
@@ -65,8 +65,9 @@
         for (_, m) in self.machines.iter() {
             states[m.state as usize] += 1;
             quarantined += u32::from(m.quarantined);
-            deaf += u32::from(m.reachability.deaf());
-            indeterminate_submissions += u32::from(m.reachability.standing() == Standing::Doubted);
+            deaf += u32::from(m.reachability.is_one_way_unreachable());
+            indeterminate_submissions +=
+                u32::from(m.reachability.state() == ReachabilityState::Suspected);
             queued += m.queue.len();
             longest = longest.max(m.queue.len());
             wait_s = wait_s.max(m.wait_s);
@@ -106,7 +107,7 @@
             put(&format!("writes.{name}"), self.record_writer.spent(purpose) as f64);
         }
         put("writes_short", f64::from(u8::from(self.admission.short())));
-        put("turned_away", self.admission.turned.all() as f64);
+        put("turned_away", self.admission.retry_advisor.total_rejections() as f64);
         put("pages", self.job_batches.count() as f64);
         put("pages_jobs", self.job_batches.members() as f64);
         put("records_behind", self.record_writer.unwritten_records() as f64);
--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
 use quartzgate_wire::from_cbor;
 use quartzgate_wire::msg::{Heartbeat, KeyValue, KeyValueList};
 
@@ -184,7 +184,7 @@
         self.recovery.since = None;
         self.recovery.phase = match phase {
             // Before the jobs' own records, which go ahead of what pages say.
-            Phase::Format if self.has(Feature::SharedPages) => Phase::JobBatches,
+            Phase::Format if self.has(Feature::BatchRecords) => Phase::JobBatches,
             Phase::Format | Phase::JobBatches => Phase::Jobs,
             Phase::Jobs => {
                 self.restore_paged();
--- a/crates/core/src/storage/job_batches/mod.rs
+++ b/crates/core/src/storage/job_batches/mod.rs
@@ -17,7 +17,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
     Change, ChangeLog, Guard, JobKind, JobSpec, KeyValue, KeyValueList, Priority, Transaction,
@@ -182,7 +182,7 @@
     /// Whether a submission is to share a record.
     pub(crate) fn belongs_in_batch(&mut self, spec: &JobSpec) -> bool {
         // What is urgent does not wait for more to come together.
-        if !self.has(Feature::SharedPages)
+        if !self.has(Feature::BatchRecords)
             || spec.priority >= Priority::High
             || spec.shape != JobKind::Array
             || !spec.dependencies.is_empty()
@@ -662,7 +662,7 @@
     /// Reads a job's record; if there is none, looks through the pages.
     pub(crate) fn look_up(&mut self, job: &str, then: InFlight) {
         let target = format!("/keys/{}", job_key(job));
-        if !self.has(Feature::SharedPages) {
+        if !self.has(Feature::BatchRecords) {
             return self.call_store("GET", target, Vec::new(), then);
         }
         let (job, then) = (job.to_string(), Box::new(then));
--- a/crates/core/src/storage/placement_records.rs
+++ b/crates/core/src/storage/placement_records.rs
@@ -2,7 +2,7 @@
 //! together, and folded into their job's record once they are done.
 
 use ciborium::value::Value;
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
 use quartzgate_wire::msg::{Change, Guard, Transaction};
 
 use crate::controller::Controller;
@@ -112,7 +112,7 @@
 
     /// Whether the share of a job is to stand in the job's own record, if it fits.
     pub(crate) fn inlines(&self, ix: JobIndex) -> bool {
-        self.has(Feature::InlineShares)
+        self.has(Feature::InlinePlacements)
             && self.jobs.get(ix).is_some_and(|j| {
                 j.chunk_count() == 1 && j.chunks.get(&0).is_none_or(|c| c.pieces == 0)
             })
@@ -125,7 +125,7 @@
         let job = self.jobs.get(ix)?;
         let c = job.chunks.get(&chunk)?;
         let (old, revision) = (c.pieces, c.revision);
-        if !self.has(Feature::Pieces) {
+        if !self.has(Feature::SplitPlacementRecords) {
             let bytes = json_size(&record);
             let (values, oversize) = (vec![encode(&record)], bytes > most);
             let placed = RecordLocation { pieces: 1, ..RecordLocation::default() };
--- a/crates/core/src/storage/record_writer.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use quartzgate_ladder::Feature;
-use quartzgate_overload::Turns;
+use quartzgate_feature_gates::Feature;
+use quartzgate_overload::FairQueue;
 use quartzgate_wire::msg::{
     Change, Guard, JobKind, KeyValue, Priority, Transaction, TransactionAnswer,
 };
@@ -113,8 +113,8 @@
     ends_left: bool,
     /// Whose turn an odd change is: the ends' or the deals'.
     odd: bool,
-    ends: Turns,
-    deals: Turns,
+    ends: FairQueue,
+    deals: FairQueue,
     /// A write was refused as malformed or too large: so many go out by themselves, until
     /// it is known which it was.
     singly: usize,
@@ -166,8 +166,8 @@
             urgent: false,
             ends_left: false,
             odd: false,
-            ends: Turns::default(),
-            deals: Turns::default(),
+            ends: FairQueue::default(),
+            deals: FairQueue::default(),
             singly: 0,
         }
     }
@@ -275,7 +275,7 @@
         let first =
             if blocks_starts { room / 2 + room % 2 * self.record_writer.odd() } else { room };
         let mut ends_left = self.gather_ends(false, &mut txn, &mut items, first, &mut bytes);
-        let mut ahead = self.record_writer.deals.ahead();
+        let mut tags = self.record_writer.deals.tag_assigner();
         let mut dirty: Vec<(Urgency, u64, JobIndex, u32)> = self
             .record_writer
             .dirty
@@ -283,7 +283,7 @@
             .map(|(ix, c)| {
                 (
                     self.urgency(*ix, *c),
-                    self.jobs.get(*ix).map_or(0, |j| ahead.next(j.team, &j.spec.class)),
+                    self.jobs.get(*ix).map_or(0, |j| tags.next_tag(j.team, &j.spec.class)),
                     *ix,
                     *c,
                 )
@@ -331,7 +331,7 @@
                     self.record_writer.dirty.remove(&(ix, chunk));
                     continue;
                 }
-                self.record_writer.deals.served(job.team, &job.spec.class);
+                self.record_writer.deals.record_service(job.team, &job.spec.class);
                 match job.chunk_count() {
                     1 => self.rewrite_batch(page),
                     // No page holds more than a first chunk: it gets a record of its own.
@@ -344,7 +344,7 @@
                 continue;
             }
             let id = job.id.clone();
-            self.record_writer.deals.served(job.team, &job.spec.class);
+            self.record_writer.deals.record_service(job.team, &job.spec.class);
             let Some(share) = self.placement_write(ix, chunk) else { continue };
             if share.oversize || share.changes() > most {
                 tracing::error!(job = %id, chunk, bytes = share.bytes, pieces = share.placed.pieces,
@@ -464,7 +464,7 @@
             self.record_writer.jobs.iter().copied().filter(of).collect();
         // What others wait for comes first, ends that follow from others' last; between them
         // the more urgent, and of those each class in turn.
-        let mut ahead = self.record_writer.ends.ahead();
+        let mut tags = self.record_writer.ends.tag_assigner();
         candidates.sort_by_cached_key(|ix| {
             let job = self.jobs.get(*ix);
             let part = match job {
@@ -475,7 +475,7 @@
             (
                 part,
                 std::cmp::Reverse(job.map(|j| j.priority)),
-                job.map(|j| ahead.next(j.team, &j.spec.class)),
+                job.map(|j| tags.next_tag(j.team, &j.spec.class)),
             )
         });
         for ix in candidates {
@@ -529,7 +529,7 @@
             txn.guards.push(Guard { path: key.clone(), revision: job.revision });
             txn.apply.push(Change::Set { set: key, value: encode(&record), lease_id: None });
             let before = txn.apply.len();
-            self.record_writer.ends.served(job.team, &job.spec.class);
+            self.record_writer.ends.record_service(job.team, &job.spec.class);
             self.remove_placements(ix, &chunks, txn);
             self.record_writer.note(Purpose::End, 1);
             self.record_writer.note(Purpose::Tidy, txn.apply.len() - before);
