--- a/crates/core/src/chains.rs
+++ b/crates/core/src/chains.rs
@@ -129,8 +129,8 @@
 
 /// Reads of one walk that are under way at a time.
 const WALK_READS: usize = 6;
-/// Walks at a time.
-const WALKS_MOST: usize = 500;
+/// What a name takes that a walk has seen.
+const WALK_NAME_BYTES: usize = 64;
 /// Unknown jobs that are asked for at a time.
 const UNKNOWN_READS: usize = 20;
 
@@ -414,7 +414,11 @@
     }
 
     fn begin_walk(&mut self, request: RequestId, purpose: Purpose, open: Vec<String>) {
-        if self.chains.walks.len() >= WALKS_MOST {
+        let walks = &self.chains.walks;
+        let names = walks.values().map(|w| w.seen.len()).sum::<usize>() + open.len();
+        let too_many = walks.len() >= self.cfg.max_dependency_walks();
+        let too_large = names * WALK_NAME_BYTES > self.cfg.max_held_bytes();
+        if too_many || too_large && !walks.is_empty() {
             return self.answer_busy(request);
         }
         let until_ms = self.now.steady_ms + 3 * self.cfg.state_timeout_ms();
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -102,20 +102,21 @@
 }
 
 /// Ends of jobs, which never change again. Bounded: the oldest are read anew.
-#[derive(Default)]
 pub(crate) struct Finals {
     known: HashMap<String, RecordedStatus>,
     order: VecDeque<String>,
+    max_terminal_jobs: usize,
 }
 
-/// How many ends are kept in memory.
-const FINALS: usize = 20_000;
-
 impl Finals {
+    pub fn new(max_terminal_jobs: usize) -> Self {
+        Finals { known: HashMap::new(), order: VecDeque::new(), max_terminal_jobs }
+    }
+
     pub fn insert(&mut self, id: String, status: RecordedStatus) {
         if self.known.insert(id.clone(), status).is_none() {
             self.order.push_back(id);
-            if self.order.len() > FINALS {
+            if self.order.len() > self.max_terminal_jobs {
                 if let Some(old) = self.order.pop_front() {
                     self.known.remove(&old);
                 }
@@ -157,7 +158,7 @@
     pub(crate) post: PostBox,
     /// Workers of other zones: since when they report here, and when they were last sent
     /// to the leader.
-    pub(crate) strays: HashMap<String, (u64, u64)>,
+    pub(crate) strays: BTreeMap<String, (u64, u64)>,
     pub(crate) pause: Pause,
     pub(crate) types: Vec<MachineType>,
     pub(crate) types_at_ms: Option<u64>,
@@ -212,6 +213,10 @@
         let member = Member::new(&cfg);
         let format = Format::new(&cfg);
         let effort = Effort::new(cfg.platform.params.limits.cpu_share);
+        let finals = Finals::new(cfg.max_terminal_jobs());
+        let latencies = Latencies::new(cfg.max_timed_requests());
+        let keeper = Keeper::new(&cfg);
+        let pause = Pause::new(&cfg);
         Controller {
             cfg,
             now: Now::default(),
@@ -220,17 +225,17 @@
             next_call: 1,
             pending: HashMap::new(),
             member,
-            finals: Finals::default(),
+            finals,
             chains: Chains::default(),
             format,
-            latencies: Latencies::new(),
-            keeper: Keeper::new(),
+            latencies,
+            keeper,
             polls: Polls::default(),
             pages: Pages::default(),
             pages_retry: Vec::new(),
             post: PostBox::default(),
-            strays: HashMap::new(),
-            pause: Pause::new(),
+            strays: BTreeMap::new(),
+            pause,
             types: Vec::new(),
             types_at_ms: None,
             types_asked_ms: 0,
--- a/crates/core/src/keeper.rs
+++ b/crates/core/src/keeper.rs
@@ -14,6 +14,8 @@
 };
 use quartzgate_wire::{from_cbor, to_cbor};
 
+use crate::capacity::{forget_oldest, heartbeat_bytes, BoundedList};
+use crate::config::Config;
 use crate::controller::{Controller, Pending};
 use crate::ids::{epoch_of, in_epoch, parse_task};
 use crate::member::Role;
@@ -38,17 +40,29 @@
     asked_ms: u64,
 }
 
+/// Where the messages of a worker stand that came here, and when the last one came.
+#[derive(Clone, Copy, Debug, Default)]
+struct Seen {
+    copies: Copies,
+    heard_ms: u64,
+}
+
+/// A heartbeat that waits for the claim or for a read, and until when.
+struct ParkedHeartbeat {
+    request: RequestId,
+    report: Report,
+    until_ms: u64,
+}
+
 pub(crate) struct Keeper {
     claim: Claim,
     retry_ms: u64,
     used_ms: u64,
     jobs: BTreeMap<String, Known>,
-    /// Where the messages of each machine that came here stand.
-    copies: BTreeMap<String, Copies>,
+    seen: BTreeMap<String, Seen>,
     /// When each kept machine's token was last raised.
     raised: BTreeMap<String, u64>,
-    /// Reports that wait for the claim or for a read, and until when.
-    parked: Vec<(RequestId, Report, u64)>,
+    parked: BoundedList<ParkedHeartbeat>,
 }
 
 /// What became of a report that reached a controller which does not lead.
@@ -64,23 +78,17 @@
 
 /// A keeper raises a token by more than the leader does meanwhile.
 const TOKEN_STEP: u64 = 1 << 8;
-/// Reports that may wait at a time.
-const PARKED_MOST: usize = 200;
-/// Machines whose messages a keeper remembers at most.
-const MACHINES_MOST: usize = 4_000;
-/// Jobs that a keeper looks after at most.
-const JOBS_MOST: usize = 2_000;
 
 impl Keeper {
-    pub fn new() -> Self {
+    pub fn new(cfg: &Config) -> Self {
         Keeper {
             claim: Claim::None,
             retry_ms: 0,
             used_ms: 0,
             jobs: BTreeMap::new(),
-            copies: BTreeMap::new(),
+            seen: BTreeMap::new(),
             raised: BTreeMap::new(),
-            parked: Vec::new(),
+            parked: BoundedList::new(cfg.max_parked_heartbeats(), cfg.max_held_bytes()),
         }
     }
 }
@@ -110,34 +118,44 @@
 
     /// Takes a worker's report on the leader's behalf; false if it has to go elsewhere.
     pub(crate) fn keep(&mut self, id: RequestId, report: &Report) -> bool {
-        if self.keeper.copies.len() >= MACHINES_MOST {
-            self.keeper.copies.clear();
+        let now = self.now.steady_ms;
+        if !self.keeper.seen.contains_key(&report.machine) {
+            let most = self.cfg.max_proxied_workers();
+            forget_oldest(&mut self.keeper.seen, most, |seen| seen.heard_ms);
         }
-        let copies = self.keeper.copies.entry(report.machine.clone()).or_default();
+        let seen = self.keeper.seen.entry(report.machine.clone()).or_default();
+        seen.heard_ms = now;
         // A copy needs no keeper: nothing is claimed, posted or raised for it.
-        if copies.report(report.tenure, report.seq) == Age::Copy {
+        if seen.copies.report(report.tenure, report.seq) == Age::Copy {
             self.copies_dropped += 1;
             return false;
         }
         match self.try_keep(id, report) {
             Verdict::Kept => true,
             // Sent round once more it might find its lease run out.
-            Verdict::Soon if self.keeper.parked.len() < PARKED_MOST => {
-                let until = self.now.steady_ms + self.cfg.park_ms();
-                self.keeper.parked.push((id, report.clone(), until));
-                true
+            Verdict::Soon => {
+                let until_ms = now + self.cfg.park_ms();
+                let report = report.clone();
+                self.park(ParkedHeartbeat { request: id, report, until_ms })
             }
-            _ => false,
+            Verdict::No => false,
         }
     }
 
+    /// False if there is no room for it.
+    fn park(&mut self, parked: ParkedHeartbeat) -> bool {
+        let bytes = heartbeat_bytes(&parked.report);
+        self.keeper.parked.push(parked, bytes)
+    }
+
     fn retry_parked(&mut self) {
         let now = self.now.steady_ms;
-        for (id, report, until) in std::mem::take(&mut self.keeper.parked) {
-            match self.try_keep(id, &report) {
+        for (parked, _) in self.keeper.parked.take() {
+            let request = parked.request;
+            match self.try_keep(request, &parked.report) {
                 Verdict::Kept => {}
-                Verdict::Soon if now < until => self.keeper.parked.push((id, report, until)),
-                _ => self.redirect(id),
+                Verdict::Soon if now < parked.until_ms && self.park(parked) => {}
+                _ => self.redirect(request),
             }
         }
     }
@@ -221,7 +239,11 @@
 
     fn ask_job(&mut self, job: String) {
         let now = self.now.steady_ms;
-        if self.keeper.jobs.len() >= JOBS_MOST || !self.may_read() {
+        if !self.keeper.jobs.contains_key(&job) {
+            let most = self.cfg.max_proxied_jobs();
+            forget_oldest(&mut self.keeper.jobs, most, |known| known.asked_ms);
+        }
+        if !self.may_read() {
             return;
         }
         let known = self.keeper.jobs.entry(job.clone());
--- a/crates/core/src/latency.rs
+++ b/crates/core/src/latency.rs
@@ -33,19 +33,19 @@
 ];
 /// Longest time that is told apart from longer ones: an hour.
 const MOST_MS: u64 = 3_600_000;
-/// Requests of users that are timed at a time.
-const OPEN_MOST: usize = 4_000;
 
 pub(crate) struct Latencies {
     spans: Vec<Histogram<u32>>,
     open: HashMap<RequestId, (Span, u64)>,
+    max_timed_requests: usize,
 }
 
 impl Latencies {
-    pub fn new() -> Self {
+    pub fn new(max_timed_requests: usize) -> Self {
         let one =
             || Histogram::new_with_max(MOST_MS, 1).expect("an hour and one digit are in range");
-        Latencies { spans: SPANS.iter().map(|_| one()).collect(), open: HashMap::new() }
+        let spans = SPANS.iter().map(|_| one()).collect();
+        Latencies { spans, open: HashMap::new(), max_timed_requests }
     }
 
     pub fn note(&mut self, span: Span, ms: u64) {
@@ -53,7 +53,7 @@
     }
 
     pub fn begin(&mut self, id: RequestId, span: Span, now_ms: u64) {
-        if self.open.len() < OPEN_MOST {
+        if self.open.len() < self.max_timed_requests {
             self.open.entry(id).or_insert((span, now_ms));
         }
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -9,6 +9,7 @@
 mod api;
 mod blame;
 mod budget;
+pub mod capacity;
 mod chains;
 mod cloud;
 pub mod config;
--- a/crates/core/src/machines.rs
+++ b/crates/core/src/machines.rs
@@ -13,6 +13,7 @@
 use quartzgate_wire::{from_cbor, to_cbor};
 
 use crate::blame::Trust;
+use crate::capacity::forget_oldest;
 use crate::controller::{Controller, Pending};
 use crate::ids::{epoch_of, in_epoch, parse_task, task_name, ImageKey, JobIx, MachineIx, TaskKey};
 use crate::jobs::{JobState, TaskState};
@@ -225,9 +226,6 @@
     }
 }
 
-/// Workers of other zones that a follower remembers.
-const STRAYS_MOST: usize = 2_000;
-
 /// How orders reach a machine.
 enum Route {
     Direct,
@@ -456,8 +454,9 @@
             return true;
         }
         let (now, lease) = (self.now.steady_ms, self.cfg.lease_ms());
-        if self.strays.len() >= STRAYS_MOST && !self.strays.contains_key(&report.machine) {
-            self.strays.clear();
+        if !self.strays.contains_key(&report.machine) {
+            let most = self.cfg.max_out_of_zone_workers();
+            forget_oldest(&mut self.strays, most, |(since_ms, sent_ms)| *since_ms.max(sent_ms));
         }
         let stray = self.strays.entry(report.machine.clone()).or_insert((now, 0));
         let stays = now < stray.0 + 2 * lease || stray.1 > 0 && now < stray.1 + 10 * lease;
--- a/crates/core/src/pages/mod.rs
+++ b/crates/core/src/pages/mod.rs
@@ -103,8 +103,6 @@
     unreadable: BTreeSet<String>,
 }
 
-/// Questions that wait for a look through the pages.
-const LOOKS_MOST: usize = 1_000;
 /// Pages read at a time.
 const READ_AT_ONCE: u32 = 60;
 /// Guests' jobs in pages at a time: their ends take a change each, for so many seconds.
@@ -673,7 +671,7 @@
     }
 
     fn ask_for(&mut self, look: LookUp) {
-        if self.pages.queue.len() >= LOOKS_MOST {
+        if self.pages.queue.len() >= self.cfg.max_batch_lookups() {
             return self.on_outcome(*look.then, Outcome::NotSent);
         }
         self.pages.queue.push(look);
--- a/crates/core/src/pause.rs
+++ b/crates/core/src/pause.rs
@@ -6,6 +6,8 @@
 //! commands no worker and answers no report. Should the state service answer nobody, it
 //! goes on as one that is cut off: within the horizon, on which all safety rests.
 
+use crate::capacity::BoundedList;
+use crate::config::Config;
 use crate::controller::Controller;
 use crate::member::Role;
 use crate::RequestId;
@@ -22,7 +24,7 @@
     /// When it last woke, and how often it has.
     pub woke_ms: u64,
     pub noticed: u64,
-    held: Vec<HeldReport>,
+    held: BoundedList<HeldReport>,
 }
 
 /// A report that can't be answered before more is known: who leads, or what the records say.
@@ -34,12 +36,10 @@
     until_ms: u64,
 }
 
-/// Reports that may be held at a time.
-const HELD_MOST: usize = 2_000;
-
 impl Pause {
-    pub fn new() -> Self {
-        Pause { waking: Waking::Awake, woke_ms: 0, noticed: 0, held: Vec::new() }
+    pub fn new(cfg: &Config) -> Self {
+        let held = BoundedList::new(cfg.max_held_heartbeats(), cfg.max_held_bytes());
+        Pause { waking: Waking::Awake, woke_ms: 0, noticed: 0, held }
     }
 }
 
@@ -78,9 +78,10 @@
         relayer: Option<usize>,
     ) {
         let until_ms = self.now.steady_ms + self.cfg.park_ms();
-        match self.pause.held.len() < HELD_MOST {
-            true => self.pause.held.push(HeldReport { request, body, relayer, until_ms }),
-            false => self.redirect(request),
+        let bytes = body.len();
+        let held = HeldReport { request, body, relayer, until_ms };
+        if !self.pause.held.push(held, bytes) {
+            self.redirect(request);
         }
     }
 
@@ -88,10 +89,12 @@
     /// While the records are read, the others are looked at as the reading gets on.
     pub(crate) fn tick_held(&mut self) {
         let now = self.now.steady_ms;
-        let held = std::mem::take(&mut self.pause.held).into_iter();
-        let (late, held): (Vec<_>, _) = held.partition(|r| now >= r.until_ms);
-        self.pause.held = held;
-        late.into_iter().for_each(|r| self.redirect(r.request));
+        for (report, bytes) in self.pause.held.take() {
+            let request = report.request;
+            if now >= report.until_ms || !self.pause.held.push(report, bytes) {
+                self.redirect(request);
+            }
+        }
         if !self.in_doubt() && self.member.role != Role::Restoring {
             self.retry_held();
         }
@@ -99,7 +102,7 @@
 
     /// Answers held reports that can be answered now.
     pub(crate) fn retry_held(&mut self) {
-        for report in std::mem::take(&mut self.pause.held) {
+        for (report, _) in self.pause.held.take() {
             let held = self.pause.held.len();
             self.on_checkin(report.request, report.body, report.relayer);
             // It waits on for as long as it might at first.
--- a/crates/core/src/polls.rs
+++ b/crates/core/src/polls.rs
@@ -36,8 +36,6 @@
     sent_ms: u64,
 }
 
-/// Questions that may wait at a time.
-const WAITING_MOST: usize = 1_000;
 /// The state service takes so many conditions for each change that it would take.
 const GUARDS_PER_OP: usize = 4;
 
@@ -46,7 +44,9 @@
     pub(crate) fn poll(&mut self, id: RequestId, job: String) {
         let known = self.jobs.find(&job).filter(|_| self.leads());
         match known.filter(|ix| self.jobs.get(*ix).is_some_and(comparable)) {
-            Some(_) if self.polls.waiting >= WAITING_MOST => self.answer_busy(id),
+            Some(_) if self.polls.waiting >= self.cfg.max_waiting_status_queries() => {
+                self.answer_busy(id)
+            }
             Some(ix) => {
                 self.polls.asked.entry(ix).or_default().push(id);
                 self.polls.waiting += 1;
--- a/crates/core/src/post.rs
+++ b/crates/core/src/post.rs
@@ -15,6 +15,7 @@
 use quartzgate_wire::{from_cbor, to_cbor};
 use serde::{Deserialize, Serialize};
 
+use crate::capacity::heartbeat_bytes;
 use crate::controller::{Controller, Pending};
 use crate::ids::{in_epoch, MachineIx, TaskKey};
 use crate::machines::sane;
@@ -57,6 +58,32 @@
     replies: VecDeque<Reply>,
     /// Newest report of each machine.
     reports: BTreeMap<String, Report>,
+    /// What replies and reports take together.
+    held_bytes: usize,
+}
+
+impl Tray {
+    fn add_report(&mut self, report: Report) {
+        self.held_bytes += heartbeat_bytes(&report);
+        if let Some(old) = self.reports.insert(report.machine.clone(), report) {
+            self.held_bytes -= heartbeat_bytes(&old);
+        }
+    }
+
+    fn add_reply(&mut self, reply: Reply) {
+        self.held_bytes += reply_bytes(&reply);
+        self.replies.push_back(reply);
+    }
+
+    /// Counts what is held anew, after some of it was taken out.
+    fn weigh(&mut self) {
+        let reports = self.reports.values().map(heartbeat_bytes).sum::<usize>();
+        self.held_bytes = reports + self.replies.iter().map(reply_bytes).sum::<usize>();
+    }
+}
+
+fn reply_bytes(reply: &Reply) -> usize {
+    std::mem::size_of::<Reply>() + reply.report.as_ref().map_or(0, heartbeat_bytes)
 }
 
 /// An order that was handed to the post.
@@ -78,8 +105,6 @@
     posted: BTreeMap<String, (Report, u64)>,
 }
 
-/// Things that may wait for the post at a time, by kind.
-const TRAY_MOST: usize = 1_000;
 /// Share of the largest value that a post may fill.
 const FILL: f64 = 0.9;
 
@@ -141,10 +166,12 @@
         });
         let older = |k: &Report| (report.tenure, report.seq) <= (k.tenure, k.seq);
         let late = known.is_some_and(|(k, _)| older(k));
+        let (most, most_bytes) = (self.cfg.max_outbox_entries(), self.cfg.max_held_bytes());
         let tray = self.post.trays.entry(at).or_default();
         let same = same || late || tray.reports.get(&report.machine).is_some_and(older);
-        if !same && (tray.reports.len() < TRAY_MOST || tray.reports.contains_key(&report.machine)) {
-            tray.reports.insert(report.machine.clone(), report.clone());
+        let room = tray.reports.len() < most && tray.held_bytes < most_bytes;
+        if !same && (room || tray.reports.contains_key(&report.machine)) {
+            tray.add_report(report.clone());
         }
     }
 
@@ -193,6 +220,7 @@
             self.post.posted.insert(machine, (report.clone(), now));
             reports.push(report);
         }
+        tray.weigh();
         let ids: Vec<u64> = orders.iter().map(|l| l.id).collect();
         let post = Post { epoch, at_ms: self.now.wall_ms, orders, replies, reports };
         let to = self.cfg.platform.siblings[at].node.clone();
@@ -225,6 +253,7 @@
             }
             fits
         });
+        tray.weigh();
         let letters = tray.orders.iter().filter(|l| large(checked_size(*l)));
         for id in letters.map(|l| l.id).collect::<Vec<u64>>() {
             tracing::info!(id, "orders are too large to be posted; they are not sent");
@@ -321,9 +350,10 @@
         if let Some(r) = report.as_ref().filter(|r| sane(r)) {
             self.post.posted.insert(r.machine.clone(), (r.clone(), self.now.steady_ms));
         }
+        let (most, most_bytes) = (self.cfg.max_outbox_entries(), self.cfg.max_held_bytes());
         let tray = self.post.trays.entry(at).or_default();
-        if tray.replies.len() < TRAY_MOST {
-            tray.replies.push_back(Reply { id, report });
+        if tray.replies.len() < most && tray.held_bytes < most_bytes {
+            tray.add_reply(Reply { id, report });
         }
     }
 }
--- a/crates/core/src/restore.rs
+++ b/crates/core/src/restore.rs
@@ -58,8 +58,6 @@
     }
 }
 
-/// Acceptances without an answer that are looked for at a time.
-const DOUBTED_MOST: usize = 500;
 /// Items asked for at a time.
 const PAGE: u32 = 500;
 
@@ -534,7 +532,7 @@
     /// that the job is accepted, and it has to run: it is looked for, for as long as the horizon.
     pub(crate) fn doubt_acceptance(&mut self, job: String) {
         let until = self.now.steady_ms + self.cfg.horizon_ms();
-        if self.doubted.len() < DOUBTED_MOST {
+        if self.doubted.len() < self.cfg.max_indeterminate_submissions() {
             self.doubted.insert(job, until);
         }
     }
--- a/crates/quartzgate/src/daemon.rs
+++ b/crates/quartzgate/src/daemon.rs
@@ -34,8 +34,6 @@
 const IDLE_MS: u64 = 120_000;
 /// Idle outbound connections are closed after this.
 const SPARE_MS: u64 = 30_000;
-/// Calls that wait for a free connection, over all peers.
-const QUEUE_MOST: usize = 2_000;
 
 /// Longest time for which waiting requests are served before the sockets are looked at
 /// again, so that what is more urgent overtakes them.
@@ -82,7 +80,11 @@
     idle: HashMap<Peer, Vec<usize>>,
     open: HashMap<Peer, usize>,
     queued: HashMap<Peer, VecDeque<Waiting>>,
+    /// Calls that wait for a free connection, over all peers, and what their bodies take.
     queued_total: usize,
+    queued_bytes: usize,
+    max_queued_calls: usize,
+    max_queued_bytes: usize,
     /// Peers whose calls wait for room under the limit of all connections together.
     starved: VecDeque<Peer>,
     requests: HashMap<RequestId, usize>,
@@ -151,6 +153,8 @@
             came_ms: 0,
             report_ms: config.report_ms(),
             spare: VecDeque::new(),
+            max_queued_calls: config.max_queued_calls(),
+            max_queued_bytes: config.max_held_bytes(),
             core: Controller::new(config, SmallRng::from_os_rng()),
             started: Instant::now(),
             state,
@@ -160,6 +164,7 @@
             open: HashMap::new(),
             queued: HashMap::new(),
             queued_total: 0,
+            queued_bytes: 0,
             starved: VecDeque::new(),
             requests: HashMap::new(),
             under_way: HashMap::new(),
@@ -555,12 +560,15 @@
         }
         let at_most = self.open.get(&peer).copied().unwrap_or(0) >= self.most(&peer);
         if at_most || self.outbound >= self.outbound_most && !self.close_spare() {
-            if self.queued_total >= QUEUE_MOST {
+            let queued_bytes = self.queued_bytes + w.call.body.len();
+            let too_large = queued_bytes > self.max_queued_bytes && self.queued_total > 0;
+            if self.queued_total >= self.max_queued_calls || too_large {
                 let outcome = Outcome::NotSent;
                 self.events.push_back(Event::Outcome { call: w.call.id, outcome });
                 return;
             }
             self.queued_total += 1;
+            self.queued_bytes = queued_bytes;
             if !at_most {
                 self.starved.push_back(peer.clone());
             }
@@ -667,6 +675,7 @@
         let now = self.now_ms();
         while let Some(w) = self.queued.get_mut(peer).and_then(VecDeque::pop_front) {
             self.queued_total -= 1;
+            self.queued_bytes -= w.call.body.len();
             if w.deadline_ms > now {
                 self.place_call(w);
                 return true;
@@ -776,17 +785,17 @@
         let peers: Vec<Peer> = self.queued.keys().cloned().collect();
         for peer in peers {
             let Some(queue) = self.queued.get_mut(&peer) else { continue };
-            let before = queue.len();
             let mut over = Vec::new();
             queue.retain(|w| {
                 let keep = w.deadline_ms > now;
                 if !keep {
-                    over.push(w.call.id);
+                    over.push((w.call.id, w.call.body.len()));
                 }
                 keep
             });
-            self.queued_total -= before - queue.len();
-            for call in over {
+            for (call, bytes) in over {
+                self.queued_total -= 1;
+                self.queued_bytes -= bytes;
                 self.events.push_back(Event::Outcome { call, outcome: Outcome::NotSent });
             }
         }
