--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
 use quartzgate_wire::http::{Request, Response};
 use quartzgate_wire::msg::{
     valid_job_id, Change, Forward, Guard, JobAnswer, JobSpec, JobStatus, MachineType, MachineTypes,
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use quartzgate_ladder::{Table, TABLE};
+use quartzgate_feature_gates::{Table, TABLE};
 use quartzgate_wire::settings::{Platform, SettingsError, StateLimits};
 use serde::Deserialize;
 
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use quartzgate_ladder::StandingRecord;
+use quartzgate_feature_gates::StandingRecord;
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{ErrorAnswer, JobSpec, MachineType, Report};
 use quartzgate_wire::to_cbor;
--- a/crates/core/src/format.rs
+++ b/crates/core/src/format.rs
@@ -1,11 +1,13 @@
 //! Which formats and features are on, and how a new one comes in while older versions
 //! still serve: the ladder's keys at the state service. What may be switched on, and what
-//! holds it back, is decided in `quartzgate-ladder`.
+//! holds it back, is decided in `quartzgate-feature-gates`.
 
 use std::collections::BTreeMap;
 
 use enumset::EnumSet;
-use quartzgate_ladder::{Due, Feature, Ladder, NodeRecord, StandingRecord, Stands, StillThere};
+use quartzgate_feature_gates::{
+    Due, Feature, Ladder, NodeRecord, StandingRecord, Stands, StillThere,
+};
 use quartzgate_wire::msg::{Change, Guard, Pair, PairList, Transaction, TransactionAnswer};
 use quartzgate_wire::settings::StateLimits;
 use quartzgate_wire::{from_cbor, to_cbor};
--- a/crates/core/src/keeper.rs
+++ b/crates/core/src/keeper.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use quartzgate_hearing::{Age, Copies};
+use quartzgate_reachability::{Age, Copies};
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
     Change, Guard, Order, Report, ReportAnswer, TaskStatus, Transaction, TransactionAnswer,
--- a/crates/core/src/machines.rs
+++ b/crates/core/src/machines.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-use quartzgate_hearing::{Age, Copies, Hearing, Limits};
+use quartzgate_reachability::{Age, Copies, Hearing, Limits};
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
     Cause, Forward, Order, OrdersRequest, Rank, Redirect, Report, ReportAnswer, Shape,
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -1,6 +1,6 @@
 //! Membership, leadership, and what the controllers tell one another.
 
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
     Change, ChangeLog, Guard, LeaseAnswer, LeaseRequest, MeshMessage, PairList, Transaction,
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use quartzgate_hearing::Standing;
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
+use quartzgate_reachability::Standing;
 use quartzgate_wire::to_cbor;
 
 use crate::controller::Controller;
--- a/crates/core/src/pages/mod.rs
+++ b/crates/core/src/pages/mod.rs
@@ -17,7 +17,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
     Change, ChangeLog, Guard, JobSpec, Pair, PairList, Rank, Shape, Transaction, TransactionAnswer,
--- a/crates/core/src/restore.rs
+++ b/crates/core/src/restore.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
 use quartzgate_wire::from_cbor;
 use quartzgate_wire::msg::{Pair, PairList, Report};
 
--- a/crates/core/src/shares.rs
+++ b/crates/core/src/shares.rs
@@ -2,7 +2,7 @@
 //! together, and folded into their job's record once they are done.
 
 use ciborium::value::Value;
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
 use quartzgate_wire::msg::{Change, Guard, Transaction};
 
 use crate::controller::Controller;
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
 use quartzgate_overload::Turns;
 use quartzgate_wire::msg::{Change, Guard, Pair, Rank, Shape, Transaction, TransactionAnswer};
 use quartzgate_wire::settings::StateLimits;
--- a/crates/core/tests/stories/rolls.rs
+++ b/crates/core/tests/stories/rolls.rs
@@ -7,7 +7,7 @@
 
 use crate::world::{job, Cut, End, World, CANCEL_MS};
 use quartzgate_core::records::{encode, FORMAT};
-use quartzgate_ladder::{Comes, FeatureEntry, StandingRecord, Table, VersionEntry, TABLE};
+use quartzgate_feature_gates::{Comes, FeatureEntry, StandingRecord, Table, VersionEntry, TABLE};
 use quartzgate_wire::msg::Shape;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/core/tests/stories/world.rs
+++ b/crates/core/tests/stories/world.rs
@@ -16,7 +16,7 @@
 use quartzgate_core::config::{Config, Operator};
 use quartzgate_core::records::{JobRecord, PageRecord, FORMAT, FORMAT_NODES, PAGES, VIEW};
 use quartzgate_core::{Action, Call, CallId, Controller, Event, Now, Outcome, Peer};
-use quartzgate_ladder::{Ladder, StandingRecord, Stands, Table, TABLE};
+use quartzgate_feature_gates::{Ladder, StandingRecord, Stands, Table, TABLE};
 use quartzgate_wire::http::{Request, Response};
 use quartzgate_wire::msg::*;
 use quartzgate_wire::settings::Platform;
--- a/crates/ladder/tests/ladder.rs
+++ b/crates/feature-gates/tests/feature_gates.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
-use quartzgate_ladder::{
+use quartzgate_feature_gates::{
     Comes, Due, Feature, FeatureEntry, Ladder, NodeRecord, StandingRecord, Stands, StillThere,
     Table, VersionEntry, Why, TABLE,
 };
--- a/crates/quartzgate/src/settings.rs
+++ b/crates/quartzgate/src/settings.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use quartzgate_core::config::{Config, Operator};
-use quartzgate_ladder::Comes;
+use quartzgate_feature_gates::Comes;
 use quartzgate_wire::settings::{Platform, SettingsError};
 
 #[derive(Debug, thiserror::Error)]
--- a/crates/hearing/tests/hearing.rs
+++ b/crates/reachability/tests/reachability.rs
@@ -1,7 +1,7 @@
 //! The judgement by itself, as a machine's messages and calls come to it.
 
 use proptest::prelude::*;
-use quartzgate_hearing::{Age, Copies, Hearing, Limits, Standing};
+use quartzgate_reachability::{Age, Copies, Hearing, Limits, Standing};
 
 const LIMITS: Limits = Limits { report_ms: 1_000, lease_ms: 8_000 };
 
