--- a/crates/core/src/api.rs
+++ b/crates/core/src/api.rs
@@ -105,7 +105,7 @@
         }
         // Nothing that the first version would not understand before it is gone.
         let chained = matches!(&work, UserWork::Submit(s, _) if !s.dependencies.is_empty());
-        if chained && !self.has(Feature::Chains) {
+        if chained && !self.has(Feature::JobDependencies) {
             return self.answer_busy(id);
         }
         if self.leads() {
@@ -381,7 +381,7 @@
     /// Takes a submission all of whose dependencies were accepted.
     pub(crate) fn submit_admitted(&mut self, id: RequestId, spec: JobSpec, cancelled: bool) {
         if !self.leads() {
-            if !self.has(Feature::SharedPages) {
+            if !self.has(Feature::BatchRecords) {
                 return self.record_alone(id, spec, cancelled, None);
             }
             // No look is worth it where it couldn't be recorded.
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use quartzgate_feature_gates::{Table, TABLE};
+use quartzgate_feature_gates::{GateTable, GATES};
 use quartzgate_wire::settings::{Platform, SettingsError, StateLimits};
 use serde::Deserialize;
 
@@ -72,7 +72,7 @@
         range("idle_ratio", self.idle_ratio, 0.0, 1e4)?;
         range("warm_share", self.warm_share, 0.0, 10.0)?;
         range("share_pages_below", self.share_pages_below, 0.0, 1.0)?;
-        TABLE.check_steps(&self.withhold).map_err(|unknown| SettingsError {
+        GATES.check_step_names(&self.withhold).map_err(|unknown| SettingsError {
             field: "withhold".into(),
             problem: unknown.to_string(),
         })
@@ -80,7 +80,7 @@
 
     /// Steps that this controller does not agree to.
     pub fn withheld(&self) -> BTreeSet<String> {
-        let first = TABLE.versions.first().filter(|_| !self.new_format);
+        let first = GATES.formats.first().filter(|_| !self.new_format);
         let named = self.withhold.iter().cloned();
         named.chain(first.map(|v| v.name.to_string())).collect()
     }
@@ -93,7 +93,7 @@
     /// What fits the state service's limits now and later.
     pub lowest: StateLimits,
     /// The formats and features that this build knows.
-    pub table: &'static Table,
+    pub table: &'static GateTable,
 }
 
 /// Time after which a worker drops an answer to its report (PROTOCOL).
@@ -108,7 +108,7 @@
 impl Config {
     pub fn new(platform: Platform, operator: Operator) -> Self {
         let lowest = platform.params.state.lowest();
-        Config { platform, operator, lowest, table: &TABLE }
+        Config { platform, operator, lowest, table: &GATES }
     }
 
     pub fn report_ms(&self) -> u64 {
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use quartzgate_feature_gates::StandingRecord;
+use quartzgate_feature_gates::ActivationRecord;
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{ErrorAnswer, JobSpec, MachineType, Report};
 use quartzgate_wire::to_cbor;
@@ -65,7 +65,7 @@
     WalkRead { request: RequestId, job: String },
     FormatRead,
     MembersRead,
-    Step { record: StandingRecord, epoch: u64 },
+    Step { record: ActivationRecord, epoch: u64 },
     Poll { request: RequestId, id: String },
     AloneRead { request: RequestId, spec: Box<JobSpec>, cancelled: bool },
     LookFirst(LookUp),
--- a/crates/core/src/format.rs
+++ b/crates/core/src/format.rs
@@ -1,12 +1,13 @@
 //! Which formats and features are on, and how a new one comes in while older versions
-//! still serve: the ladder's keys at the state service. What may be switched on, and what
+//! still serve: the feature gates' keys at the state service. What may be switched on, and what
 //! holds it back, is decided in `quartzgate-feature-gates`.
 
 use std::collections::BTreeMap;
 
 use enumset::EnumSet;
 use quartzgate_feature_gates::{
-    Due, Feature, Ladder, NodeRecord, StandingRecord, Stands, StillThere,
+    ActivationGuard, ActivationRecord, ActivationStatus, CapabilityRecord, Feature, FeatureGates,
+    PlannedActivation, StoredCapabilities,
 };
 use quartzgate_wire::msg::{Change, Guard, Pair, PairList, Transaction, TransactionAnswer};
 use quartzgate_wire::settings::StateLimits;
@@ -18,7 +19,7 @@
 use crate::Outcome;
 
 pub(crate) struct Format {
-    pub ladder: Ladder,
+    pub gates: FeatureGates,
     /// What is known to be on.
     on: EnumSet<Feature>,
     asking: bool,
@@ -27,8 +28,8 @@
 
 impl Format {
     pub fn new(cfg: &Config) -> Self {
-        let ladder = Ladder::new(cfg.table, cfg.operator.withheld());
-        Format { ladder, on: EnumSet::empty(), asking: false, due_ms: 0 }
+        let gates = FeatureGates::new(cfg.table, cfg.operator.withheld());
+        Format { gates, on: EnumSet::empty(), asking: false, due_ms: 0 }
     }
 }
 
@@ -44,18 +45,18 @@
 
     /// A later version's records are nothing to meddle with.
     pub(crate) fn foreign_format(&self) -> bool {
-        self.format.ladder.foreign()
+        self.format.gates.is_unsupported()
     }
 
     /// It is known what the records mean.
     pub(crate) fn knows_format(&self) -> bool {
-        matches!(self.format.ladder.stands(), Stands::At(_))
+        matches!(self.format.gates.status(), ActivationStatus::Active(_))
     }
 
     /// Limits of the state service to keep to: those to come as well once that is agreed,
     /// since they change without notice.
     pub(crate) fn limits(&self) -> &StateLimits {
-        match self.has(Feature::LowLimits) {
+        match self.has(Feature::AnnouncedLimits) {
             true => &self.cfg.lowest,
             false => &self.cfg.platform.params.state,
         }
@@ -67,25 +68,25 @@
     }
 
     /// Takes in what is known to stand now.
-    fn stands(&mut self, stands: Stands, stamp: u64) {
-        if !self.format.ladder.stands_to(stands, stamp) {
+    fn stands(&mut self, stands: ActivationStatus, stamp: u64) {
+        if !self.format.gates.set_status(stands, stamp) {
             return;
         }
-        let ladder = &self.format.ladder;
-        self.format.on = Feature::all().filter(|f| ladder.has(f.name())).collect();
-        match ladder.stands() {
-            Stands::At(at) => {
+        let gates = &self.format.gates;
+        self.format.on = Feature::all().filter(|f| gates.is_active(f.name())).collect();
+        match gates.status() {
+            ActivationStatus::Active(at) => {
                 let (version, alone) = (at.version, at.features.iter());
                 let features = alone.cloned().collect::<Vec<_>>().join(" ");
-                tracing::info!(version, features, complete = ladder.complete(), "formats in use");
+                tracing::info!(version, features, complete = gates.is_complete(), "formats in use");
             }
-            Stands::Foreign(what) => {
+            ActivationStatus::Unsupported(unsupported) => {
                 tracing::error!(
-                    what,
+                    %unsupported,
                     "this is on and this version does not know it; it neither leads nor serves"
                 )
             }
-            Stands::Unknown => {}
+            ActivationStatus::Unknown => {}
         }
         self.fit_budgets();
     }
@@ -94,14 +95,15 @@
     /// and takes a step when its time has come.
     pub(crate) fn tick_format(&mut self) {
         let now = self.now.steady_ms;
-        let ladder = &self.format.ladder;
-        let settled = ladder.complete() && !ladder.key_wanted(&self.cfg.platform.node, None);
+        let gates = &self.format.gates;
+        let settled =
+            gates.is_complete() && !gates.must_publish_capabilities(&self.cfg.platform.node, None);
         if settled || self.format.asking || now < self.format.due_ms {
             return;
         }
         self.format.asking = true;
         // Without our consent nothing comes: a look now and then shows who else holds it.
-        let hopeful = ladder.hopeful();
+        let hopeful = gates.has_consented_step();
         self.format.due_ms =
             now + if hopeful { self.cfg.renew_every_ms() } else { self.cfg.lease_ms() };
         let target = format!("/keys?starts={FORMAT}");
@@ -119,14 +121,14 @@
         let word = |pair: &Pair| {
             let node = pair.path.strip_prefix(FORMAT_NODES)?;
             // What can't be read says nothing of what its controller can do.
-            let said = decode::<NodeRecord>(&pair.value)?;
-            Some((node.to_string(), (said, pair.stamp)))
+            let said = decode::<CapabilityRecord>(&pair.value)?;
+            Some((node.to_string(), StoredCapabilities { record: said, revision: pair.stamp }))
         };
         let words = list.pairs.iter().filter_map(word).collect();
-        self.format.ladder.see(words);
+        self.format.gates.set_capabilities(words);
         // What a controller can do counts for the life in which it lives now.
-        let unsaid = self.format.ladder.key_wanted(&self.cfg.platform.node, None);
-        if unsaid || !self.format.ladder.complete() {
+        let unsaid = self.format.gates.must_publish_capabilities(&self.cfg.platform.node, None);
+        if unsaid || !self.format.gates.is_complete() {
             self.format.asking = true;
             let target = format!("/keys?starts={MEMBERS}");
             self.state_call("GET", target, Vec::new(), Pending::MembersRead);
@@ -141,7 +143,7 @@
         let members: BTreeMap<String, u64> = list.pairs.iter().filter_map(member).collect();
         let me = self.cfg.platform.node.clone();
         match members.get(&me).copied() {
-            Some(life) if self.format.ladder.key_wanted(&me, Some(life)) => {
+            Some(life) if self.format.gates.must_publish_capabilities(&me, Some(life)) => {
                 self.leave_key(&me, life)
             }
             Some(_) => {}
@@ -162,17 +164,20 @@
 
     /// Takes in what stands, as a list of the format's keys shows it.
     pub(crate) fn see_format(&mut self, pairs: &[Pair]) {
-        let ladder = &self.format.ladder;
+        let gates = &self.format.gates;
         let (stands, stamp) = match pairs.iter().find(|p| p.path == FORMAT) {
-            Some(pair) => (ladder.understand(decode(&pair.value)), pair.stamp),
-            None => (ladder.understand(Some(StandingRecord::first())), 0),
+            Some(pair) => (gates.interpret(decode(&pair.value)), pair.stamp),
+            None => (gates.interpret(Some(ActivationRecord::initial())), 0),
         };
         self.stands(stands, stamp);
     }
 
     /// Says for good what this controller can do, and in which life.
     fn leave_key(&mut self, me: &str, life: u64) {
-        let record = NodeRecord { life: Some(life), ..self.format.ladder.can() };
+        let record = CapabilityRecord {
+            membership_revision: Some(life),
+            ..self.format.gates.own_capabilities()
+        };
         let set = Change::Set { set: node_key(me), value: encode(&record), permit: None };
         // An earlier life's word that comes late must not stand for this one's.
         let guards = vec![Guard { path: member_key(me), stamp: life }];
@@ -189,13 +194,14 @@
         let mut named: Vec<String> = platform.siblings.iter().map(|s| s.node.clone()).collect();
         named.push(platform.node.clone());
         let now = self.now.steady_ms;
-        let before = self.format.ladder.held().to_vec();
-        let due = self.format.ladder.weigh(now, &named, members);
-        for held in self.format.ladder.held() {
-            if before.iter().any(|b| b.step == held.step && b.by == held.by) {
+        let before = self.format.gates.blocked_steps().to_vec();
+        let due = self.format.gates.next_activation(now, &named, members);
+        for held in self.format.gates.blocked_steps() {
+            if before.iter().any(|b| b.step == held.step && b.blocked_by == held.blocked_by) {
                 continue;
             }
-            let by: Vec<String> = held.by.iter().map(|(n, why)| format!("{n} {why}")).collect();
+            let by: Vec<String> =
+                held.blocked_by.iter().map(|(n, why)| format!("{n} {why}")).collect();
             let for_s = (now - held.since_ms) / 1000;
             tracing::info!(step = %held.step, for_s, by = by.join("; "), "a step waits");
         }
@@ -206,14 +212,18 @@
 
     /// Switches a step on: guarded by our view, by what stood, and by each controller's
     /// being the one that agreed.
-    fn take_step(&mut self, due: Due) {
+    fn take_step(&mut self, due: PlannedActivation) {
         let mut guards = vec![
-            Guard { path: FORMAT.into(), stamp: self.format.ladder.stamp() },
+            Guard { path: FORMAT.into(), stamp: self.format.gates.revision() },
             Guard { path: VIEW.into(), stamp: self.member.view_stamp },
         ];
         guards.extend(due.guards.into_iter().map(|g| match g {
-            StillThere::Life { node, stamp } => Guard { path: member_key(&node), stamp },
-            StillThere::Word { node, stamp } => Guard { path: node_key(&node), stamp },
+            ActivationGuard::Membership { node, revision: stamp } => {
+                Guard { path: member_key(&node), stamp }
+            }
+            ActivationGuard::Capabilities { node, revision: stamp } => {
+                Guard { path: node_key(&node), stamp }
+            }
         }));
         let value = encode(&due.record);
         let apply = vec![Change::Set { set: FORMAT.into(), value, permit: None }];
@@ -226,12 +236,12 @@
     }
 
     /// Whatever else came of it shows in the next read.
-    pub(crate) fn on_step(&mut self, record: Option<StandingRecord>, outcome: Outcome) {
+    pub(crate) fn on_step(&mut self, record: Option<ActivationRecord>, outcome: Outcome) {
         (self.format.asking, self.format.due_ms) = (false, 0);
         let (Outcome::Answer(r), Some(record)) = (outcome, record) else { return };
         if let (200, Ok(a)) = (r.status, from_cbor::<TransactionAnswer>(&r.body)) {
             self.state_answered();
-            self.stands(Stands::At(record), a.ledger_rev);
+            self.stands(ActivationStatus::Active(record), a.ledger_rev);
         }
     }
 }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -622,7 +622,11 @@
                 if l.retakes >= RETAKES {
                     return self.let_go(*stamp);
                 }
-                (*stamp, None, if self.has(Feature::Pieces) { l.retakes + 1 } else { 0 })
+                (
+                    *stamp,
+                    None,
+                    if self.has(Feature::SplitPlacementRecords) { l.retakes + 1 } else { 0 },
+                )
             }
             (Some(_), _) => return,
             (None, Role::Follower) if now >= self.member.elect_due_ms => (0, None, 0),
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -28,18 +28,18 @@
         put("leads", f64::from(u8::from(self.leads())));
         put("load", f64::from(self.load as u8));
         put("in_doubt", f64::from(u8::from(self.in_doubt())));
-        let ladder = &self.format.ladder;
-        put("format", f64::from(ladder.version()));
-        put("format_complete", f64::from(u8::from(ladder.complete() && !ladder.foreign())));
-        put("format_foreign", f64::from(u8::from(ladder.foreign())));
-        for (node, said) in ladder.nodes() {
+        let gates = &self.format.gates;
+        put("format", f64::from(gates.format_version()));
+        put("format_complete", f64::from(u8::from(gates.is_complete() && !gates.is_unsupported())));
+        put("format_foreign", f64::from(u8::from(gates.is_unsupported())));
+        for (node, said) in gates.capabilities() {
             put(&format!("format_node.{node}"), f64::from(said.version));
         }
         for feature in Feature::all() {
             put(&format!("feature.{}", feature.name()), f64::from(u8::from(self.has(feature))));
         }
-        for held in ladder.held() {
-            for node in held.by.keys() {
+        for held in gates.blocked_steps() {
+            for node in held.blocked_by.keys() {
                 let for_s = now.saturating_sub(held.since_ms) as f64 / 1000.0;
                 put(&format!("step_held_s.{}.{node}", held.step), for_s);
             }
--- a/crates/core/src/pages/mod.rs
+++ b/crates/core/src/pages/mod.rs
@@ -183,7 +183,7 @@
     /// Whether a submission is to share a record.
     pub(crate) fn shares_page(&mut self, spec: &JobSpec) -> bool {
         // What is urgent does not wait for more to come together.
-        if !self.has(Feature::SharedPages)
+        if !self.has(Feature::BatchRecords)
             || spec.rank >= Rank::High
             || spec.shape != Shape::Array
             || !spec.dependencies.is_empty()
@@ -657,7 +657,7 @@
     /// Reads a job's record; if there is none, looks through the pages.
     pub(crate) fn look_up(&mut self, job: &str, then: Pending) {
         let target = format!("/keys/{}", job_key(job));
-        if !self.has(Feature::SharedPages) {
+        if !self.has(Feature::BatchRecords) {
             return self.state_call("GET", target, Vec::new(), then);
         }
         let (job, then) = (job.to_string(), Box::new(then));
--- a/crates/core/src/restore.rs
+++ b/crates/core/src/restore.rs
@@ -180,7 +180,7 @@
         self.restore.since = None;
         self.restore.phase = match phase {
             // Before the jobs' own records, which go ahead of what pages say.
-            Phase::Format if self.has(Feature::SharedPages) => Phase::Pages,
+            Phase::Format if self.has(Feature::BatchRecords) => Phase::Pages,
             Phase::Format | Phase::Pages => Phase::Jobs,
             Phase::Jobs => {
                 self.restore_paged();
--- a/crates/core/src/shares.rs
+++ b/crates/core/src/shares.rs
@@ -112,7 +112,7 @@
 
     /// Whether the share of a job is to stand in the job's own record, if it fits.
     pub(crate) fn inlines(&self, ix: JobIx) -> bool {
-        self.has(Feature::InlineShares)
+        self.has(Feature::InlinePlacements)
             && self.jobs.get(ix).is_some_and(|j| {
                 j.chunk_count() == 1 && j.chunks.get(&0).is_none_or(|c| c.pieces == 0)
             })
@@ -125,7 +125,7 @@
         let job = self.jobs.get(ix)?;
         let c = job.chunks.get(&chunk)?;
         let (old, stamp) = (c.pieces, c.stamp);
-        if !self.has(Feature::Pieces) {
+        if !self.has(Feature::SplitPlacementRecords) {
             let bytes = json_size(&record);
             let (values, oversize) = (vec![encode(&record)], bytes > most);
             let placed = Placed { pieces: 1, ..Placed::default() };
--- a/crates/core/tests/stories/moments.rs
+++ b/crates/core/tests/stories/moments.rs
@@ -10,7 +10,7 @@
     format!("wk-{n:06}")
 }
 
-/// Three controllers and some machines, all steps of the ladder taken.
+/// Three controllers and some machines, all activation steps taken.
 fn world(machines: usize, limit_cpus: f64, seed: u64) -> World {
     let mut w = World::new(3, machines, limit_cpus, seed);
     w.until(20_000, "all steps are taken", |w| w.stands().version >= 4);
--- a/crates/core/tests/stories/rolls.rs
+++ b/crates/core/tests/stories/rolls.rs
@@ -7,42 +7,48 @@
 
 use crate::world::{job, Cut, End, World, CANCEL_MS};
 use quartzgate_core::records::{encode, FORMAT};
-use quartzgate_feature_gates::{Comes, FeatureEntry, StandingRecord, Table, VersionEntry, TABLE};
+use quartzgate_feature_gates::{
+    Activation, ActivationRecord, FeatureEntry, FormatEntry, GateTable, GATES,
+};
 use quartzgate_wire::msg::Shape;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const fn feature(name: &'static str, comes: Comes, needs: &'static [&'static str]) -> FeatureEntry {
-    FeatureEntry { name, comes, needs, changes: "" }
+const fn feature(
+    name: &'static str,
+    activation: Activation,
+    requires: &'static [&'static str],
+) -> FeatureEntry {
+    FeatureEntry { name, activation, requires, description: "" }
 }
 
-const fn version(number: u32, name: &'static str) -> VersionEntry {
-    VersionEntry { number, name, changes: "" }
+const fn version(version: u32, name: &'static str) -> FormatEntry {
+    FormatEntry { version, name, description: "" }
 }
 
 /// A build that knows a version more, and features with steps of their own.
-static TOMORROW: Table = Table {
-    versions: &[version(2, "format-2"), version(3, "format-3"), version(4, "format-4")],
+static TOMORROW: GateTable = GateTable {
+    formats: &[version(2, "format-2"), version(3, "format-3"), version(4, "format-4")],
     features: &[
-        feature("chains", Comes::With(2), &[]),
-        feature("pieces", Comes::With(2), &[]),
-        feature("service-mark", Comes::With(2), &["chains"]),
-        feature("low-limits", Comes::With(2), &["pieces"]),
-        feature("inline-shares", Comes::With(3), &["pieces"]),
-        feature("shared-pages", Comes::With(4), &["inline-shares"]),
-        feature("even-shares", Comes::Alone { from: 4 }, &[]),
-        feature("owners", Comes::Alone { from: 4 }, &["even-shares"]),
+        feature("chains", Activation::WithFormat(2), &[]),
+        feature("pieces", Activation::WithFormat(2), &[]),
+        feature("service-mark", Activation::WithFormat(2), &["chains"]),
+        feature("low-limits", Activation::WithFormat(2), &["pieces"]),
+        feature("inline-shares", Activation::WithFormat(3), &["pieces"]),
+        feature("shared-pages", Activation::WithFormat(4), &["inline-shares"]),
+        feature("even-shares", Activation::Separate { min_format: 4 }, &[]),
+        feature("owners", Activation::Separate { min_format: 4 }, &["even-shares"]),
     ],
 };
 
 /// A build that knows format 2 and no features of their own.
-pub static TODAY: Table = Table {
-    versions: &[version(2, "format-2")],
+pub static TODAY: GateTable = GateTable {
+    formats: &[version(2, "format-2")],
     features: &[
-        feature("chains", Comes::With(2), &[]),
-        feature("pieces", Comes::With(2), &[]),
-        feature("service-mark", Comes::With(2), &["chains"]),
-        feature("low-limits", Comes::With(2), &["pieces"]),
+        feature("chains", Activation::WithFormat(2), &[]),
+        feature("pieces", Activation::WithFormat(2), &[]),
+        feature("service-mark", Activation::WithFormat(2), &["chains"]),
+        feature("low-limits", Activation::WithFormat(2), &["pieces"]),
     ],
 };
 
@@ -75,7 +81,7 @@
 }
 
 /// What was switched on, in order.
-fn climbed(w: &World) -> Vec<StandingRecord> {
+fn climbed(w: &World) -> Vec<ActivationRecord> {
     let set = w.state.journal.iter().filter(|(key, _)| key == FORMAT);
     set.map(|(_, value)| value.deserialized().unwrap()).collect()
 }
@@ -126,7 +132,7 @@
 }
 
 /// Guards each step against crashes: one controller or all end at any moment from the last
-/// one's start on; the ladder is climbed all the same, in order.
+/// one's start on; every step is activated all the same, in order.
 #[test]
 fn controllers_crash_at_each_step() {
     for case in 0..24u64 {
@@ -442,8 +448,8 @@
 /// Guards the tables: what is made up here is in order, and goes on from the real one.
 #[test]
 fn the_made_up_tables_are_in_order() {
-    assert_eq!((TOMORROW.fault(), TODAY.fault(), TABLE.fault()), (None, None, None));
-    assert_eq!(TOMORROW.steps(), ALL);
-    let known = TABLE.features.iter().all(|f| TOMORROW.features.iter().any(|g| g.name == f.name));
-    assert!(known && TOMORROW.newest() == TABLE.newest());
+    assert_eq!((TOMORROW.validate(), TODAY.validate(), GATES.validate()), (Ok(()), Ok(()), Ok(())));
+    assert_eq!(TOMORROW.step_names(), ALL);
+    let known = GATES.features.iter().all(|f| TOMORROW.features.iter().any(|g| g.name == f.name));
+    assert!(known && TOMORROW.newest_format() == GATES.newest_format());
 }
--- a/crates/core/tests/stories/world.rs
+++ b/crates/core/tests/stories/world.rs
@@ -16,7 +16,9 @@
 use quartzgate_core::config::{Config, Operator};
 use quartzgate_core::records::{JobRecord, PageRecord, FORMAT, FORMAT_NODES, PAGES, VIEW};
 use quartzgate_core::{Action, Call, CallId, Controller, Event, Now, Outcome, Peer};
-use quartzgate_feature_gates::{Ladder, StandingRecord, Stands, Table, TABLE};
+use quartzgate_feature_gates::{
+    ActivationRecord, ActivationStatus, FeatureGates, GateTable, GATES,
+};
 use quartzgate_wire::http::{Request, Response};
 use quartzgate_wire::msg::*;
 use quartzgate_wire::settings::Platform;
@@ -408,7 +410,7 @@
     /// Controllers that don't agree to the newest format, as the version before.
     pub old: BTreeSet<usize>,
     /// Controllers of another build, by what it knows.
-    pub tables: BTreeMap<usize, &'static Table>,
+    pub tables: BTreeMap<usize, &'static GateTable>,
     /// What a controller's operators withhold.
     pub withhold: BTreeMap<usize, Vec<String>>,
     /// How many controllers its settings name, where they differ.
--- a/crates/core/tests/stories/world/checks.rs
+++ b/crates/core/tests/stories/world/checks.rs
@@ -196,9 +196,9 @@
             if set != FORMAT {
                 continue;
             }
-            let read = |v: &Value| v.deserialized::<StandingRecord>().unwrap();
+            let read = |v: &Value| v.deserialized::<ActivationRecord>().unwrap();
             let old = self.state.keys.get(FORMAT);
-            let old = old.map_or(StandingRecord::first(), |k| read(&k.0));
+            let old = old.map_or(ActivationRecord::initial(), |k| read(&k.0));
             let new = read(value);
             let steps = new.version - old.version.min(new.version)
                 + new.features.difference(&old.features).count() as u32;
@@ -206,7 +206,7 @@
                 self.breaches
                     .push(format!("{new:?} was set by {:?}, not the leader", self.stepping));
             }
-            if !new.covers(&old) || steps != 1 {
+            if !new.includes(&old) || steps != 1 {
                 self.breaches.push(format!("{new:?} was set over {old:?}"));
             }
             for n in 0..self.nodes.len() {
@@ -214,8 +214,9 @@
                     && self.state.keys.contains_key(&format!("members/n{n}"))
                     && self.knew_life(n);
                 let table = self.table_of(n);
-                let ladder = Ladder::new(table, BTreeSet::new());
-                let knows = matches!(ladder.understand(Some(new.clone())), Stands::At(_));
+                let gates = FeatureGates::new(table, BTreeSet::new());
+                let knows =
+                    matches!(gates.interpret(Some(new.clone())), ActivationStatus::Active(_));
                 if lives && (!knows || self.old.contains(&n)) {
                     self.breaches.push(format!("{new:?} was set while n{n} lives, which lacks it"));
                 }
@@ -229,8 +230,8 @@
         key.is_some_and(|k| k.1 > self.born_rev[n])
     }
 
-    pub(super) fn table_of(&self, n: usize) -> &'static Table {
-        self.tables.get(&n).copied().unwrap_or(&TABLE)
+    pub(super) fn table_of(&self, n: usize) -> &'static GateTable {
+        self.tables.get(&n).copied().unwrap_or(&GATES)
     }
 
     /// A live job that was told to be accepted stands in a page or in a record of its own,
--- a/crates/core/tests/stories/world/users.rs
+++ b/crates/core/tests/stories/world/users.rs
@@ -50,9 +50,9 @@
     }
 
     /// What has been switched on.
-    pub fn stands(&self) -> StandingRecord {
+    pub fn stands(&self) -> ActivationRecord {
         let key = self.state.keys.get(FORMAT);
-        key.map_or(StandingRecord::first(), |(v, _, _)| v.deserialized().unwrap())
+        key.map_or(ActivationRecord::initial(), |(v, _, _)| v.deserialized().unwrap())
     }
 
     /// No job shares a record: each is turned away that can't have one of its own.
@@ -86,7 +86,7 @@
     }
 
     /// Replaces a controller by one of another build: away for a moment, then back.
-    pub fn replace(&mut self, n: usize, table: &'static Table, ms: u64) {
+    pub fn replace(&mut self, n: usize, table: &'static GateTable, ms: u64) {
         self.old.remove(&n);
         self.tables.insert(n, table);
         self.kill_for(n, ms);
--- a/crates/feature-gates/src/lib.rs
+++ b/crates/feature-gates/src/lib.rs
@@ -1,21 +1,31 @@
-//! How a change of the stored state, or of what controllers agree on, comes in while
-//! controllers of several versions serve.
+//! Staged activation of record formats and features while controllers of several versions
+//! run side by side.
 //!
-//! Everything that controllers must have in common is a *step* of one ladder: a version of
-//! the records, or a feature that needs no new record. Each has one entry in one table
-//! ([`TABLE`]). A controller leaves what it can do under a lasting key; the leader switches
-//! on, by one guarded write for each step, what all can do. What is on stays on.
+//! Everything that all controllers must support before any of them may use it is activated by
+//! an [`ActivationStep`]: a new format of the stored records, or a feature that needs no new
+//! format. One table, [`GATES`], lists them all. Each controller publishes what it supports
+//! under a key that outlives it; the leader activates one step at a time, by a guarded write,
+//! once every controller supports it. What is active stays active.
 //!
-//! This package knows no sockets, clocks or keys' places: it is told what was read
-//! ([`Ladder::see`], [`Ladder::weigh`]) and says what is to be written. It chooses nothing
-//! on the ground of what is *missing*: an absent key, lease or answer only holds back.
+//! The crate does no input or output: the caller passes in what it has read
+//! ([`FeatureGates::set_capabilities`], [`FeatureGates::next_activation`]) and writes what is
+//! returned. Nothing is ever concluded from something *missing*: an absent key, lease or answer
+//! can only block a step.
 //!
-//! Times are milliseconds of a steady clock, stamps are the state service's.
+//! Times are milliseconds of a monotonic clock; revisions are those of the state service.
+#![warn(missing_docs)]
 
-mod judge;
-mod record;
+mod activation;
+mod gates;
+mod records;
 mod table;
+mod validation;
 
-pub use judge::{Due, Held, Ladder, Stands, StillThere, Why};
-pub use record::{NodeRecord, StandingRecord};
-pub use table::{Comes, Feature, FeatureEntry, Step, Table, UnknownStep, VersionEntry, TABLE};
+pub use activation::{
+    ActivationGuard, ActivationStatus, BlockReason, BlockedStep, PlannedActivation,
+    UnsupportedActivation,
+};
+pub use gates::FeatureGates;
+pub use records::{ActivationRecord, CapabilityRecord, StoredCapabilities};
+pub use table::{Activation, ActivationStep, Feature, FeatureEntry, FormatEntry, GateTable, GATES};
+pub use validation::{TableError, UnknownStep};
--- a/crates/feature-gates/src/table.rs
+++ b/crates/feature-gates/src/table.rs
@@ -1,232 +1,211 @@
-//! The one table of all steps.
+//! The table of all record formats and features.
 
-use std::collections::BTreeSet;
 use std::fmt;
 
 use enumset::EnumSetType;
 use strum::{EnumIter, IntoEnumIterator, IntoStaticStr};
 
-/// Behaviour that the code asks for by name, never by a number.
+use crate::records::INITIAL_FORMAT;
+
+/// A behaviour that code checks for by name, never by a format number.
+///
+/// The names in `strum` attributes are stored and shown to operators: they never change.
 #[derive(Debug, EnumSetType, EnumIter, IntoStaticStr)]
-#[strum(serialize_all = "kebab-case")]
 pub enum Feature {
-    /// Jobs may need others; their records say which.
-    Chains,
-    /// Shares are packed, and spread over several keys where one value is too small.
-    Pieces,
-    /// The record of a service that has ended says that it was one.
+    /// Jobs may depend on other jobs; their records name them.
+    #[strum(serialize = "chains")]
+    JobDependencies,
+    /// Placement records are packed, and split over several keys where one value is too small.
+    #[strum(serialize = "pieces")]
+    SplitPlacementRecords,
+    /// The record of a completed service says that the job was a service.
+    #[strum(serialize = "service-mark")]
     ServiceMark,
-    /// The state service's limits to come are kept, since they come without notice.
-    LowLimits,
-    /// The share of a job of one chunk stands in the job's own record where it fits.
-    InlineShares,
-    /// Jobs that are accepted together while changes are scarce share a record.
-    SharedPages,
+    /// The announced limits of the state service are observed ahead of time, because they take
+    /// effect without notice.
+    #[strum(serialize = "low-limits")]
+    AnnouncedLimits,
+    /// The placement of a job of one chunk is a field of the job's own record where it fits.
+    #[strum(serialize = "inline-shares")]
+    InlinePlacements,
+    /// Jobs that are accepted together while writes are scarce share a record.
+    #[strum(serialize = "shared-pages")]
+    BatchRecords,
 }
 
 impl Feature {
+    /// The feature's name in the table, in the records and in metrics.
     pub fn name(self) -> &'static str {
         self.into()
     }
 
+    /// All features, in the order of their declaration.
     pub fn all() -> impl Iterator<Item = Feature> {
         Feature::iter()
     }
 }
 
-/// How a feature comes in.
+/// How a feature is activated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Comes {
-    /// With a version of the records.
-    With(u32),
-    /// By a step of its own. Builds understand it from the version named on, which must
-    /// stand before; it is 3 at least, since earlier builds look for no features and
-    /// would not know that one is on.
-    Alone { from: u32 },
+pub enum Activation {
+    /// Together with a format of the records.
+    WithFormat(u32),
+    /// By a step of its own.
+    Separate {
+        /// Oldest format whose versions understand the feature; it must be active first.
+        min_format: u32,
+    },
 }
 
+/// A format of the stored records.
 #[derive(Clone, Copy, Debug)]
-pub struct VersionEntry {
-    pub number: u32,
-    /// Name of the step that switches it on.
+pub struct FormatEntry {
+    /// The format's number.
+    pub version: u32,
+    /// Name of the step that activates it.
     pub name: &'static str,
-    pub changes: &'static str,
+    /// What it changes, for operators.
+    pub description: &'static str,
 }
 
+/// A feature and the conditions of its activation.
 #[derive(Clone, Copy, Debug)]
 pub struct FeatureEntry {
+    /// The feature's name, which is also the name of its step if it has one.
     pub name: &'static str,
-    pub comes: Comes,
-    /// Features that must be on before it.
-    pub needs: &'static [&'static str],
-    pub changes: &'static str,
+    /// How it is activated.
+    pub activation: Activation,
+    /// Names of the features that must be active before it.
+    pub requires: &'static [&'static str],
+    /// What it changes, for operators.
+    pub description: &'static str,
 }
 
-/// All that a build knows.
+/// All formats and features that a version supports.
 #[derive(Debug)]
-pub struct Table {
-    /// From the second on, ascending by one.
-    pub versions: &'static [VersionEntry],
+pub struct GateTable {
+    /// Formats from the second on, without gaps.
+    pub formats: &'static [FormatEntry],
+    /// Features, each after those that it requires.
     pub features: &'static [FeatureEntry],
 }
 
-/// What this build knows. A new step is a new entry here.
-pub static TABLE: Table = Table {
-    versions: &[
-        VersionEntry {
-            number: 2,
+/// The formats and features of this version. A new one is added here.
+pub static GATES: GateTable = GateTable {
+    formats: &[
+        FormatEntry {
+            version: 2,
             name: "format-2",
-            changes: "records name the jobs that a job needs; shares are packed, over several keys",
+            description: "job records name dependencies; placement records are packed and split",
         },
-        VersionEntry {
-            number: 3,
+        FormatEntry {
+            version: 3,
             name: "format-3",
-            changes: "the record of a job of up to 64 tasks names their machines, where they fit",
+            description: "records of jobs of up to 64 tasks contain their placement if it fits",
         },
-        VersionEntry {
-            number: 4,
+        FormatEntry {
+            version: 4,
             name: "format-4",
-            changes: "jobs that are accepted together may share a record, a page",
+            description: "jobs that are accepted together may share a batch record",
         },
     ],
     features: &[
         FeatureEntry {
             name: "chains",
-            comes: Comes::With(2),
-            needs: &[],
-            changes: "submissions with prereqs are taken; before it they get 503",
+            activation: Activation::WithFormat(2),
+            requires: &[],
+            description: "submissions with prereqs are accepted; before, they are answered 503",
         },
         FeatureEntry {
             name: "pieces",
-            comes: Comes::With(2),
-            needs: &[],
-            changes: "a share is written packed, over as many keys as its values need",
+            activation: Activation::WithFormat(2),
+            requires: &[],
+            description: "placement records are packed, over as many keys as they need",
         },
         FeatureEntry {
             name: "service-mark",
-            comes: Comes::With(2),
-            needs: &["chains"],
-            changes: "the end of a service says that it was one, so that no job may need it",
+            activation: Activation::WithFormat(2),
+            requires: &["chains"],
+            description: "a completed service is recorded as one, so that no job depends on it",
         },
         FeatureEntry {
             name: "low-limits",
-            comes: Comes::With(2),
-            needs: &["pieces"],
-            changes: "the lower of the state service's present and announced limits are kept",
+            activation: Activation::WithFormat(2),
+            requires: &["pieces"],
+            description: "the lower of the state service's present and announced limits applies",
         },
         FeatureEntry {
             name: "inline-shares",
-            comes: Comes::With(3),
-            needs: &["pieces"],
-            changes: "a job of one chunk is accepted, dealt and ended with one change each time",
+            activation: Activation::WithFormat(3),
+            requires: &["pieces"],
+            description: "a job of one chunk is accepted, placed and completed by one write each",
         },
         FeatureEntry {
             name: "shared-pages",
-            comes: Comes::With(4),
-            needs: &["inline-shares"],
-            changes: "while changes are scarce, jobs are accepted and dealt many with one change",
+            activation: Activation::WithFormat(4),
+            requires: &["inline-shares"],
+            description: "while writes are scarce, one write accepts and places several jobs",
         },
     ],
 };
 
-/// One step up.
+/// One activation: of the next format, or of a feature that has a step of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Step {
-    Version(u32, &'static str),
+pub enum ActivationStep {
+    /// A format of the records, with all features that are activated with it.
+    Format {
+        /// The format's number.
+        version: u32,
+        /// Name of the step.
+        name: &'static str,
+    },
+    /// A feature of this name.
     Feature(&'static str),
 }
 
-impl Step {
+impl ActivationStep {
+    /// Name of the step, as operators withhold it and metrics show it.
     pub fn name(self) -> &'static str {
         match self {
-            Step::Version(_, name) | Step::Feature(name) => name,
+            ActivationStep::Format { name, .. } | ActivationStep::Feature(name) => name,
         }
     }
 }
 
-impl fmt::Display for Step {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.name())
+impl fmt::Display for ActivationStep {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(self.name())
     }
 }
 
-/// A step that an operator names and the table lacks.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct UnknownStep {
-    pub name: String,
-    pub known: Vec<&'static str>,
+/// A feature that has an activation step of its own.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct SeparateFeature {
+    pub entry: &'static FeatureEntry,
+    pub min_format: u32,
 }
 
-impl fmt::Display for UnknownStep {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "`{}` is no step of this version; it knows {}", self.name, self.known.join(", "))
+impl GateTable {
+    /// Newest supported format of the records.
+    pub fn newest_format(&self) -> u32 {
+        self.formats.last().map_or(INITIAL_FORMAT, |format| format.version)
     }
-}
 
-impl Table {
-    /// Newest version of the records.
-    pub fn newest(&self) -> u32 {
-        self.versions.last().map_or(1, |v| v.number)
+    /// Names of all steps, in the order of the table.
+    pub fn step_names(&self) -> Vec<&'static str> {
+        let formats = self.formats.iter().map(|format| format.name);
+        formats.chain(self.separate_features().map(|feature| feature.entry.name)).collect()
     }
 
-    /// Version 2 has its entry at place 0, and so on.
-    pub(crate) fn version(&self, number: u32) -> Option<&'static VersionEntry> {
-        self.versions.iter().find(|v| v.number == number)
+    pub(crate) fn format(&self, version: u32) -> Option<&'static FormatEntry> {
+        self.formats.iter().find(|format| format.version == version)
     }
 
     /// Features that have a step of their own.
-    pub(crate) fn alone(&self) -> impl Iterator<Item = (&'static FeatureEntry, u32)> {
-        self.features.iter().filter_map(|f| match f.comes {
-            Comes::Alone { from } => Some((f, from)),
-            Comes::With(_) => None,
+    pub(crate) fn separate_features(&self) -> impl Iterator<Item = SeparateFeature> {
+        self.features.iter().filter_map(|entry| match entry.activation {
+            Activation::Separate { min_format } => Some(SeparateFeature { entry, min_format }),
+            Activation::WithFormat(_) => None,
         })
     }
-
-    /// Names of all steps, in the order of the table.
-    pub fn steps(&self) -> Vec<&'static str> {
-        let versions = self.versions.iter().map(|v| v.name);
-        versions.chain(self.alone().map(|(f, _)| f.name)).collect()
-    }
-
-    /// Checks the names of steps that an operator gives.
-    pub fn check_steps<'a>(
-        &self,
-        names: impl IntoIterator<Item = &'a String>,
-    ) -> Result<(), UnknownStep> {
-        let known = self.steps();
-        match names.into_iter().find(|n| !known.contains(&n.as_str())) {
-            Some(name) => Err(UnknownStep { name: name.clone(), known }),
-            None => Ok(()),
-        }
-    }
-
-    /// What is wrong with the table itself, if anything is.
-    pub fn fault(&self) -> Option<String> {
-        if let Some((at, v)) =
-            (2..).zip(self.versions).find(|(at, v)| v.number != *at).map(|(at, v)| (at, v.number))
-        {
-            return Some(format!("version {v} stands where {at} belongs"));
-        }
-        let mut names: BTreeSet<&str> = BTreeSet::new();
-        let all = self.versions.iter().map(|v| v.name).chain(self.features.iter().map(|f| f.name));
-        for name in all {
-            if !names.insert(name) {
-                return Some(format!("`{name}` stands twice"));
-            }
-        }
-        for (at, f) in self.features.iter().enumerate() {
-            let (from, least) = match f.comes {
-                Comes::With(v) => (v, 2),
-                Comes::Alone { from } => (from, 3),
-            };
-            if from < least || from > self.newest() {
-                return Some(format!("`{}` can't come with version {from}", f.name));
-            }
-            let before = |n: &&str| self.features[..at].iter().any(|g| g.name == *n);
-            if let Some(n) = f.needs.iter().find(|n| !before(n)) {
-                return Some(format!("`{}` needs `{n}`, which does not stand before it", f.name));
-            }
-        }
-        None
-    }
 }
--- a/crates/feature-gates/tests/feature_gates.rs
+++ b/crates/feature-gates/tests/feature_gates.rs
@@ -1,285 +1,369 @@
-//! What the ladder promises, held against a small model of controllers and keys.
+//! Feature gates by themselves: validation of tables, the view of one controller, and
+//! activation in a small model of controllers and a store of keys.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
 use quartzgate_feature_gates::{
-    Comes, Due, Feature, FeatureEntry, Ladder, NodeRecord, StandingRecord, Stands, StillThere,
-    Table, VersionEntry, Why, TABLE,
+    Activation, ActivationGuard, ActivationRecord, ActivationStatus, BlockReason, CapabilityRecord,
+    Feature, FeatureEntry, FeatureGates, FormatEntry, GateTable, PlannedActivation,
+    StoredCapabilities, TableError, UnsupportedActivation, GATES,
 };
 
-const fn version(number: u32, name: &'static str) -> VersionEntry {
-    VersionEntry { number, name, changes: "" }
+const fn format(version: u32, name: &'static str) -> FormatEntry {
+    FormatEntry { version, name, description: "" }
 }
 
-const fn feature(name: &'static str, comes: Comes, needs: &'static [&'static str]) -> FeatureEntry {
-    FeatureEntry { name, comes, needs, changes: "" }
+const fn feature(
+    name: &'static str,
+    activation: Activation,
+    requires: &'static [&'static str],
+) -> FeatureEntry {
+    FeatureEntry { name, activation, requires, description: "" }
 }
 
-static OLD: Table = Table {
-    versions: &[version(2, "v2"), version(3, "v3")],
-    features: &[feature("a", Comes::Alone { from: 3 }, &[])],
+/// Formats and features of an older version.
+static OLD: GateTable = GateTable {
+    formats: &[format(2, "v2"), format(3, "v3")],
+    features: &[feature("a", Activation::Separate { min_format: 3 }, &[])],
 };
-static NEW: Table = Table {
-    versions: &[version(2, "v2"), version(3, "v3"), version(4, "v4")],
+/// Formats and features of a newer version.
+static NEW: GateTable = GateTable {
+    formats: &[format(2, "v2"), format(3, "v3"), format(4, "v4")],
     features: &[
-        feature("a", Comes::Alone { from: 3 }, &[]),
-        feature("b", Comes::Alone { from: 3 }, &["a"]),
-        feature("c", Comes::With(4), &[]),
+        feature("a", Activation::Separate { min_format: 3 }, &[]),
+        feature("b", Activation::Separate { min_format: 3 }, &["a"]),
+        feature("c", Activation::WithFormat(4), &[]),
     ],
 };
 
-/// Guards the real table: it is in order, and every feature that code asks for has its one
-/// entry.
+/// The real table is valid, and every feature that code checks for has its one entry.
 #[test]
-fn the_table_is_in_order() {
-    assert_eq!(TABLE.fault(), None);
-    let entries: BTreeSet<&str> = TABLE.features.iter().map(|f| f.name).collect();
-    let asked: BTreeSet<&str> = Feature::all().map(Feature::name).collect();
-    assert_eq!(entries, asked);
+fn the_real_table_is_valid_and_lists_every_feature() {
+    assert_eq!(GATES.validate(), Ok(()));
+    let listed: BTreeSet<&str> = GATES.features.iter().map(|entry| entry.name).collect();
+    let checked: BTreeSet<&str> = Feature::all().map(Feature::name).collect();
+    assert_eq!(listed, checked);
 }
 
-/// Guards tables to come against entries that would let a step in unseen: a gap between
-/// versions, a name that stands twice, a feature of its own that builds which look for none
-/// would have to notice, and needs that are not met before it.
+/// Step and feature names are stored, configured and shown in metrics: renaming a variant must
+/// not change them.
 #[test]
-fn faulty_tables_are_named() {
-    static GAP: Table = Table { versions: &[version(3, "v3")], features: &[] };
-    static TWICE: Table =
-        Table { versions: &[version(2, "v2")], features: &[feature("v2", Comes::With(2), &[])] };
-    static EARLY: Table = Table {
-        versions: &[version(2, "v2")],
-        features: &[feature("a", Comes::Alone { from: 2 }, &[])],
+fn step_and_feature_names_are_stable() {
+    assert_eq!(GATES.step_names(), ["format-2", "format-3", "format-4"]);
+    let names: Vec<&str> = Feature::all().map(Feature::name).collect();
+    assert_eq!(
+        names,
+        ["chains", "pieces", "service-mark", "low-limits", "inline-shares", "shared-pages"]
+    );
+}
+
+/// A table that could activate a step unnoticed is rejected: a gap between formats, a name that
+/// is used twice, a separate feature that older versions would have to notice, and a requirement
+/// that is not met before it.
+#[test]
+fn invalid_tables_are_rejected() {
+    static GAP: GateTable = GateTable { formats: &[format(3, "v3")], features: &[] };
+    static DUPLICATE: GateTable = GateTable {
+        formats: &[format(2, "v2")],
+        features: &[feature("v2", Activation::WithFormat(2), &[])],
     };
-    static LATER: Table = Table {
-        versions: &[version(2, "v2")],
-        features: &[feature("a", Comes::With(2), &["b"]), feature("b", Comes::With(2), &[])],
+    static TOO_EARLY: GateTable = GateTable {
+        formats: &[format(2, "v2")],
+        features: &[feature("a", Activation::Separate { min_format: 2 }, &[])],
     };
-    for (table, word) in
-        [(&GAP, "version 3"), (&TWICE, "twice"), (&EARLY, "come with"), (&LATER, "needs `b`")]
-    {
-        assert!(table.fault().is_some_and(|f| f.contains(word)), "{word}: {:?}", table.fault());
+    static REQUIRES_LATER: GateTable = GateTable {
+        formats: &[format(2, "v2")],
+        features: &[
+            feature("a", Activation::WithFormat(2), &["b"]),
+            feature("b", Activation::WithFormat(2), &[]),
+        ],
+    };
+    let gap = TableError::FormatOutOfOrder { expected: 2, found: 3 };
+    let duplicate = TableError::DuplicateName("v2");
+    let too_early = TableError::FormatNotAllowed { feature: "a", format: 2, min: 3, max: 2 };
+    let requires_later = TableError::RequirementNotBefore { feature: "a", requirement: "b" };
+    for (table, error, text) in [
+        (&GAP, gap, "format 3"),
+        (&DUPLICATE, duplicate, "twice"),
+        (&TOO_EARLY, too_early, "activated with"),
+        (&REQUIRES_LATER, requires_later, "requires `b`"),
+    ] {
+        assert!(error.to_string().contains(text), "{error}");
+        assert_eq!(table.validate(), Err(error));
     }
-    let unknown = TABLE.check_steps(&["format-9".to_string()]).unwrap_err();
+    let unknown = GATES.check_step_names(&["format-9".to_string()]).unwrap_err();
     assert!(unknown.to_string().contains("format-2"), "{unknown}");
 }
 
-/// Guards what is on against a read that is older than the step, and against one that
-/// shows something else: what stands only grows.
+/// What is active only grows: a read from before an activation changes nothing, and neither does
+/// one that lacks what is active.
 #[test]
 fn an_older_read_changes_nothing() {
-    let mut ladder = Ladder::new(&NEW, BTreeSet::new());
-    let at = |version, names: &[&str]| {
-        let features = names.iter().map(|n| n.to_string()).collect();
-        Stands::At(StandingRecord { version, features })
+    let mut gates = FeatureGates::new(&NEW, BTreeSet::new());
+    let active = |version, names: &[&str]| {
+        let features = names.iter().map(|name| name.to_string()).collect();
+        ActivationStatus::Active(ActivationRecord { version, features })
     };
-    assert!(ladder.stands_to(at(3, &["a"]), 7));
-    for older in [at(2, &[]), at(3, &[]), at(4, &["b"]), Stands::Unknown] {
-        assert!(!ladder.stands_to(older, 5));
+    assert!(gates.set_status(active(3, &["a"]), 7));
+    for older in [active(2, &[]), active(3, &[]), active(4, &["b"]), ActivationStatus::Unknown] {
+        assert!(!gates.set_status(older, 5));
     }
-    assert!(ladder.has("a") && ladder.version() == 3 && ladder.stamp() == 7);
-    assert!(ladder.stands_to(at(4, &["a"]), 9));
-    assert!(ladder.has("c"), "comes with version 4");
-    assert!(ladder.stands_to(Stands::Foreign("x".into()), 9));
-    assert!(!ladder.stands_to(at(4, &["a", "b"]), 10) && !ladder.has("a"));
+    assert!(gates.is_active("a") && gates.format_version() == 3 && gates.revision() == 7);
+    assert!(gates.set_status(active(4, &["a"]), 9));
+    assert!(gates.is_active("c"), "activated with format 4");
+    let unsupported = UnsupportedActivation::Feature("x".into());
+    assert!(gates.set_status(ActivationStatus::Unsupported(unsupported), 9));
+    assert!(!gates.set_status(active(4, &["a", "b"]), 10) && !gates.is_active("a"));
 }
 
-/// Guards operators' reading of a hold: which controller, why, since when; the time goes on
-/// counting while the reason changes.
+/// Operators see which controllers block a step, why, and since when; the time is counted on
+/// while the reasons change.
 #[test]
-fn a_hold_says_who_why_and_since_when() {
-    let mut ladder = Ladder::new(&NEW, BTreeSet::new());
-    ladder.stands_to(Stands::At(StandingRecord::first()), 0);
-    let said = |version, withheld: &[&str], life| NodeRecord {
-        version,
-        features: BTreeSet::new(),
-        withheld: withheld.iter().map(|w| w.to_string()).collect(),
-        life,
+fn a_blocked_step_names_controllers_reasons_and_start() {
+    let mut gates = FeatureGates::new(&NEW, BTreeSet::new());
+    gates.set_status(ActivationStatus::Active(ActivationRecord::initial()), 0);
+    let stored = |version, withheld: &[&str], membership_revision| StoredCapabilities {
+        record: CapabilityRecord {
+            version,
+            features: BTreeSet::new(),
+            withheld: withheld.iter().map(|name| name.to_string()).collect(),
+            membership_revision: Some(membership_revision),
+        },
+        revision: 9,
+    };
+    let configured: Vec<String> = ["x", "y", "z"].map(String::from).into();
+    gates.set_capabilities(BTreeMap::from([
+        ("x".to_string(), stored(1, &["v2"], 5)),
+        ("y".to_string(), stored(4, &[], 6)),
+    ]));
+    let live_members = BTreeMap::from([("x".to_string(), 5), ("y".to_string(), 8)]);
+    assert_eq!(gates.next_activation(1_000, &configured, &live_members), None);
+    let reasons = |gates: &FeatureGates| {
+        gates.blocked_steps()[0].blocked_by.values().cloned().collect::<Vec<_>>()
     };
-    let named: Vec<String> = ["x", "y", "z"].map(String::from).into();
-    let words = [("x", said(1, &["v2"], Some(5))), ("y", said(4, &[], Some(6)))];
-    ladder.see(words.into_iter().map(|(n, r)| (n.to_string(), (r, 9))).collect());
-    let members = BTreeMap::from([("x".to_string(), 5), ("y".to_string(), 8)]);
-    assert_eq!(ladder.weigh(1_000, &named, &members), None);
-    let by = |l: &Ladder| l.held()[0].by.values().cloned().collect::<Vec<_>>();
-    assert_eq!(by(&ladder), [Why::Withheld, Why::Replaced, Why::NeverSaid]);
-    let words = [("x", said(1, &[], Some(5))), ("y", said(4, &[], Some(6)))];
-    ladder.see(words.into_iter().map(|(n, r)| (n.to_string(), (r, 9))).collect());
-    ladder.weigh(4_000, &named, &BTreeMap::new());
-    assert_eq!(by(&ladder), [Why::Older(1), Why::Away, Why::NeverSaid]);
-    assert_eq!(ladder.held()[0].since_ms, 1_000);
+    let expected = [BlockReason::Withheld, BlockReason::Restarted, BlockReason::NoCapabilities];
+    assert_eq!(reasons(&gates), expected);
+    gates.set_capabilities(BTreeMap::from([
+        ("x".to_string(), stored(1, &[], 5)),
+        ("y".to_string(), stored(4, &[], 6)),
+    ]));
+    gates.next_activation(4_000, &configured, &BTreeMap::new());
+    let expected = [BlockReason::OlderFormat(1), BlockReason::Absent, BlockReason::NoCapabilities];
+    assert_eq!(reasons(&gates), expected);
+    assert_eq!(gates.blocked_steps()[0].since_ms, 1_000);
 }
 
 /// One controller of the model.
 #[derive(Debug)]
 struct Node {
-    ladder: Ladder,
-    alive: bool,
-    /// What it read last of the keys of all.
-    words: BTreeMap<String, (NodeRecord, u64)>,
+    gates: FeatureGates,
+    is_alive: bool,
 }
 
-/// Controllers, and a store of keys with stamps.
+/// A capability record that has been sent to the store and not arrived yet.
+#[derive(Debug)]
+struct PublicationInFlight {
+    node: String,
+    record: CapabilityRecord,
+    /// Revision of the membership key that guards the write.
+    membership_revision: u64,
+}
+
+/// An activation that has been sent to the store and not arrived yet.
+#[derive(Debug)]
+struct ActivationInFlight {
+    planned: PlannedActivation,
+    /// Revision of the activation record that guards the write.
+    revision: u64,
+}
+
+/// Controllers, and a store of keys with revisions.
 #[derive(Debug)]
 struct Model {
     nodes: Vec<Node>,
-    rev: u64,
-    /// What stands, and its stamp.
-    format: (StandingRecord, u64),
-    words: BTreeMap<String, (NodeRecord, u64)>,
+    last_revision: u64,
+    active: ActivationRecord,
+    active_revision: u64,
+    capabilities: BTreeMap<String, StoredCapabilities>,
     members: BTreeMap<String, u64>,
-    /// Steps and words on their way, with what guards them.
-    steps: Vec<(Due, u64)>,
-    said: Vec<(String, NodeRecord, u64)>,
+    activations: Vec<ActivationInFlight>,
+    publications: Vec<PublicationInFlight>,
 }
 
 impl Model {
-    fn new(nodes: usize) -> Model {
-        let node = |_| Node {
-            ladder: Ladder::new(&OLD, BTreeSet::new()),
-            alive: true,
-            words: BTreeMap::new(),
-        };
-        let mut m = Model {
-            nodes: (0..nodes).map(node).collect(),
-            rev: 1,
-            format: (StandingRecord::first(), 0),
-            words: BTreeMap::new(),
+    fn new(node_count: usize) -> Model {
+        let node = |_| Node { gates: FeatureGates::new(&OLD, BTreeSet::new()), is_alive: true };
+        let mut model = Model {
+            nodes: (0..node_count).map(node).collect(),
+            last_revision: 1,
+            active: ActivationRecord::initial(),
+            active_revision: 0,
+            capabilities: BTreeMap::new(),
             members: BTreeMap::new(),
-            steps: Vec::new(),
-            said: Vec::new(),
+            activations: Vec::new(),
+            publications: Vec::new(),
         };
-        (0..nodes).for_each(|n| m.start(n, false));
-        m
+        (0..node_count).for_each(|node| model.start(node, &OLD));
+        model
     }
 
-    fn stamp(&mut self) -> u64 {
-        self.rev += 1;
-        self.rev
+    fn next_revision(&mut self) -> u64 {
+        self.last_revision += 1;
+        self.last_revision
     }
 
-    /// A new life of a controller, of the older build or the newer.
-    fn start(&mut self, n: usize, new: bool) {
-        let table = if new { &NEW } else { &OLD };
-        let ladder = Ladder::new(table, BTreeSet::new());
-        self.nodes[n] = Node { ladder, alive: true, words: BTreeMap::new() };
-        let stamp = self.stamp();
-        self.members.insert(n.to_string(), stamp);
-        self.read(n);
+    /// Starts a controller anew, of the version that has this table.
+    fn start(&mut self, node: usize, table: &'static GateTable) {
+        let gates = FeatureGates::new(table, BTreeSet::new());
+        self.nodes[node] = Node { gates, is_alive: true };
+        let revision = self.next_revision();
+        self.members.insert(node.to_string(), revision);
+        self.read(node);
     }
 
-    fn read(&mut self, n: usize) {
-        let (record, stamp) = self.format.clone();
-        let words = self.words.clone();
-        let node = &mut self.nodes[n];
-        let stands = node.ladder.understand(Some(record));
-        node.ladder.stands_to(stands, stamp);
-        node.words = words.clone();
-        node.ladder.see(words);
+    /// The controller's lease at the state service expires.
+    fn expire(&mut self, node: usize) {
+        self.nodes[node].is_alive = false;
+        self.members.remove(&node.to_string());
     }
 
-    /// What it can do goes on its way.
-    fn say(&mut self, n: usize) {
-        let life = self.members.get(&n.to_string()).copied();
-        let ladder = &self.nodes[n].ladder;
-        if let Some(life) = life.filter(|_| ladder.key_wanted(&n.to_string(), life)) {
-            let record = NodeRecord { life: Some(life), ..ladder.can() };
-            self.said.push((n.to_string(), record, life));
+    /// The controller reads what is active and what all support.
+    fn read(&mut self, node: usize) {
+        let gates = &mut self.nodes[node].gates;
+        let status = gates.interpret(Some(self.active.clone()));
+        gates.set_status(status, self.active_revision);
+        gates.set_capabilities(self.capabilities.clone());
+    }
+
+    /// The controller sends its capabilities, if they have to be published.
+    fn publish(&mut self, node: usize) {
+        let name = node.to_string();
+        let Some(membership_revision) = self.members.get(&name).copied() else { return };
+        let gates = &self.nodes[node].gates;
+        if gates.must_publish_capabilities(&name, Some(membership_revision)) {
+            let record = CapabilityRecord {
+                membership_revision: Some(membership_revision),
+                ..gates.own_capabilities()
+            };
+            self.publications.push(PublicationInFlight { node: name, record, membership_revision });
         }
     }
 
-    /// Leads, or believes so: a step goes on its way.
-    fn weigh(&mut self, n: usize) {
-        let named: Vec<String> = (0..self.nodes.len()).map(|n| n.to_string()).collect();
-        let members = self.members.clone();
-        let ladder = &mut self.nodes[n].ladder;
-        let stamp = ladder.stamp();
-        if let Some(due) = ladder.weigh(0, &named, &members) {
-            self.steps.push((due, stamp));
+    /// The controller leads, or believes so, and sends the next activation if there is one.
+    fn activate(&mut self, node: usize) {
+        let configured: Vec<String> = (0..self.nodes.len()).map(|n| n.to_string()).collect();
+        let gates = &mut self.nodes[node].gates;
+        let revision = gates.revision();
+        if let Some(planned) = gates.next_activation(0, &configured, &self.members) {
+            self.activations.push(ActivationInFlight { planned, revision });
         }
     }
 
-    fn arrive_word(&mut self, at: usize) {
-        if at >= self.said.len() {
+    /// A publication arrives at the store.
+    fn apply_publication(&mut self, position: usize) {
+        if position >= self.publications.len() {
             return;
         }
-        let (node, record, life) = self.said.remove(at);
-        if self.members.get(&node) == Some(&life) {
-            let stamp = self.stamp();
-            self.words.insert(node, (record, stamp));
+        let publication = self.publications.remove(position);
+        if self.members.get(&publication.node) == Some(&publication.membership_revision) {
+            let stored =
+                StoredCapabilities { record: publication.record, revision: self.next_revision() };
+            self.capabilities.insert(publication.node, stored);
+        }
+    }
+
+    fn guard_holds(&self, guard: &ActivationGuard) -> bool {
+        match guard {
+            ActivationGuard::Membership { node, revision } => {
+                self.members.get(node) == Some(revision)
+            }
+            ActivationGuard::Capabilities { node, revision } => {
+                self.capabilities.get(node).is_some_and(|stored| stored.revision == *revision)
+            }
         }
     }
 
-    fn arrive_step(&mut self, at: usize) {
-        if at >= self.steps.len() {
+    /// An activation arrives at the store.
+    fn apply_activation(&mut self, position: usize) {
+        if position >= self.activations.len() {
             return;
         }
-        let (due, stamp) = self.steps.remove(at);
-        let holds = |g: &StillThere| match g {
-            StillThere::Life { node, stamp } => self.members.get(node) == Some(stamp),
-            StillThere::Word { node, stamp } => self.words.get(node).is_some_and(|w| w.1 == *stamp),
-        };
-        if self.format.1 != stamp || !due.guards.iter().all(holds) {
+        let ActivationInFlight { planned, revision } = self.activations.remove(position);
+        let guards_hold = planned.guards.iter().all(|guard| self.guard_holds(guard));
+        if self.active_revision != revision || !guards_hold {
             return;
         }
-        let old = self.format.0.clone();
-        assert!(due.record.covers(&old) && due.record != old, "{old:?} -> {:?}", due.record);
-        let grown = due.record.version - old.version
-            + due.record.features.difference(&old.features).count() as u32;
-        assert_eq!(grown, 1, "one step at a time");
-        for (n, node) in self.nodes.iter().enumerate() {
-            let understands =
-                matches!(node.ladder.understand(Some(due.record.clone())), Stands::At(_));
-            assert!(understands, "n{n} lives or was last here, and lacks {:?}", due.record);
+        self.check_activation(&planned.record);
+        self.active = planned.record;
+        self.active_revision = self.next_revision();
+    }
+
+    /// Each activation is one step, takes nothing back, and is supported by every controller,
+    /// whether it is alive or was when last seen.
+    fn check_activation(&self, new: &ActivationRecord) {
+        let old = &self.active;
+        assert!(new.includes(old) && new != old, "{old:?} -> {new:?}");
+        let added_features = new.features.difference(&old.features).count() as u32;
+        assert_eq!(new.version - old.version + added_features, 1, "one step at a time");
+        for (number, node) in self.nodes.iter().enumerate() {
+            let status = node.gates.interpret(Some(new.clone()));
+            let is_supported = matches!(status, ActivationStatus::Active(_));
+            assert!(is_supported, "controller {number} does not support {new:?}");
+        }
+    }
+
+    /// Whether a controller may be replaced by the older version: only until something that it
+    /// does not support is active.
+    fn may_roll_back(&self) -> bool {
+        self.active.version <= 3 && !self.active.features.contains("b")
+    }
+
+    /// Every controller is replaced by the newer version and all messages arrive.
+    fn finish_rollout(&mut self) {
+        let nodes = 0..self.nodes.len();
+        nodes.clone().for_each(|node| self.start(node, &NEW));
+        for _ in 0..6 {
+            for node in nodes.clone() {
+                self.read(node);
+                self.publish(node);
+                while !self.publications.is_empty() {
+                    self.apply_publication(0);
+                }
+            }
+            nodes.clone().for_each(|node| self.read(node));
+            self.activate(0);
+            while !self.activations.is_empty() {
+                self.apply_activation(0);
+            }
         }
-        self.format = (due.record, self.stamp());
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards every step, in any order of starts, ends, reads and late writes: one at a
-    /// time, nothing goes back, and no controller that was last seen lacks it.
+    /// In any order of starts, lease expiries, reads and delayed writes, `check_activation`
+    /// holds for every activation, and once all controllers are new everything is activated.
     #[test]
-    fn nothing_is_switched_on_that_one_lacks(
-        ops in prop::collection::vec((0..8u8, 0..3usize, 0..4usize), 20..160),
+    fn no_step_is_activated_that_a_controller_does_not_support(
+        operations in prop::collection::vec((0..8u8, 0..3usize, 0..4usize), 20..160),
     ) {
-        let mut m = Model::new(3);
-        for (op, n, at) in ops {
-            match op {
-                0 => m.start(n, true),
-                // Going back is free until something new is on.
-                1 if m.format.0.version <= 3 && !m.format.0.features.contains("b") => {
-                    m.start(n, false)
-                }
-                // Its lease runs out.
-                2 => {
-                    m.nodes[n].alive = false;
-                    m.members.remove(&n.to_string());
-                }
-                3 if m.nodes[n].alive => m.read(n),
-                4 if m.nodes[n].alive => m.say(n),
-                5 if m.nodes[n].alive => m.weigh(n),
-                6 => m.arrive_word(at),
-                _ => m.arrive_step(at),
-            }
-        }
-        // Then all are new, and everything comes on.
-        for n in 0..3 {
-            m.start(n, true);
-        }
-        for _ in 0..6 {
-            for n in 0..3 {
-                m.read(n);
-                m.say(n);
-                while !m.said.is_empty() { m.arrive_word(0); }
+        let mut model = Model::new(3);
+        for (operation, node, position) in operations {
+            match operation {
+                0 => model.start(node, &NEW),
+                1 if model.may_roll_back() => model.start(node, &OLD),
+                2 => model.expire(node),
+                3 if model.nodes[node].is_alive => model.read(node),
+                4 if model.nodes[node].is_alive => model.publish(node),
+                5 if model.nodes[node].is_alive => model.activate(node),
+                6 => model.apply_publication(position),
+                _ => model.apply_activation(position),
             }
-            (0..3).for_each(|n| m.read(n));
-            m.weigh(0);
-            while !m.steps.is_empty() { m.arrive_step(0); }
         }
-        prop_assert_eq!(m.format.0.version, 4);
-        prop_assert_eq!(m.format.0.features.len(), 2);
+        model.finish_rollout();
+        prop_assert_eq!(model.active.version, 4);
+        prop_assert_eq!(model.active.features.len(), 2);
     }
 }
--- a/crates/quartzgate/src/settings.rs
+++ b/crates/quartzgate/src/settings.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use quartzgate_core::config::{Config, Operator};
-use quartzgate_feature_gates::Comes;
+use quartzgate_feature_gates::Activation;
 use quartzgate_wire::settings::{Platform, SettingsError};
 
 #[derive(Debug, thiserror::Error)]
@@ -43,7 +43,7 @@
     Ok(Config::new(platform, own))
 }
 
-/// What `--check` prints of settings that are in order: with the steps of the ladder that
+/// What `--check` prints of settings that are in order: with the activation steps that
 /// this build knows, and which of them this controller withholds.
 pub fn report(config: &Config) -> String {
     let withheld = config.operator.withheld();
@@ -52,15 +52,17 @@
         let held = if withheld.contains(name) { " (withheld here)" } else { "" };
         out.push_str(&format!("{name}: {how}{held}: {changes}\n"));
     };
-    for v in config.table.versions {
-        line(v.name, "format of the records".into(), v.changes);
+    for v in config.table.formats {
+        line(v.name, "format of the records".into(), v.description);
     }
     for f in config.table.features {
-        let how = match f.comes {
-            Comes::With(version) => format!("feature, with format {version}"),
-            Comes::Alone { from } => format!("feature, its own step from format {from} on"),
+        let how = match f.activation {
+            Activation::WithFormat(version) => format!("feature, with format {version}"),
+            Activation::Separate { min_format: from } => {
+                format!("feature, its own step from format {from} on")
+            }
         };
-        line(f.name, how, f.changes);
+        line(f.name, how, f.description);
     }
     out
 }
