--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -7,7 +7,7 @@
 //! of it, and whoever is turned away is told at once when to come back: the later, the
 //! more there are, and each at another moment.
 
-use quartzgate_overload::Turned;
+use quartzgate_overload::RetryAdvisor;
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{ErrorAnswer, Rank};
 use quartzgate_wire::to_cbor;
@@ -36,7 +36,7 @@
 pub(crate) struct Admission {
     pub supply: Supply,
     accepts: Budget,
-    pub turned: Turned,
+    pub retry_advisor: RetryAdvisor,
 }
 
 impl Admission {
@@ -44,7 +44,7 @@
         Admission {
             supply: Supply::Ample,
             accepts: Budget::new(write_rate * ACCEPT_SHARE),
-            turned: Turned::default(),
+            retry_advisor: RetryAdvisor::default(),
         }
     }
 
@@ -116,7 +116,7 @@
     /// Turns a submission away, with the time after which it may be taken.
     pub(crate) fn turn_away(&mut self, id: RequestId) {
         let (now, rate) = (self.now.steady_ms, self.admission.accepts.rate());
-        let later = self.admission.turned.turn(now, rate, &mut self.rng);
+        let later = self.admission.retry_advisor.reject(now, rate, &mut self.rng);
         let error = "the state service takes no more writes at present".to_string();
         let mut response = Response::new(429, to_cbor(&ErrorAnswer { error }));
         response.retry_after_s = Some(later);
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -103,7 +103,7 @@
             put(&format!("writes.{name}"), self.store.spent(purpose) as f64);
         }
         put("writes_short", f64::from(u8::from(self.admission.short())));
-        put("turned_away", self.admission.turned.all() as f64);
+        put("turned_away", self.admission.retry_advisor.total_rejections() as f64);
         put("pages", self.pages.count() as f64);
         put("pages_jobs", self.pages.members() as f64);
         put("records_behind", self.store.behind() as f64);
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use quartzgate_feature_gates::Feature;
-use quartzgate_overload::Turns;
+use quartzgate_overload::FairQueue;
 use quartzgate_wire::msg::{Change, Guard, Pair, Rank, Shape, Transaction, TransactionAnswer};
 use quartzgate_wire::settings::StateLimits;
 use quartzgate_wire::{from_cbor, to_cbor};
@@ -111,8 +111,8 @@
     ends_left: bool,
     /// Whose turn an odd change is: the ends' or the deals'.
     odd: bool,
-    ends: Turns,
-    deals: Turns,
+    ends: FairQueue,
+    deals: FairQueue,
     /// A write was refused as malformed or too large: so many go out by themselves, until
     /// it is known which it was.
     singly: usize,
@@ -164,8 +164,8 @@
             urgent: false,
             ends_left: false,
             odd: false,
-            ends: Turns::default(),
-            deals: Turns::default(),
+            ends: FairQueue::default(),
+            deals: FairQueue::default(),
             singly: 0,
         }
     }
@@ -264,7 +264,7 @@
         let pressing = self.store.dirty.iter().any(|k| self.starved(*k));
         let first = if pressing { room / 2 + room % 2 * self.store.odd() } else { room };
         let mut ends_left = self.gather_ends(false, &mut txn, &mut items, first, &mut bytes);
-        let mut ahead = self.store.deals.ahead();
+        let mut tags = self.store.deals.tag_assigner();
         let mut dirty: Vec<(Urgency, u64, JobIx, u32)> = self
             .store
             .dirty
@@ -272,7 +272,7 @@
             .map(|(ix, c)| {
                 (
                     self.urgency(*ix, *c),
-                    self.jobs.get(*ix).map_or(0, |j| ahead.next(j.team, &j.spec.class)),
+                    self.jobs.get(*ix).map_or(0, |j| tags.next_tag(j.team, &j.spec.class)),
                     *ix,
                     *c,
                 )
@@ -320,7 +320,7 @@
                     self.store.dirty.remove(&(ix, chunk));
                     continue;
                 }
-                self.store.deals.served(job.team, &job.spec.class);
+                self.store.deals.record_service(job.team, &job.spec.class);
                 match job.chunk_count() {
                     1 => self.rewrite_page(page),
                     // No page holds more than a first chunk: it gets a record of its own.
@@ -333,7 +333,7 @@
                 continue;
             }
             let id = job.id.clone();
-            self.store.deals.served(job.team, &job.spec.class);
+            self.store.deals.record_service(job.team, &job.spec.class);
             let Some(share) = self.share_write(ix, chunk) else { continue };
             if share.oversize || share.changes() > most {
                 tracing::error!(job = %id, chunk, bytes = share.bytes, pieces = share.placed.pieces,
@@ -447,7 +447,7 @@
         let mut candidates: Vec<JobIx> = self.store.jobs.iter().copied().filter(of).collect();
         // What others wait for comes first, ends that follow from others' last; between them
         // the more urgent, and of those each class in turn.
-        let mut ahead = self.store.ends.ahead();
+        let mut tags = self.store.ends.tag_assigner();
         candidates.sort_by_cached_key(|ix| {
             let job = self.jobs.get(*ix);
             let part = match job {
@@ -458,7 +458,7 @@
             (
                 part,
                 std::cmp::Reverse(job.map(|j| j.rank)),
-                job.map(|j| ahead.next(j.team, &j.spec.class)),
+                job.map(|j| tags.next_tag(j.team, &j.spec.class)),
             )
         });
         for ix in candidates {
@@ -512,7 +512,7 @@
             txn.guards.push(Guard { path: key.clone(), stamp: job.stamp });
             txn.apply.push(Change::Set { set: key, value: encode(&record), permit: None });
             let before = txn.apply.len();
-            self.store.ends.served(job.team, &job.spec.class);
+            self.store.ends.record_service(job.team, &job.spec.class);
             self.gather_shares(ix, &chunks, txn);
             self.store.note(Purpose::End, 1);
             self.store.note(Purpose::Tidy, txn.apply.len() - before);
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -1,14 +1,22 @@
-//! Overload control of a controller: in which order requests are served when not all can
-//! be, how long one may wait, when work is refused unseen, and when to come back.
+//! Overload control of a controller.
 //!
-//! There is no input, output or clock here; the daemon says what time it is.
+//! - [`RequestQueue`] decides in which order requests are served when not all can be, and how
+//!   long each may wait.
+//! - [`LoadMonitor`] derives the load state from these waits; while it is
+//!   [`LoadState::Shedding`], users' requests are rejected without being queued.
+//! - [`RetryAdvisor`] tells rejected clients when to retry, so that they don't return at once.
+//! - [`FairQueue`] orders work by team and class, so that none starves another.
+//!
+//! The crate does no input or output and reads no clock: times are milliseconds of a monotonic
+//! clock and are passed in.
+#![warn(missing_docs)]
 
-mod intake;
+mod fair_queue;
 mod load;
-mod turned;
-mod turns;
+mod request_queue;
+mod retry_advisor;
 
-pub use intake::{Class, Intake, Next};
-pub use load::{Load, LoadState};
-pub use turned::Turned;
-pub use turns::{Ahead, Turns};
+pub use fair_queue::{FairQueue, TagAssigner};
+pub use load::{LoadMonitor, LoadState, LoadTransition};
+pub use request_queue::{Arrival, Dequeued, Metric, RequestClass, RequestQueue};
+pub use retry_advisor::RetryAdvisor;
--- /dev/null
+++ b/crates/overload/tests/overload.rs
@@ -0,0 +1,269 @@
+//! Overload control by itself: the order and bounds of the request queue under any mix of
+//! requests, the load states, retry advice, and fair queueing.
+
+use proptest::prelude::*;
+use quartzgate_overload::{
+    Arrival, Dequeued, FairQueue, LoadMonitor, LoadState, RequestClass, RequestQueue, RetryAdvisor,
+};
+use rand::rngs::SmallRng;
+use rand::SeedableRng;
+
+const MAX_PER_CLASS: usize = 8;
+const WORKER_TIMEOUT_MS: u64 = 4_000;
+
+/// A request that waits, as the model of the queue knows it.
+#[derive(Clone, Copy, Debug)]
+struct Expected {
+    class: RequestClass,
+    arrived_ms: u64,
+    id: u64,
+    order: u64,
+}
+
+proptest! {
+    /// Whatever arrives when: each request is served or rejected exactly once, none is served
+    /// past its time, none of a lower class before a higher one, and each class by the given
+    /// order, then in order of arrival.
+    #[test]
+    fn order_and_bounds_hold_for_any_mix(steps in prop::collection::vec((0usize..9, 0u64..900), 1..300)) {
+        let mut queue: RequestQueue<u64> = RequestQueue::new(MAX_PER_CLASS);
+        let (mut now_ms, mut next_id, mut left_queue) = (0u64, 0u64, 0u64);
+        let mut waiting: Vec<Expected> = Vec::new();
+        for (operation, number) in steps {
+            if let Some(class) = RequestClass::ALL.get(operation).copied() {
+                let of_class = waiting.iter().filter(|expected| expected.class == class).count();
+                let expected = Expected { class, arrived_ms: now_ms, id: next_id, order: number / 300 };
+                let arrival =
+                    Arrival { class, order: expected.order, arrived_ms: now_ms, request: next_id };
+                let pushed = queue.push(arrival, LoadState::Normal);
+                prop_assert_eq!(pushed.is_err(), of_class >= MAX_PER_CLASS);
+                match pushed {
+                    Err(_) => left_queue += 1,
+                    Ok(()) => waiting.push(expected),
+                }
+                next_id += 1;
+                continue;
+            }
+            now_ms += number;
+            let dequeued = queue.pop(now_ms);
+            prop_assert_eq!(dequeued.is_none(), waiting.is_empty());
+            let (class, id, is_served) = match dequeued {
+                Some(Dequeued::Serve { class, request, waited_ms }) => {
+                    prop_assert!(waited_ms <= 2_500, "served after its client has given up");
+                    let higher_waits = waiting.iter().any(|expected| expected.class < class);
+                    prop_assert!(!higher_waits, "{class:?} before a higher class");
+                    (class, request, true)
+                }
+                Some(Dequeued::Reject { class, request }) => (class, request, false),
+                None => continue,
+            };
+            let of_class = waiting.iter().enumerate().filter(|(_, other)| other.class == class);
+            let first = match is_served {
+                true => of_class.min_by_key(|(_, expected)| (expected.order, expected.id)),
+                false => of_class.min_by_key(|(_, expected)| expected.id),
+            };
+            let position = first.unwrap().0;
+            let expected = waiting.remove(position);
+            prop_assert_eq!(id, expected.id, "out of order within its class");
+            prop_assert!(is_served || now_ms > expected.arrived_ms + 500, "rejected without a wait");
+            left_queue += 1;
+        }
+        while queue.pop(now_ms).is_some() {
+            left_queue += 1;
+        }
+        prop_assert_eq!(left_queue, next_id, "a request was lost or served twice");
+    }
+}
+
+/// Names in metrics are read by operators' tools: renaming a variant must not change them.
+#[test]
+fn metric_names_are_stable() {
+    let names = RequestClass::ALL.map(RequestClass::metric_name);
+    assert_eq!(names, ["report", "health", "abort", "submit", "poll", "other"]);
+    let mut queue: RequestQueue<()> = RequestQueue::new(1);
+    for arrived_ms in [5, 6] {
+        let arrival = Arrival { class: RequestClass::Heartbeat, order: 0, arrived_ms, request: () };
+        let _ = queue.push(arrival, LoadState::Normal);
+    }
+    assert!(queue.pop(9).is_some());
+    let metrics: Vec<(String, f64)> =
+        queue.metrics().into_iter().map(|metric| (metric.name, metric.value)).collect();
+    let expected = [
+        ("intake_ms.report.p50", 4.0),
+        ("intake_ms.report.p99", 4.0),
+        ("intake_ms.report.max", 4.0),
+        ("intake_ms.report.count", 1.0),
+        ("intake_refused.report", 1.0),
+    ];
+    assert_eq!(metrics, expected.map(|(name, value)| (name.to_string(), value)));
+}
+
+/// Leases of running work survive a flood of users: when twenty times more requests arrive than
+/// can be served, every heartbeat is still served in time.
+#[test]
+fn heartbeats_are_served_in_time_during_a_flood_of_users() {
+    /// Work units that are available in a millisecond: two served requests.
+    const BUDGET: i32 = 20;
+    const COST_OF_SERVING: i32 = 10;
+    const COST_OF_REJECTING: i32 = 1;
+    let mut queue: RequestQueue<u64> = RequestQueue::new(4_000);
+    let mut load = LoadMonitor::new(WORKER_TIMEOUT_MS);
+    let (mut heartbeats, mut longest_wait_ms, mut rejected) = (0, 0, 0);
+    for now_ms in 0..20_000u64 {
+        for number in 0..20 {
+            let class = match number {
+                0 => RequestClass::Heartbeat,
+                _ => RequestClass::StatusQuery,
+            };
+            let arrival = Arrival { class, order: 0, arrived_ms: now_ms, request: now_ms };
+            if queue.push(arrival, load.state()).is_err() {
+                rejected += 1;
+            }
+        }
+        let mut budget = BUDGET;
+        while budget > 0 {
+            match queue.pop(now_ms) {
+                Some(Dequeued::Serve { class, waited_ms, .. }) => {
+                    if class == RequestClass::Heartbeat {
+                        load.record_heartbeat_wait(waited_ms);
+                        heartbeats += 1;
+                        longest_wait_ms = longest_wait_ms.max(waited_ms);
+                    }
+                    budget -= COST_OF_SERVING;
+                }
+                Some(Dequeued::Reject { .. }) => {
+                    rejected += 1;
+                    budget -= COST_OF_REJECTING;
+                }
+                None => break,
+            }
+        }
+        load.tick(now_ms, queue.oldest_wait_ms(now_ms));
+    }
+    assert!(
+        heartbeats >= 19_990 && longest_wait_ms < 100,
+        "{heartbeats} served, the longest after {longest_wait_ms} ms"
+    );
+    assert!(rejected > 100_000, "the flood was to be rejected: {rejected}");
+    assert_eq!(load.state(), LoadState::Pressed, "queries wait and heartbeats don't");
+}
+
+/// When the load falls, the state is normal again within the stated time, by itself, and doesn't
+/// oscillate on the way.
+#[test]
+fn load_state_recovers_without_oscillation() {
+    let mut load = LoadMonitor::new(WORKER_TIMEOUT_MS);
+    let (mut now_ms, mut transitions) = (0, Vec::new());
+    let mut run = |load: &mut LoadMonitor, duration_ms: u64, wait_ms: u64| {
+        for _ in 0..duration_ms / 10 {
+            now_ms += 10;
+            load.record_heartbeat_wait(wait_ms);
+            transitions.extend(load.tick(now_ms, wait_ms));
+        }
+    };
+    run(&mut load, 1_000, 3);
+    assert_eq!(load.state(), LoadState::Normal);
+    run(&mut load, 1_000, 150);
+    assert_eq!(load.state(), LoadState::Pressed);
+    run(&mut load, 1_000, 900);
+    assert_eq!(load.state(), LoadState::Shedding);
+    // Between the thresholds of leaving and of entering the state is kept.
+    run(&mut load, 5_000, 300);
+    assert_eq!(load.state(), LoadState::Shedding);
+    let max_recovery_ms = load.max_recovery_ms();
+    run(&mut load, max_recovery_ms, 1);
+    assert_eq!(load.state(), LoadState::Normal, "not normal after {max_recovery_ms} ms");
+    assert_eq!(transitions.len(), 4, "{transitions:?}");
+}
+
+/// Rejected clients don't return all at once: the more there are, the longer and the wider their
+/// retries are spread.
+#[test]
+fn retries_of_many_rejected_clients_are_spread() {
+    let mut rng = SmallRng::seed_from_u64(1);
+    let mut advisor = RetryAdvisor::default();
+    let few: Vec<u32> = (0..5).map(|_| advisor.reject(0, 20.0, &mut rng)).collect();
+    assert!(few.iter().all(|seconds| *seconds == 1), "{few:?}");
+    let many: Vec<u32> = (0..400).map(|_| advisor.reject(10, 20.0, &mut rng)).collect();
+    let last = &many[200..];
+    for second in 1..=9 {
+        let together = last.iter().filter(|seconds| **seconds == second).count();
+        assert!(together < 100, "{together} of 200 return after {second} s");
+    }
+    assert!(last.iter().all(|seconds| (1..=10).contains(seconds)));
+    // Once the crowd has gone, the advised wait is as short as before.
+    assert_eq!(advisor.reject(60_000, 20.0, &mut rng), 1);
+}
+
+/// When heartbeats arrive at three times the rate at which they can be served, no lease is lost:
+/// workers whose last answer is oldest go first, so that none waits much longer than three rounds.
+#[test]
+fn heartbeats_at_three_times_the_service_rate_lose_no_lease() {
+    const WORKERS: usize = 3_000;
+    const ROUND_MS: u64 = 5_000;
+    /// A third of the rate at which heartbeats arrive.
+    const MS_PER_SERVED: u64 = 5;
+    const RETRY_MS: u64 = 1_000;
+    let mut queue: RequestQueue<usize> = RequestQueue::new(WORKERS);
+    let mut answered_ms = vec![0u64; WORKERS];
+    let mut due_ms: Vec<u64> =
+        (0..WORKERS as u64).map(|worker| worker * ROUND_MS / WORKERS as u64).collect();
+    let (mut longest_ms, mut credit_ms) = (0, 0);
+    for now_ms in 0..120_000u64 {
+        let due: Vec<usize> = (0..WORKERS).filter(|worker| due_ms[*worker] == now_ms).collect();
+        for worker in due {
+            let arrival = Arrival {
+                class: RequestClass::Heartbeat,
+                order: answered_ms[worker],
+                arrived_ms: now_ms,
+                request: worker,
+            };
+            let pushed = queue.push(arrival, LoadState::Shedding);
+            assert!(pushed.is_ok(), "heartbeats are always queued");
+        }
+        credit_ms += 1;
+        while credit_ms >= MS_PER_SERVED {
+            match queue.pop(now_ms) {
+                Some(Dequeued::Serve { request: worker, .. }) => {
+                    longest_ms = longest_ms.max(now_ms - answered_ms[worker]);
+                    answered_ms[worker] = now_ms;
+                    due_ms[worker] = now_ms + ROUND_MS;
+                    credit_ms -= MS_PER_SERVED;
+                }
+                // The worker tries the next controller and is back later.
+                Some(Dequeued::Reject { request: worker, .. }) => {
+                    due_ms[worker] = now_ms + RETRY_MS;
+                }
+                None => break,
+            }
+        }
+    }
+    assert!(longest_ms < 4 * ROUND_MS, "a worker had no answer for {longest_ms} ms");
+}
+
+/// A class with one item is not starved by one with hundreds, though only one item is served at a
+/// time and the order is computed anew each time; and no class is compensated for idle time.
+#[test]
+fn each_class_is_served_in_turn() {
+    let mut queue = FairQueue::default();
+    let mut waiting: Vec<(usize, &str)> = vec![(0, "many"); 500];
+    let mut served = Vec::new();
+    for step in 0..120 {
+        // Now and then one item of another class or team arrives.
+        if step % 40 == 39 {
+            waiting.extend([(0, "few"), (1, "many")]);
+        }
+        let mut tags = queue.tag_assigner();
+        let order: Vec<u64> =
+            waiting.iter().map(|(team, class)| tags.next_tag(*team, class)).collect();
+        let first = (0..waiting.len()).min_by_key(|position| order[*position]).unwrap();
+        let (team, class) = waiting.remove(first);
+        queue.record_service(team, class);
+        served.push((team, class));
+    }
+    for arrived_at_step in [39, 79] {
+        let next = &served[arrived_at_step..arrived_at_step + 4];
+        assert!(next.contains(&(0, "few")) && next.contains(&(1, "many")), "{next:?}");
+    }
+    assert!(served.iter().filter(|item| **item == (0, "many")).count() > 110);
+}
--- a/crates/quartzgate/src/daemon.rs
+++ b/crates/quartzgate/src/daemon.rs
@@ -9,7 +9,9 @@
 use mio::{Events, Interest, Poll, Token};
 use quartzgate_core::config::Config;
 use quartzgate_core::{Action, Call, CallId, Controller, Event, Now, Outcome, Peer, RequestId};
-use quartzgate_overload::{Class, Intake, Load, Next, Turned};
+use quartzgate_overload::{
+    Arrival, Dequeued, LoadMonitor, RequestClass, RequestQueue, RetryAdvisor,
+};
 use quartzgate_wire::http::{self, HttpError, Request, Response};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
@@ -91,9 +93,9 @@
     /// What is to be done, and when that was decided.
     actions: VecDeque<(u64, Action)>,
     events: VecDeque<Event>,
-    intake: Intake<Asked>,
-    load: Load,
-    turned: Turned,
+    request_queue: RequestQueue<Asked>,
+    load_monitor: LoadMonitor,
+    retry_advisor: RetryAdvisor,
     /// Requests of users that were looked at in the second before this one, and in this.
     pace: (f64, u32),
     figures_ms: u64,
@@ -142,9 +144,9 @@
             clients,
             mesh,
             conns: Slab::new(),
-            intake: Intake::new(sockets as usize),
-            load: Load::new(config.worker_patience_ms()),
-            turned: Turned::default(),
+            request_queue: RequestQueue::new(sockets as usize),
+            load_monitor: LoadMonitor::new(config.worker_patience_ms()),
+            retry_advisor: RetryAdvisor::default(),
             pace: (0.0, 0),
             figures_ms: 0,
             rng: SmallRng::from_os_rng(),
@@ -203,7 +205,7 @@
                 self.feed(Event::Tick);
                 self.watch_load(now);
             }
-            let busy = away || !self.intake.is_empty();
+            let busy = away || !self.request_queue.is_empty();
             let before = self.now_ms();
             let wait = if busy { 0 } else { tick_ms.saturating_sub(before).max(1) };
             if let Err(e) = self.poll.poll(&mut events, Some(Duration::from_millis(wait))) {
@@ -230,16 +232,18 @@
         let mut now = self.now_ms();
         let until = now + SLICE_MS;
         while now < until {
-            match self.intake.next(now) {
+            match self.request_queue.pop(now) {
                 None => return,
-                Some(Next::Refuse(class, asked)) => {
+                Some(Dequeued::Reject { class, request: asked }) => {
                     self.refuse_busy(class, asked.id);
                     self.settle();
                 }
-                Some(Next::Serve(class, asked, waited_ms)) => {
+                Some(Dequeued::Serve { class, request: asked, waited_ms }) => {
                     match class {
-                        Class::Report => self.load.note_report(waited_ms),
-                        Class::Health | Class::Other => {}
+                        RequestClass::Heartbeat => {
+                            self.load_monitor.record_heartbeat_wait(waited_ms)
+                        }
+                        RequestClass::HealthCheck | RequestClass::Other => {}
                         _ => self.pace.1 += 1,
                     }
                     let Asked { id, mesh, request } = asked;
@@ -257,23 +261,29 @@
     }
 
     /// Refuses a request that was not looked at, and says when to come back.
-    fn refuse_busy(&mut self, class: Class, id: RequestId) {
+    fn refuse_busy(&mut self, class: RequestClass, id: RequestId) {
         let now = self.now_ms();
         let mut response = Response::new(503, Vec::new());
         response.retry_after_s = Some(match class {
-            Class::Report | Class::Health => 1,
-            _ => self.turned.turn(now, self.pace.0, &mut self.rng),
+            RequestClass::Heartbeat | RequestClass::HealthCheck => 1,
+            _ => self.retry_advisor.reject(now, self.pace.0, &mut self.rng),
         });
         self.actions.push_back((now, Action::Answer { id, response }));
     }
 
     /// Follows how loaded this process is, and tells the core.
     fn watch_load(&mut self, now: u64) {
-        let oldest_ms = self.intake.oldest_ms(now);
-        let changed = self.load.tick(now, oldest_ms);
-        if let Some((old, new)) = changed {
-            let waiting = self.intake.len();
-            tracing::info!(from = old.name(), to = new.name(), waiting, oldest_ms, "load");
+        let oldest_ms = self.request_queue.oldest_wait_ms(now);
+        let changed = self.load_monitor.tick(now, oldest_ms);
+        if let Some(transition) = changed {
+            let waiting = self.request_queue.len();
+            tracing::info!(
+                from = transition.from.name(),
+                to = transition.to.name(),
+                waiting,
+                oldest_ms,
+                "load"
+            );
         }
         if now >= self.figures_ms {
             self.figures_ms = now + FIGURES_MS;
@@ -281,11 +291,12 @@
         } else if changed.is_none() {
             return;
         }
-        let mut figures = self.intake.figures();
+        let metrics = self.request_queue.metrics().into_iter();
+        let mut figures: Vec<_> = metrics.map(|metric| (metric.name, metric.value)).collect();
         figures.push(("sockets_inbound".into(), self.inbound as f64));
         figures.push(("sockets_outbound".into(), self.outbound as f64));
-        figures.push(("intake_turned_away".into(), self.turned.all() as f64));
-        self.feed(Event::Load { state: self.load.state(), figures });
+        figures.push(("intake_turned_away".into(), self.retry_advisor.total_rejections() as f64));
+        self.feed(Event::Load { state: self.load_monitor.state(), figures });
     }
 
     /// Gives the core an event and carries out all that follows.
@@ -454,15 +465,16 @@
                 let class = class_of(&request, mesh);
                 let came_ms = self.came_ms;
                 // Workers that were answered longest ago go first: their leases are shortest.
-                let standing = match (class, mesh) {
-                    (Class::Report, false) => conn.answered_ms,
-                    (Class::Report, true) => came_ms.saturating_sub(self.report_ms),
+                let order = match (class, mesh) {
+                    (RequestClass::Heartbeat, false) => conn.answered_ms,
+                    (RequestClass::Heartbeat, true) => came_ms.saturating_sub(self.report_ms),
                     _ => 0,
                 };
-                conn.worker |= class == Class::Report;
+                conn.worker |= class == RequestClass::Heartbeat;
                 self.requests.insert(id, n);
                 let asked = Asked { id, mesh, request };
-                if self.intake.push(class, standing, came_ms, asked, self.load.state()).is_some() {
+                let arrival = Arrival { class, order, arrived_ms: came_ms, request: asked };
+                if self.request_queue.push(arrival, self.load_monitor.state()).is_err() {
                     self.refuse_busy(class, id);
                 }
             }
@@ -795,24 +807,24 @@
 }
 
 /// The class of work that a request is.
-fn class_of(request: &Request, mesh: bool) -> Class {
+fn class_of(request: &Request, mesh: bool) -> RequestClass {
     let path = request.target.split('?').next().unwrap_or("");
     let holds = |text: &str| memchr::memmem::find(&request.body, text.as_bytes()).is_some();
     match (request.method.as_str(), path) {
         // Of what siblings pass on, users' requests have their own place.
-        ("POST", "/mesh") if mesh && holds("/checkin") => Class::Report,
+        ("POST", "/mesh") if mesh && holds("/checkin") => RequestClass::Heartbeat,
         ("POST", "/mesh") if mesh && holds("/api/jobs") => match () {
-            () if holds("/abort") => Class::Abort,
-            () if holds("/api/jobs/") => Class::Poll,
-            () => Class::Submit,
+            () if holds("/abort") => RequestClass::Abort,
+            () if holds("/api/jobs/") => RequestClass::StatusQuery,
+            () => RequestClass::Submit,
         },
-        ("POST", "/mesh") if mesh => Class::Report,
-        ("POST", "/checkin") => Class::Report,
-        ("GET", "/ready") => Class::Health,
-        ("POST", "/api/jobs") => Class::Submit,
-        ("POST", path) if path.ends_with("/abort") => Class::Abort,
-        ("GET", path) if path.starts_with("/api/jobs/") => Class::Poll,
-        _ => Class::Other,
+        ("POST", "/mesh") if mesh => RequestClass::Heartbeat,
+        ("POST", "/checkin") => RequestClass::Heartbeat,
+        ("GET", "/ready") => RequestClass::HealthCheck,
+        ("POST", "/api/jobs") => RequestClass::Submit,
+        ("POST", path) if path.ends_with("/abort") => RequestClass::Abort,
+        ("GET", path) if path.starts_with("/api/jobs/") => RequestClass::StatusQuery,
+        _ => RequestClass::Other,
     }
 }
 
