--- a/crates/scale/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,9 +1,9 @@
-//! `qg-scale`: what a controller costs as its fleet grows.
+//! `quartzgate-loadtest`: what a controller costs as its fleet grows.
 
-mod days;
 mod load;
 mod plot;
-mod served;
+mod scenarios;
+mod service_report;
 mod site;
 
 use std::path::PathBuf;
@@ -52,7 +52,7 @@
         #[arg(long, value_delimiter = ',')]
         logs: Vec<PathBuf>,
         #[command(flatten)]
-        bar: served::Least,
+        bar: service_report::Least,
         /// All classes and teams, not the least served of each day only.
         #[arg(long)]
         all: bool,
@@ -119,7 +119,9 @@
             let text = std::fs::read_to_string(&table).map_err(|e| named(e.to_string()))?;
             plot::plot(&text, &out).map_err(|e| named(e.to_string()))?;
         }
-        Command::Served { reports, logs, bar, all } => served::tell(&reports, &logs, bar, all)?,
+        Command::Served { reports, logs, bar, all } => {
+            service_report::tell(&reports, &logs, bar, all)?
+        }
         Command::Multiply { site, growth, out } => {
             let named = |e| format!("{}: {e}", site.display());
             let text = std::fs::read_to_string(&site).map_err(|e| named(e.to_string()))?;
@@ -134,8 +136,8 @@
     match run(Args::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("qg-scale: {e}");
-            let served = e.downcast_ref::<served::ServedError>();
+            eprintln!("quartzgate-loadtest: {e}");
+            let served = e.downcast_ref::<service_report::ServedError>();
             served.map_or(ExitCode::FAILURE, |e| e.exit_code().into())
         }
     }
--- a/crates/scale/src/served.rs
+++ b/crates/loadtest/src/service_report.rs
@@ -255,5 +255,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/served.rs"]
+#[path = "../tests/unit/service_report.rs"]
 mod tests;
--- a/crates/scale/src/site.rs
+++ b/crates/loadtest/src/site.rs
@@ -89,7 +89,7 @@
         keys.iter().for_each(|key| times(found, key, rates));
     }
     if let Some(days) = doc.get_mut("day").and_then(Item::as_array_of_tables_mut) {
-        days.iter().try_for_each(crate::days::check)?;
+        days.iter().try_for_each(crate::scenarios::check)?;
         for faults in days.iter_mut().filter_map(|d| d.get_mut("faults")) {
             for fault in faults.as_array_mut().into_iter().flat_map(|a| a.iter_mut()) {
                 multiply_fault(fault, by);
@@ -97,7 +97,7 @@
         }
     }
     if growth.own_days {
-        crate::days::replace(&mut doc)?;
+        crate::scenarios::replace(&mut doc)?;
     }
     Ok(doc.to_string())
 }
--- a/crates/scale/tests/unit/served.rs
+++ b/crates/loadtest/tests/unit/service_report.rs
@@ -1,4 +1,4 @@
-//! Tests of what `served.rs` keeps to itself.
+//! Tests of what `service_report.rs` keeps to itself.
 
 use super::*;
 
--- a/crates/scale/tests/unit/site.rs
+++ b/crates/loadtest/tests/unit/site.rs
@@ -123,7 +123,7 @@
     assert!(met.contains("at_once = true") && met.contains("state_outage"), "{met}");
     let limited = named("meet-cancel-now-limit").unwrap().to_string();
     assert!(limited.contains("cpus_max") && limited.contains("hang_s = 20.0"), "{limited}");
-    days.iter().for_each(|day| crate::days::check(day).unwrap());
+    days.iter().for_each(|day| crate::scenarios::check(day).unwrap());
 }
 
 /// Guards against a day that asks for something else than its writer thought: a key that its kind
