--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -38,7 +38,7 @@
     Multiply {
         site: PathBuf,
         #[command(flatten)]
-        growth: site::Growth,
+        scaling: site::SiteScaling,
         #[arg(long)]
         out: PathBuf,
     },
@@ -122,10 +122,10 @@
         Command::Served { reports, logs, bar, all } => {
             service_report::tell(&reports, &logs, bar, all)?
         }
-        Command::Multiply { site, growth, out } => {
+        Command::Multiply { site, scaling, out } => {
             let named = |e| format!("{}: {e}", site.display());
             let text = std::fs::read_to_string(&site).map_err(|e| named(e.to_string()))?;
-            let more = site::multiply(&text, &growth).map_err(|e| named(e.to_string()))?;
+            let more = site::scale_site(&text, &scaling).map_err(|e| named(e.to_string()))?;
             std::fs::write(&out, more).map_err(|e| format!("{}: {e}", out.display()))?;
         }
     }
--- a/crates/loadtest/tests/unit/site.rs
+++ b/crates/loadtest/tests/unit/site.rs
@@ -1,10 +1,10 @@
-//! Tests of what `site.rs` keeps to itself.
+//! Tests of scaling a site file, and of the generated scenarios that it may get.
 
 use super::*;
 
-fn by(by: f64) -> Growth {
+fn scaled_by(by: f64) -> SiteScaling {
     let (arrivals, sockets, restart_delay) = (None, None, None);
-    Growth { by, arrivals, sockets, rates: 1.0, restart_delay, own_days: false }
+    SiteScaling { by, arrivals, sockets, rates: 1.0, restart_delay, generated_scenarios: false }
 }
 
 const SITE: &str = r#"
@@ -43,13 +43,13 @@
 ]
 "#;
 
-/// Guards what a larger fleet is: more machines, work and room for it, on the same
-/// controllers; troubles of machines grow with it, those of controllers don't.
+/// A scaled site has more machines, jobs and quota for them, on the same controllers; faults of
+/// machines are scaled, those of controllers are not.
 #[test]
-fn a_fleet_is_multiplied_and_its_controllers_are_not() {
-    let more: DocumentMut = multiply(SITE, &by(2.0)).unwrap().parse().unwrap();
+fn fleet_is_scaled_and_controllers_are_not() {
+    let scaled: DocumentMut = scale_site(SITE, &scaled_by(2.0)).unwrap().parse().unwrap();
     let number = |path: &[&str]| {
-        let mut item: &Item = more.as_item();
+        let mut item: &Item = scaled.as_item();
         for key in path {
             item = match key.parse::<usize>() {
                 Ok(n) => &item[n],
@@ -72,65 +72,69 @@
     assert_eq!(number(&["day", "0", "faults", "1", "count"]), 2.0);
 }
 
-/// Guards against a file that is no site being passed on as one.
+/// A file that is not a site file is refused, with the missing key or the parse error.
 #[test]
-fn what_is_no_site_is_refused_by_name() {
-    let error = multiply("name = 'x'", &by(2.0)).unwrap_err().to_string();
+fn invalid_site_file_is_refused() {
+    let error = scale_site("name = 'x'", &scaled_by(2.0)).unwrap_err().to_string();
     assert!(error.contains("capacity"), "{error}");
-    assert!(multiply("name = ", &by(2.0)).is_err());
+    assert!(scale_site("name = ", &scaled_by(2.0)).is_err());
 }
 
-/// Guards against a trouble that nobody knows being passed on as if it would come.
+/// An unknown kind of fault is refused, since no run would inject it.
 #[test]
-fn an_unknown_kind_of_trouble_is_refused_by_name() {
-    let odd = SITE.replace("node_crash", "node_explodes");
-    assert_ne!(odd, SITE);
-    let error = multiply(&odd, &by(2.0)).unwrap_err().to_string();
+fn unknown_fault_kind_is_refused() {
+    let changed = SITE.replace("node_crash", "node_explodes");
+    assert_ne!(changed, SITE);
+    let error = scale_site(&changed, &scaled_by(2.0)).unwrap_err().to_string();
     assert!(error.contains("node_explodes") && error.contains("late_writes"), "{error}");
 }
 
-/// Guards what a day of our own is: every class of the site in a flood, guests that keep
-/// to their own class, restarts that are as quick as asked for, and sockets left alone.
+/// Generated scenarios flood every class of the site, keep best-effort submitters to their own
+/// class, restart controllers after the delay asked for, and leave the sockets as they are.
 #[test]
-fn days_of_our_own_flood_each_class_and_team() {
-    let growth = Growth {
+fn generated_scenarios_cover_each_class_and_fault() {
+    let scaling = SiteScaling {
         sockets: Some(1.0),
         arrivals: Some(1.0),
         restart_delay: Some(0.2),
-        own_days: true,
-        ..by(1.5)
+        generated_scenarios: true,
+        ..scaled_by(1.5)
     };
     let site =
         format!("duration_s = 300.0\nworkers = {{ cancel_s = 40.0, lease_s = 20.0 }}\n{SITE}");
-    let own: DocumentMut = multiply(&site, &growth).unwrap().parse().unwrap();
-    assert_eq!(own["nodes"]["restart_delay_s"].as_float(), Some(0.2));
-    assert_eq!(own["nodes"]["max_connections"].as_integer(), Some(100));
-    assert_eq!(own["jobs"][0]["initial"].as_integer(), Some(5));
-    let days = own["day"].as_array_of_tables().unwrap();
-    let named = |name: &str| days.iter().find(|d| d["name"].as_str() == Some(name));
+    let generated: DocumentMut = scale_site(&site, &scaling).unwrap().parse().unwrap();
+    assert_eq!(generated["nodes"]["restart_delay_s"].as_float(), Some(0.2));
+    assert_eq!(generated["nodes"]["max_connections"].as_integer(), Some(100));
+    assert_eq!(generated["jobs"][0]["initial"].as_integer(), Some(5));
+    let scenarios = generated["day"].as_array_of_tables().unwrap();
+    let named =
+        |name: &str| scenarios.iter().find(|scenario| scenario["name"].as_str() == Some(name));
     let flood = named("flood-j-x8").unwrap().to_string();
     assert!(flood.contains("job_burst") && flood.contains("node_crash"), "{flood}");
-    let guests = named("guests-80").unwrap();
-    let jobs = guests["jobs"].as_array().unwrap().to_string();
+    let best_effort = named("guests-80").unwrap();
+    let jobs = best_effort["jobs"].as_array().unwrap().to_string();
     assert!(jobs.contains("rate = 80.0") && jobs.contains("teams = [\"t\"]"), "{jobs}");
     assert!(named("d").is_none());
-    let gap = named("meet-gap").unwrap()["faults"].as_array().unwrap();
-    let outage = gap.get(1).and_then(Value::as_inline_table).unwrap();
+    let faults = named("meet-gap").unwrap()["faults"].as_array().unwrap();
+    let outage = faults.get(1).and_then(Value::as_inline_table).unwrap();
     assert_eq!(outage["kind"].as_str(), Some("state_outage"));
     assert_eq!(outage["for_s"].as_float(), Some(52.0));
-    // Each new trouble meets an end, an outage, a zone that is cut and a limit that binds.
-    let met = named("meet-answers-lost-outage").unwrap().to_string();
-    assert!(met.contains("at_once = true") && met.contains("state_outage"), "{met}");
+    // Each fault is paired with crashes, an outage, a zone that is cut off and limits that bind.
+    let answers_lost = named("meet-answers-lost-outage").unwrap().to_string();
+    assert!(
+        answers_lost.contains("at_once = true") && answers_lost.contains("state_outage"),
+        "{answers_lost}"
+    );
     let limited = named("meet-cancel-now-limit").unwrap().to_string();
     assert!(limited.contains("cpus_max") && limited.contains("hang_s = 20.0"), "{limited}");
-    days.iter().for_each(|day| crate::scenarios::check(day).unwrap());
+    scenarios.iter().for_each(|scenario| fault_schema::check_scenario(scenario).unwrap());
 }
 
-/// Guards against a day that asks for something else than its writer thought: a key that its kind
-/// has not, or a value out of range, is refused by day, kind, key and what is allowed.
+/// A key that a kind of fault does not have, or a value out of range, is refused with the scenario,
+/// the key and what is allowed.
 #[test]
-fn a_trouble_that_says_what_it_cant_is_refused() {
-    let wrong = [
+fn fault_with_unknown_key_or_value_is_refused() {
+    let invalid = [
         (
             "count = 2 },\n  { at_s = 9.0, kind = \"node",
             "counts = 2 },\n  { at_s = 9.0, kind = \"node",
@@ -142,11 +146,12 @@
         ("\"machine_die\", count = 2", "\"machine_mute\", share = 1.5", "`share`", "0 to 1"),
         ("\"machine_die\", count = 2", "\"late_writes\", at_once = 1", "`at_once`", "true"),
     ];
-    for (from, to, key, allowed) in wrong {
-        let odd = SITE.replacen(from, to, 1);
-        assert_ne!(odd, SITE, "{from}");
-        let error = multiply(&odd, &by(2.0)).unwrap_err().to_string();
-        let told = error.contains("day `d`") && error.contains(key) && error.contains(allowed);
-        assert!(told, "{error}");
+    for (from, to, key, allowed) in invalid {
+        let changed = SITE.replacen(from, to, 1);
+        assert_ne!(changed, SITE, "{from}");
+        let error = scale_site(&changed, &scaled_by(2.0)).unwrap_err().to_string();
+        let complete =
+            error.contains("scenario `d`") && error.contains(key) && error.contains(allowed);
+        assert!(complete, "{error}");
     }
 }
