--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,18 +1,17 @@
 //! `quartzgate-loadtest`: what a controller costs as its fleet grows.
 
-mod load;
 mod plot;
 mod scenarios;
 mod service_report;
+mod simulation;
 mod site;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use comfy_table::Table;
 
-use load::{Costs, Load, Sim};
+use simulation::{LoadOptions, Simulation};
 
 #[derive(Parser)]
 #[command(version, about = "What a controller of quartzgate costs as its fleet grows")]
@@ -32,7 +31,7 @@
         #[arg(long)]
         json: bool,
         #[command(flatten)]
-        load: Load,
+        options: LoadOptions,
     },
     /// Writes a site file of the bench with a larger fleet.
     Multiply {
@@ -66,51 +65,14 @@
     },
 }
 
-fn show(costs: &Costs) {
-    println!(
-        "{} machines, {} s: {:.3} of a core (busiest second {:.3}), longest event {:.1} ms; \
-         {} accepted, {} refused, {} starts, {} tasks done; start p50 {} ms, p99 {} ms",
-        costs.machines,
-        costs.seconds,
-        costs.mean,
-        costs.peak,
-        costs.longest_event_us as f64 / 1e3,
-        costs.accepted,
-        costs.refused,
-        costs.starts,
-        costs.tasks_done,
-        costs.start_p50_ms,
-        costs.start_p99_ms,
-    );
-    if let Some(ms) = costs.first_start_ms {
-        println!(
-            "taken over from {} records; a task was started after {ms} ms and {:.0} ms of processor",
-            costs.records, costs.takeover_cpu_ms
-        );
-    }
-    let mut table = Table::new();
-    table.set_header(["event", "times", "mean µs", "p99 µs", "longest µs", "share of a core"]);
-    for k in &costs.kinds {
-        table.add_row([
-            k.kind.to_string(),
-            k.events.to_string(),
-            format!("{:.1}", k.mean_us),
-            k.p99_us.to_string(),
-            k.max_us.to_string(),
-            format!("{:.4}", k.share),
-        ]);
-    }
-    println!("{table}");
-}
-
 fn run(args: Args) -> Result<(), Box<dyn std::error::Error>> {
     match args.command {
-        Command::Core { sizes, json, load } => {
+        Command::Core { sizes, json, options } => {
             for machines in sizes {
-                let costs = Sim::new(Load { machines, ..load.clone() }).run();
+                let costs = Simulation::new(LoadOptions { machines, ..options.clone() }).run();
                 match json {
                     true => println!("{}", serde_json::to_string(&costs)?),
-                    false => show(&costs),
+                    false => costs.print(),
                 }
             }
         }
--- /dev/null
+++ b/crates/loadtest/src/simulation/cloud.rs
@@ -0,0 +1,65 @@
+//! The cloud of a simulation: it lists the machines, and neither rents nor misses any.
+
+use quartzgate_core::Call;
+use quartzgate_wire::http::Response;
+use quartzgate_wire::msg::{CloudStatus, ListedMachine, MachineList, MachineType, MachineTypes};
+use quartzgate_wire::to_cbor;
+
+use super::worker::{Worker, MACHINE_TYPE, ZONES};
+
+/// Machines in one answer to a list request.
+const PAGE_SIZE: usize = 500;
+/// Age of all machines.
+const MACHINE_AGE_S: f64 = 600.0;
+
+/// Answers a request of the controller.
+pub fn answer(call: &Call, workers: &[Worker]) -> Response {
+    let path = call.target.split('?').next().unwrap_or_default();
+    match path {
+        "/machine_types" => Response::new(200, to_cbor(&machine_types())),
+        "/machines" if call.method == "GET" => {
+            let after = call.target.split("since=").nth(1).unwrap_or("");
+            Response::new(200, to_cbor(&list_machines(workers, after)))
+        }
+        "/machines" => Response::new(503, Vec::new()),
+        _ => Response::new(200, Vec::new()),
+    }
+}
+
+fn machine_types() -> MachineTypes {
+    let only_type = MachineType {
+        name: MACHINE_TYPE.into(),
+        cpus: 16.0,
+        gpus: 0.0,
+        memory_gb: 64.0,
+        cache_gb: 100.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: 0.3,
+        boot_s: 30.0,
+        zones: ZONES.map(String::from).to_vec(),
+    };
+    MachineTypes { types: vec![only_type] }
+}
+
+fn list_machines(workers: &[Worker], after: &str) -> MachineList {
+    let following = workers.iter().filter(|worker| worker.machine() > after);
+    let mut machines: Vec<ListedMachine> =
+        following.take(PAGE_SIZE + 1).map(listed_machine).collect();
+    let more = machines.len() > PAGE_SIZE;
+    machines.truncate(PAGE_SIZE);
+    MachineList { machines, more }
+}
+
+fn listed_machine(worker: &Worker) -> ListedMachine {
+    let identity = worker.identity();
+    ListedMachine {
+        name: identity.machine.clone(),
+        addr: identity.addr.clone(),
+        kind: identity.kind.clone(),
+        zone: identity.zone.clone(),
+        spot: identity.spot,
+        status: CloudStatus::Running,
+        age_s: MACHINE_AGE_S,
+    }
+}
--- /dev/null
+++ b/crates/loadtest/src/simulation/job_source.rs
@@ -0,0 +1,96 @@
+//! Draws the jobs that users submit.
+
+use quartzgate_wire::msg::{JobSpec, Rank, Shape};
+use rand::rngs::SmallRng;
+use rand::Rng;
+use rand_distr::{Distribution, Exp, LogNormal};
+
+use super::options::LoadOptions;
+
+/// Spread of the number of tasks and of run times: sigma of a log-normal distribution.
+const LOG_SIGMA: f64 = 0.7;
+/// The largest job has so many times the median number of tasks.
+const MAX_TASKS_FACTOR: u32 = 5;
+/// Part of the batch jobs with high priority; they have no deadline and save no checkpoints.
+const HIGH_PRIORITY_FRACTION: f64 = 0.4;
+/// Number of images that jobs are drawn from.
+const IMAGES: u32 = 12;
+/// Tasks of a service.
+const SERVICE_TASKS: u32 = 5;
+/// Seconds between a task's checkpoints, and seconds that saving one takes.
+const CHECKPOINT_INTERVAL_S: f64 = 15.0;
+const CHECKPOINT_SAVE_S: f64 = 2.0;
+/// The lowest rate of arrivals, so that the time between two stays finite.
+const MIN_ARRIVAL_RATE: f64 = 1e-3;
+
+/// Draws jobs and numbers them.
+pub struct JobSource {
+    next_number: u64,
+}
+
+impl JobSource {
+    /// A source whose first job has the number 1.
+    pub fn new() -> Self {
+        JobSource { next_number: 1 }
+    }
+
+    /// A service: production priority, spread over zones, no spot machines, no end.
+    pub fn service(&mut self, options: &LoadOptions, rng: &mut SmallRng) -> JobSpec {
+        JobSpec {
+            class: "web".into(),
+            team: "web".into(),
+            shape: Shape::Service,
+            rank: Rank::Production,
+            tasks: SERVICE_TASKS,
+            spread: true,
+            spot: false,
+            estimate_s: 0.0,
+            deadline_s: None,
+            ..self.batch_job(options, rng)
+        }
+    }
+
+    /// A job array of a random size.
+    pub fn batch_job(&mut self, options: &LoadOptions, rng: &mut SmallRng) -> JobSpec {
+        let tasks = log_normal(f64::from(options.tasks)).sample(rng) as u32;
+        let run_s = log_normal(options.run_s).sample(rng);
+        let high_priority = rng.random_bool(HIGH_PRIORITY_FRACTION);
+        let image = rng.random_range(0..IMAGES);
+        let id = format!("wk-{:08}", self.next_number);
+        self.next_number += 1;
+        JobSpec {
+            id,
+            class: "batch".into(),
+            team: "night".into(),
+            shape: Shape::Array,
+            rank: if high_priority { Rank::High } else { Rank::Normal },
+            tasks: tasks.clamp(1, options.tasks * MAX_TASKS_FACTOR),
+            cpus: 4.0,
+            gpus: 0.0,
+            memory_gb: 13.0,
+            image: format!("img-{image}"),
+            image_gb: 1.0,
+            types: None,
+            zone: None,
+            together: false,
+            spread: false,
+            spot: true,
+            estimate_s: run_s,
+            checkpoint_s: if high_priority { 0.0 } else { CHECKPOINT_INTERVAL_S },
+            save_s: if high_priority { 0.0 } else { CHECKPOINT_SAVE_S },
+            deadline_s: (!high_priority).then_some(2.0 * run_s + 20.0),
+            dependencies: Vec::new(),
+        }
+    }
+
+    /// Time until the next job arrives.
+    pub fn next_arrival_ms(&self, options: &LoadOptions, rng: &mut SmallRng) -> u64 {
+        let rate = options.arrival_rate().max(MIN_ARRIVAL_RATE);
+        let interval_s = Exp::new(rate).expect("the rate is positive").sample(rng);
+        ((interval_s * 1000.0) as u64).max(1)
+    }
+}
+
+fn log_normal(median: f64) -> LogNormal<f64> {
+    LogNormal::new(median.ln(), LOG_SIGMA).expect("a positive median has a finite logarithm")
+}
