--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,106 +1,70 @@
-//! `quartzgate-loadtest`: what a controller costs as its fleet grows.
+//! `quartzgate-loadtest`: load tests of quartzgate.
+//!
+//! - `simulate-core` measures what the scheduling core costs as its fleet grows ([`simulation`]).
+//! - `scale-site` writes larger site files for the bench, with generated scenarios if asked for
+//!   ([`site`], [`scenarios`]).
+//! - `service-report` tells from the bench's reports how well jobs were served
+//!   ([`service_report`]).
+//! - `plot` draws results for the docs ([`mod@plot`]).
 
+mod cli;
+mod error;
 mod plot;
 mod scenarios;
 mod service_report;
 mod simulation;
 mod site;
 
-use std::path::PathBuf;
+use std::path::Path;
 use std::process::ExitCode;
 
-use clap::{Parser, Subcommand};
+use clap::Parser;
 
+use cli::{Arguments, CliAction};
+use error::{read_text, write_text, CliError};
 use simulation::{LoadOptions, Simulation};
+use site::SiteScaling;
 
-#[derive(Parser)]
-#[command(version, about = "What a controller of quartzgate costs as its fleet grows")]
-struct Args {
-    #[command(subcommand)]
-    command: Command,
+fn main() -> ExitCode {
+    match run(Arguments::parse().action) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("quartzgate-loadtest: {error}");
+            error.exit_code().into()
+        }
+    }
 }
 
-#[derive(Subcommand)]
-enum Command {
-    /// Puts a load on the core alone and tells what each kind of event costs.
-    Core {
-        /// Fleets to try, one after another.
-        #[arg(long, value_delimiter = ',', default_values_t = [500, 1230, 2500, 5000, 10000])]
-        sizes: Vec<u32>,
-        /// A line of JSON for each fleet instead of tables.
-        #[arg(long)]
-        json: bool,
-        #[command(flatten)]
-        options: LoadOptions,
-    },
-    /// Writes a site file of the bench with a larger fleet.
-    Multiply {
-        site: PathBuf,
-        #[command(flatten)]
-        scaling: site::SiteScaling,
-        #[arg(long)]
-        out: PathBuf,
-    },
-    /// Tells from reports of the bench which share of each class and team was served; fails
-    /// if any is below.
-    Served {
-        #[arg(required = true)]
-        reports: Vec<PathBuf>,
-        /// What the controllers wrote on each of these days, at LOG_LEVEL=debug: with it the
-        /// share of each class's largest tenth is told as well.
-        #[arg(long, value_delimiter = ',')]
-        logs: Vec<PathBuf>,
-        #[command(flatten)]
-        bar: service_report::Least,
-        /// All classes and teams, not the least served of each day only.
-        #[arg(long)]
-        all: bool,
-    },
-    /// Draws what is kept as the fleet grows, from lines of `machines,aim,version,kept`.
-    Plot {
-        table: PathBuf,
-        /// The picture (SVG).
-        #[arg(long)]
-        out: PathBuf,
-    },
+fn run(action: CliAction) -> Result<(), CliError> {
+    match action {
+        CliAction::SimulateCore { sizes, json, options } => simulate_core(&sizes, json, &options),
+        CliAction::ScaleSite { site, scaling, out } => scale_site(&site, &scaling, &out),
+        CliAction::ServiceReport { reports, logs, objectives, all } => {
+            Ok(service_report::print_service_report(&reports, &logs, objectives, all)?)
+        }
+        CliAction::Plot { table, out } => plot_table(&table, &out),
+    }
 }
 
-fn run(args: Args) -> Result<(), Box<dyn std::error::Error>> {
-    match args.command {
-        Command::Core { sizes, json, options } => {
-            for machines in sizes {
-                let costs = Simulation::new(LoadOptions { machines, ..options.clone() }).run();
-                match json {
-                    true => println!("{}", serde_json::to_string(&costs)?),
-                    false => costs.print(),
-                }
-            }
-        }
-        Command::Plot { table, out } => {
-            let named = |e: String| format!("{}: {e}", table.display());
-            let text = std::fs::read_to_string(&table).map_err(|e| named(e.to_string()))?;
-            plot::plot(&text, &out).map_err(|e| named(e.to_string()))?;
-        }
-        Command::Served { reports, logs, bar, all } => {
-            service_report::tell(&reports, &logs, bar, all)?
-        }
-        Command::Multiply { site, scaling, out } => {
-            let named = |e| format!("{}: {e}", site.display());
-            let text = std::fs::read_to_string(&site).map_err(|e| named(e.to_string()))?;
-            let more = site::scale_site(&text, &scaling).map_err(|e| named(e.to_string()))?;
-            std::fs::write(&out, more).map_err(|e| format!("{}: {e}", out.display()))?;
+fn simulate_core(sizes: &[u32], json: bool, options: &LoadOptions) -> Result<(), CliError> {
+    for machines in sizes {
+        let costs = Simulation::new(LoadOptions { machines: *machines, ..options.clone() }).run();
+        match json {
+            true => println!("{}", serde_json::to_string(&costs)?),
+            false => costs.print(),
         }
     }
     Ok(())
 }
 
-fn main() -> ExitCode {
-    match run(Args::parse()) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("quartzgate-loadtest: {e}");
-            let served = e.downcast_ref::<service_report::ServedError>();
-            served.map_or(ExitCode::FAILURE, |e| e.exit_code().into())
-        }
-    }
+fn scale_site(path: &Path, scaling: &SiteScaling, out: &Path) -> Result<(), CliError> {
+    let text = read_text(path)?;
+    let scaled = site::scale_site(&text, scaling)
+        .map_err(|source| CliError::Site { path: path.into(), source: Box::new(source) })?;
+    write_text(out, &scaled)
+}
+
+fn plot_table(path: &Path, out: &Path) -> Result<(), CliError> {
+    let text = read_text(path)?;
+    plot::plot(&text, out).map_err(|source| CliError::Plot { path: path.into(), source })
 }
--- a/crates/loadtest/src/plot.rs
+++ b/crates/loadtest/src/plot.rs
@@ -1,78 +1,136 @@
-//! The curve of what is kept as the fleet grows, as a picture for the docs.
+//! Draws how well service-level objectives are attained as the fleet grows, for the docs.
 
-use std::collections::BTreeMap;
-use std::path::Path;
+use std::collections::{BTreeMap, BTreeSet};
+use std::error::Error;
+use std::path::{Path, PathBuf};
 
 use plotters::prelude::*;
 
+/// The columns of the table.
+const COLUMNS: &str = "machines,objective,version,attained";
+
+/// Size of the picture in pixels.
+const PICTURE_SIZE: (u32, u32) = (860, 420);
+/// How far the axes go beyond the largest value.
+const AXIS_MARGIN: f64 = 1.05;
+/// How strongly the curves of earlier versions are drawn.
+const EARLIER_VERSION_OPACITY: f64 = 0.35;
+
+/// A colour for each objective, in turn.
+const COLOURS: [RGBColor; 4] =
+    [RGBColor(178, 34, 52), RGBColor(0, 90, 160), RGBColor(20, 130, 60), RGBColor(200, 120, 0)];
+
+/// Why a table can't be drawn. The caller adds the path of the table.
 #[derive(Debug, thiserror::Error)]
 pub enum PlotError {
-    #[error("line {0}: wanted `machines,aim,version,kept`")]
-    Line(usize),
-    #[error("nothing to plot")]
+    /// A line has other columns, for instance because it is truncated.
+    #[error("line {line} has {found} columns; allowed is `{COLUMNS}`")]
+    Columns {
+        /// Number of the line, from 1.
+        line: usize,
+        /// Number of columns found.
+        found: usize,
+    },
+    /// A column that must hold a number holds something else.
+    #[error("line {line}: `{column}` is {value}; allowed is a number")]
+    NotANumber {
+        /// Number of the line, from 1.
+        line: usize,
+        /// Name of the column.
+        column: &'static str,
+        /// The value as written.
+        value: String,
+    },
+    /// The table has a header only.
+    #[error("the table has no lines; allowed is at least one of `{COLUMNS}`")]
     Empty,
-    #[error("can't draw: {0}")]
-    Draw(String),
+    /// The picture can't be drawn or written.
+    #[error("{out} can't be drawn: {source}", out = out.display())]
+    Draw {
+        /// The picture.
+        out: PathBuf,
+        /// What the drawing library or the system says.
+        source: Box<dyn Error>,
+    },
+}
+
+/// Which curve a point belongs to.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct CurveName {
+    objective: String,
+    version: String,
+}
+
+/// The part of jobs that met an objective, at a size of the fleet.
+#[derive(Clone, Copy)]
+struct Point {
+    machines: f64,
+    attained: f64,
 }
 
-/// Points by aim and version.
-type Series = BTreeMap<(String, String), Vec<(f64, f64)>>;
+type Curves = BTreeMap<CurveName, Vec<Point>>;
 
-/// Reads lines of `machines,aim,version,kept`; the first is their heading.
-fn read(text: &str) -> Result<Series, PlotError> {
-    let mut series = Series::new();
-    for (n, line) in text.lines().enumerate().skip(1).filter(|(_, l)| !l.trim().is_empty()) {
-        let parts: Vec<&str> = line.split(',').map(str::trim).collect();
-        let [machines, aim, version, kept] = parts[..] else { return Err(PlotError::Line(n + 1)) };
-        let number = |t: &str| t.parse::<f64>().map_err(|_| PlotError::Line(n + 1));
-        let point = (number(machines)?, number(kept)?);
-        series.entry((aim.to_string(), version.to_string())).or_default().push(point);
+/// Reads the lines of a table; the first is its header.
+fn read_curves(text: &str) -> Result<Curves, PlotError> {
+    let mut curves = Curves::new();
+    let lines = text.lines().enumerate().skip(1);
+    for (index, line) in lines.filter(|(_, line)| !line.trim().is_empty()) {
+        let (name, point) = parse_line(index + 1, line)?;
+        curves.entry(name).or_default().push(point);
     }
-    match series.is_empty() {
+    match curves.is_empty() {
         true => Err(PlotError::Empty),
-        false => Ok(series),
+        false => Ok(curves),
     }
 }
 
-const COLOURS: [RGBColor; 4] =
-    [RGBColor(178, 34, 52), RGBColor(0, 90, 160), RGBColor(20, 130, 60), RGBColor(200, 120, 0)];
+fn parse_line(line: usize, text: &str) -> Result<(CurveName, Point), PlotError> {
+    let columns: Vec<&str> = text.split(',').map(str::trim).collect();
+    let [machines, objective, version, attained] = columns[..] else {
+        return Err(PlotError::Columns { line, found: columns.len() });
+    };
+    let number = |column: &'static str, value: &str| {
+        value.parse::<f64>().map_err(|_| PlotError::NotANumber {
+            line,
+            column,
+            value: value.to_string(),
+        })
+    };
+    let name = CurveName { objective: objective.to_string(), version: version.to_string() };
+    let machines = number("machines", machines)?;
+    Ok((name, Point { machines, attained: number("attained", attained)? }))
+}
 
-/// Draws a curve for each aim and version: the last version full, earlier ones faint.
+/// Draws a curve for each objective and version: the last version full, earlier ones faint.
 pub fn plot(text: &str, out: &Path) -> Result<(), PlotError> {
-    let series = read(text)?;
-    let drawn = |e: &dyn std::fmt::Display| PlotError::Draw(e.to_string());
-    let most = series.values().flatten().map(|(x, _)| *x).fold(0.0, f64::max);
-    let area = SVGBackend::new(out, (860, 420)).into_drawing_area();
-    area.fill(&WHITE).map_err(|e| drawn(&e))?;
+    let curves = read_curves(text)?;
+    draw(&curves, out).map_err(|source| PlotError::Draw { out: out.into(), source })
+}
+
+fn draw(curves: &Curves, out: &Path) -> Result<(), Box<dyn Error>> {
+    let area = SVGBackend::new(out, PICTURE_SIZE).into_drawing_area();
+    area.fill(&WHITE)?;
+    let max_machines = curves.values().flatten().map(|point| point.machines).fold(0.0, f64::max);
     let mut chart = ChartBuilder::on(&area)
         .margin(16)
         .margin_right(30)
         .x_label_area_size(40)
         .y_label_area_size(54)
-        .build_cartesian_2d(0.0..most * 1.05, 0.0..1.05)
-        .map_err(|e| drawn(&e))?;
+        .build_cartesian_2d(0.0..max_machines * AXIS_MARGIN, 0.0..AXIS_MARGIN)?;
     chart
         .configure_mesh()
         .x_desc("machines")
-        .y_desc("share kept")
+        .y_desc("share attained")
         .x_label_formatter(&|x| format!("{x:.0}"))
         .y_label_formatter(&|y| format!("{y:.1}"))
         .label_style(("sans-serif", 14))
-        .draw()
-        .map_err(|e| drawn(&e))?;
-    let mut aims: Vec<&String> = series.keys().map(|(aim, _)| aim).collect();
-    aims.dedup();
-    let versions: std::collections::BTreeSet<&String> = series.keys().map(|(_, v)| v).collect();
-    let last = versions.iter().next_back().copied();
-    for ((aim, version), points) in &series {
-        let at = aims.iter().position(|a| *a == aim).unwrap_or(0);
-        let strength = if Some(version) == last { 1.0 } else { 0.35 };
-        let colour = COLOURS[at % COLOURS.len()].mix(strength);
-        let style = colour.stroke_width(2);
+        .draw()?;
+    for (name, points) in curves {
+        let style = curve_style(curves, name);
+        let points = points.iter().map(|point| (point.machines, point.attained));
         chart
-            .draw_series(LineSeries::new(points.iter().copied(), style).point_size(4))
-            .map_err(|e| drawn(&e))?
-            .label(format!("{aim}, {version}"))
+            .draw_series(LineSeries::new(points, style).point_size(4))?
+            .label(format!("{}, {}", name.objective, name.version))
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 22, y)], style));
     }
     chart
@@ -81,9 +139,19 @@
         .background_style(WHITE.mix(0.85))
         .border_style(BLACK.mix(0.3))
         .label_font(("sans-serif", 14))
-        .draw()
-        .map_err(|e| drawn(&e))?;
-    area.present().map_err(|e| drawn(&e))
+        .draw()?;
+    area.present()?;
+    Ok(())
+}
+
+/// A colour by objective, and faint for all versions but the last.
+fn curve_style(curves: &Curves, name: &CurveName) -> ShapeStyle {
+    let objectives: BTreeSet<&String> = curves.keys().map(|name| &name.objective).collect();
+    let index = objectives.iter().position(|known| **known == name.objective).unwrap_or(0);
+    let last_version = curves.keys().map(|name| &name.version).max();
+    let is_last = last_version == Some(&name.version);
+    let opacity = if is_last { 1.0 } else { EARLIER_VERSION_OPACITY };
+    COLOURS[index % COLOURS.len()].mix(opacity).stroke_width(2)
 }
 
 #[cfg(test)]
--- a/crates/loadtest/tests/unit/plot.rs
+++ b/crates/loadtest/tests/unit/plot.rs
@@ -1,11 +1,17 @@
-//! Tests of what `plot.rs` keeps to itself.
+//! Tests of reading the table that a picture is drawn from.
 
 use super::*;
 
-/// Guards against a damaged table being drawn as if it were whole.
+/// A truncated line, a value that is no number and a table without lines are refused, and not
+/// drawn as if the table were whole.
 #[test]
-fn a_damaged_line_is_named() {
-    let error = read("machines,aim,version,kept\n1230,up,1 before,0.9\n2460,up\n").unwrap_err();
-    assert_eq!(error.to_string(), "line 3: wanted `machines,aim,version,kept`");
-    assert!(matches!(read("machines,aim,version,kept\n"), Err(PlotError::Empty)));
+fn damaged_or_empty_table_is_refused() {
+    let header = "machines,objective,version,attained\n";
+    let error = |lines: &str| read_curves(&format!("{header}{lines}")).err().unwrap().to_string();
+    assert_eq!(
+        error("1230,up,1 before,0.9\n2460,up\n"),
+        "line 3 has 2 columns; allowed is `machines,objective,version,attained`"
+    );
+    assert_eq!(error("1230,up,1,0.9x\n"), "line 2: `attained` is 0.9x; allowed is a number");
+    assert!(matches!(read_curves(header), Err(PlotError::Empty)));
 }
