--- a/crates/loadtest/src/plot.rs
+++ b/crates/loadtest/src/plot.rs
@@ -120,7 +120,7 @@
     chart
         .configure_mesh()
         .x_desc("machines")
-        .y_desc("share attained")
+        .y_desc("fraction attained")
         .x_label_formatter(&|x| format!("{x:.0}"))
         .y_label_formatter(&|y| format!("{y:.1}"))
         .label_style(("sans-serif", 14))
--- a/crates/loadtest/src/simulation/cloud.rs
+++ b/crates/loadtest/src/simulation/cloud.rs
@@ -8,7 +8,7 @@
 use super::worker::{Worker, MACHINE_TYPE, ZONES};
 
 /// Machines in one answer to a list request.
-const PAGE_SIZE: usize = 500;
+const MAX_LISTED_MACHINES: usize = 500;
 /// Age of all machines.
 const MACHINE_AGE_S: f64 = 600.0;
 
@@ -45,9 +45,9 @@
 fn list_machines(workers: &[Worker], after: &str) -> MachineList {
     let following = workers.iter().filter(|worker| worker.machine() > after);
     let mut machines: Vec<ListedMachine> =
-        following.take(PAGE_SIZE + 1).map(listed_machine).collect();
-    let more = machines.len() > PAGE_SIZE;
-    machines.truncate(PAGE_SIZE);
+        following.take(MAX_LISTED_MACHINES + 1).map(listed_machine).collect();
+    let more = machines.len() > MAX_LISTED_MACHINES;
+    machines.truncate(MAX_LISTED_MACHINES);
     MachineList { machines, more }
 }
 
--- a/crates/loadtest/src/simulation/mod.rs
+++ b/crates/loadtest/src/simulation/mod.rs
@@ -258,7 +258,7 @@
     fn submit(&mut self, submission: Submission) {
         self.counters.submitted += 1;
         let id = self.next_request_id();
-        let request = post("/api/jobs", to_cbor(&submission.spec));
+        let request = post_request("/api/jobs", to_cbor(&submission.spec));
         self.open_submissions.insert(id, submission);
         self.feed_core(EventKind::UserRequest, Event::Client { id, request });
     }
@@ -316,7 +316,7 @@
         let body = to_cbor(&self.workers[worker].next_heartbeat());
         let id = self.next_request_id();
         self.open_heartbeats.insert(id, worker);
-        let request = post("/checkin", body);
+        let request = post_request("/checkin", body);
         self.feed_core(EventKind::Heartbeat, Event::Client { id, request });
     }
 
@@ -421,6 +421,6 @@
     }
 }
 
-fn post(target: &str, body: Vec<u8>) -> Request {
+fn post_request(target: &str, body: Vec<u8>) -> Request {
     Request { method: "POST".into(), target: target.into(), body, close: false }
 }
--- a/crates/loadtest/src/simulation/state_service.rs
+++ b/crates/loadtest/src/simulation/state_service.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Lists the keys with a prefix, after the last key of the page before.
+    /// Lists the keys with a prefix, after the last key of the list before.
     fn list(&self, query: &str) -> Response {
         let parameter = |name| query.split('&').find_map(|part| part.strip_prefix(name));
         let prefix = parameter("starts=").unwrap_or_default();
