--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -958,6 +958,6 @@
 
 fn parse_job(body: &[u8]) -> Result<JobSpec, String> {
     let spec: JobSpec = from_cbor(body).map_err(|e| e.to_string())?;
-    spec.check()?;
+    spec.check().map_err(|error| error.to_string())?;
     Ok(spec)
 }
--- a/crates/loadtest/src/simulation/job_source.rs
+++ b/crates/loadtest/src/simulation/job_source.rs
@@ -1,6 +1,6 @@
 //! Draws the jobs that users submit.
 
-use quartzgate_wire::msg::{JobSpec, Priority, JobKind};
+use quartzgate_wire::msg::{JobKind, JobSpec, Priority};
 use rand::rngs::SmallRng;
 use rand::Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
--- a/crates/loadtest/src/simulation/mod.rs
+++ b/crates/loadtest/src/simulation/mod.rs
@@ -20,7 +20,7 @@
 use quartzgate_core::records::{encode, JobRecord, RecordedStatus};
 use quartzgate_core::{Action, Call, CallId, Controller, Event, Now, Outcome, Peer, RequestId};
 use quartzgate_wire::http::{Request, Response};
-use quartzgate_wire::msg::{JobSpec, Order, OrdersRequest, HeartbeatAnswer};
+use quartzgate_wire::msg::{HeartbeatAnswer, JobSpec, Order, OrdersRequest};
 use quartzgate_wire::{from_cbor, to_cbor};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/loadtest/src/simulation/state_service.rs
+++ b/crates/loadtest/src/simulation/state_service.rs
@@ -6,7 +6,7 @@
 use quartzgate_core::Call;
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
-    Change, ChangeLog, Guard, LeaseAnswer, KeyValue, KeyValueList, Transaction, TransactionAnswer,
+    Change, ChangeLog, Guard, KeyValue, KeyValueList, LeaseAnswer, Transaction, TransactionAnswer,
 };
 use quartzgate_wire::{from_cbor, to_cbor};
 
--- a/crates/loadtest/src/simulation/worker.rs
+++ b/crates/loadtest/src/simulation/worker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use quartzgate_wire::msg::{ExitCause, JobSpec, Heartbeat, HeartbeatTask, JobKind, TaskStatus};
+use quartzgate_wire::msg::{ExitCause, Heartbeat, HeartbeatTask, JobKind, JobSpec, TaskStatus};
 
 /// The only type of machine.
 pub const MACHINE_TYPE: &str = "m16";
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,9 @@
 //! Messages of quartzgate's protocols and the HTTP codec that carries them.
 //!
-//! The wire has words of its own for a few things; they appear only in the serde
-//! renames here. Everywhere else the names are the field's: Task, Machine, Zone,
-//! Team, Attempt, Epoch, Lease.
+//! The protocols have names of their own for many things. They appear in the serde attributes
+//! of this crate only; everywhere else the names are the field's.
+
+#![warn(missing_docs)]
 
 pub mod http;
 pub mod msg;
@@ -13,6 +14,7 @@
 /// Deepest nesting accepted in a CBOR body; nothing in the protocols goes deeper.
 const MAX_DEPTH: usize = 32;
 
+/// A body that is not one well-formed message.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed CBOR body: {0}")]
 pub struct BodyError(String);
--- a/crates/wire/tests/hostile.rs
+++ b/crates/wire/tests/hostile.rs
@@ -41,7 +41,7 @@
 
 fn parse(v: &ciborium::value::Value) -> Result<JobSpec, String> {
     let spec: JobSpec = from_cbor(&to_cbor(v)).map_err(|e| e.to_string())?;
-    spec.check()?;
+    spec.check().map_err(|e| e.to_string())?;
     Ok(spec)
 }
 
