--- /dev/null
+++ b/crates/core/tests/golden/journal.rs
@@ -0,0 +1,146 @@
+//! What a cluster has said, message by message, and its comparison with the golden files.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::{Path, PathBuf};
+
+use quartzgate_wire::http::Response;
+
+use crate::cbor::{body_form, body_text, without_digits};
+
+/// Who a message is for, or whose request is answered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Channel {
+    ToStore,
+    ToCloud,
+    ToWorkers,
+    ToControllers,
+    AnswersToUsers,
+    AnswersToWorkers,
+    AnswersToControllers,
+}
+
+/// The messages of the controllers. Of each form the first is shown, byte for byte; all of them
+/// go into a digest for each channel.
+#[derive(Default)]
+pub struct Journal {
+    forms: BTreeSet<(Channel, String)>,
+    shown: Vec<(Channel, String)>,
+    digests: BTreeMap<Channel, Digest>,
+    /// Every message, for those who look for what has changed a digest.
+    all: String,
+}
+
+/// Number and FNV-1a hash of all messages over a channel.
+struct Digest {
+    messages: u64,
+    hash: u64,
+}
+
+impl Digest {
+    fn add(&mut self, text: &str) {
+        self.messages += 1;
+        for byte in text.bytes() {
+            self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+}
+
+impl Default for Digest {
+    fn default() -> Self {
+        Digest { messages: 0, hash: 0xcbf2_9ce4_8422_2325 }
+    }
+}
+
+impl Journal {
+    pub fn request(
+        &mut self,
+        channel: Channel,
+        from: &str,
+        to: &str,
+        method: &str,
+        target: &str,
+        body: &[u8],
+    ) {
+        let form = format!("{method} {} {}", without_digits(target), body_form(body));
+        let text = format!("{from} -> {to}: {method} {target}\n{}", indented(body));
+        self.keep(channel, form, text);
+    }
+
+    pub fn answer(&mut self, channel: Channel, question: &str, request: &[u8], answer: &Response) {
+        let form = format!(
+            "{} {} {} {:?} {}",
+            without_digits(question),
+            body_form(request),
+            answer.status,
+            answer.retry_after_s.is_some(),
+            body_form(&answer.body)
+        );
+        let later = answer.retry_after_s.map_or(String::new(), |s| format!(", retry after {s} s"));
+        let text = format!(
+            "{question}\n{}  answer {}{later}{}\n{}",
+            indented(request),
+            answer.status,
+            if answer.close { ", close" } else { "" },
+            indented(&answer.body)
+        );
+        self.keep(channel, form, text);
+    }
+
+    fn keep(&mut self, channel: Channel, form: String, text: String) {
+        self.digests.entry(channel).or_default().add(&text);
+        self.all.push_str(&text);
+        if self.forms.insert((channel, form)) {
+            self.shown.push((channel, text));
+        }
+    }
+
+    /// What was said over these channels, in order, and a digest of all of it.
+    pub fn text(&self, channels: &[Channel]) -> String {
+        let chosen = self.shown.iter().filter(|(c, _)| channels.contains(c));
+        let mut parts: Vec<String> = chosen.map(|(_, text)| text.clone()).collect();
+        for channel in channels {
+            if let Some(Digest { messages, hash }) = self.digests.get(channel) {
+                parts.push(format!("{channel:?}: {messages} messages, digest {hash:016x}\n"));
+            }
+        }
+        parts.join("\n")
+    }
+
+    /// Compares with a golden file. If `GOLDEN_TRACE` names a folder, every message is written
+    /// there, so that the traces of two versions can be compared.
+    pub fn assert_golden(&self, name: &str, channels: &[Channel]) {
+        if let Some(folder) = std::env::var_os("GOLDEN_TRACE") {
+            let file = Path::new(&folder).join(format!("{name}.txt"));
+            std::fs::write(file, &self.all).expect("the trace can be written");
+        }
+        assert_golden(name, &self.text(channels));
+    }
+}
+
+fn indented(body: &[u8]) -> String {
+    match body {
+        [] => String::new(),
+        _ => format!("  {}\n", body_text(body, 2)),
+    }
+}
+
+fn golden_file(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/expected").join(format!("{name}.txt"))
+}
+
+/// Compares with the golden file, line by line. `GOLDEN_UPDATE=1` writes the file instead: only
+/// for a change that is meant to change what others see, never for a refactoring.
+pub fn assert_golden(name: &str, text: &str) {
+    let file = golden_file(name);
+    if std::env::var_os("GOLDEN_UPDATE").is_some() {
+        std::fs::write(&file, text).expect("the golden file can be written");
+    }
+    let expected = std::fs::read_to_string(&file)
+        .unwrap_or_else(|e| panic!("golden file {}: {e}", file.display()));
+    for (number, (want, got)) in (1..).zip(expected.lines().zip(text.lines())) {
+        assert_eq!(want, got, "expected/{name}.txt, line {number}");
+    }
+    let (want, got) = (expected.lines().count(), text.lines().count());
+    assert_eq!(want, got, "expected/{name}.txt: number of lines");
+    assert!(expected == text, "expected/{name}.txt: line ends");
+}
