--- a/crates/core/tests/golden/cluster.rs
+++ b/crates/core/tests/golden/cluster.rs
@@ -74,6 +74,8 @@
     next_machine: u32,
     /// The cloud has no machines to rent.
     pub no_capacity: bool,
+    /// Machines in one answer of the cloud at most.
+    pub listed_at_once: usize,
     /// How tasks run, by job.
     pub runs: BTreeMap<String, Run>,
     messages: BTreeMap<(u64, u64), Message>,
@@ -139,6 +141,7 @@
             workers: BTreeMap::new(),
             next_machine: 0,
             no_capacity: true,
+            listed_at_once: 500,
             runs: BTreeMap::new(),
             messages: BTreeMap::new(),
             sent: 0,
@@ -540,9 +543,12 @@
                  "halls" => ["a"]}
             ]})),
             ("GET", "/machines") => {
-                let hosts: Vec<Value> = self
-                    .workers
-                    .values()
+                let since = target.split_once("since=").map_or("", |(_, rest)| rest);
+                let since = since.split('&').next().unwrap_or("");
+                let found = self.workers.values().filter(|w| w.name.as_str() > since);
+                let more = found.clone().count() > self.listed_at_once;
+                let hosts: Vec<Value> = found
+                    .take(self.listed_at_once)
                     .map(|w| {
                         raw!({
                             "ref" => w.name.as_str(), "addr" => w.addr.as_str(),
@@ -551,7 +557,7 @@
                         })
                     })
                     .collect();
-                ok(raw!({"hosts" => hosts, "more" => false}))
+                ok(raw!({"hosts" => hosts, "more" => more}))
             }
             ("POST", "/machines") if self.no_capacity => {
                 Response::new(503, encode(&raw!({"error" => "no capacity"})))
--- a/crates/core/tests/golden/journal.rs
+++ b/crates/core/tests/golden/journal.rs
@@ -61,7 +61,7 @@
         target: &str,
         body: &[u8],
     ) {
-        let form = format!("{method} {} {}", without_digits(target), body_form(body));
+        let form = format!("{method} {} {}", target_form(target), body_form(body));
         let text = format!("{from} -> {to}: {method} {target}\n{}", indented(body));
         self.keep(channel, form, text);
     }
@@ -117,6 +117,16 @@
     }
 }
 
+/// A target without the data in it; numbers of parameters that say how much is asked for stay.
+fn target_form(target: &str) -> String {
+    let (path, query) = target.split_once('?').unwrap_or((target, ""));
+    let parameters = query.split('&').map(|p| match p.starts_with("since=") {
+        true => "since".to_string(),
+        false => p.to_string(),
+    });
+    format!("{}?{}", without_digits(path), parameters.collect::<Vec<_>>().join("&"))
+}
+
 fn indented(body: &[u8]) -> String {
     match body {
         [] => String::new(),
--- a/crates/core/tests/golden/mesh.rs
+++ b/crates/core/tests/golden/mesh.rs
@@ -58,7 +58,8 @@
     assert_eq!(c.submit(0, &bound), 201);
     c.run_until(30_000, "its tasks run", |c| c.running("wk-000001") == 4);
     // One that hangs does not answer the sibling either.
-    c.workers.get_mut("vm-000003").expect("it is there").hangs = true;
+    let runs = |w: &&mut crate::worker::Worker| w.running().next().is_some();
+    c.workers.values_mut().find(runs).expect("one runs the tasks").hangs = true;
     assert_eq!(c.abort(0, "wk-000001"), 200);
     c.run(10_000);
     let channels = [MESH[0], MESH[1], Channel::ToWorkers];
@@ -128,6 +129,36 @@
     c.journal.assert_golden("mesh-without-the-store", &channels);
 }
 
+/// Workers are sent to a controller of their zone, and back to the leader after a while.
+#[test]
+fn redirected_workers() {
+    let mut c = three(4);
+    c.workers.get_mut("vm-000001").expect("it is there").node = 0;
+    c.workers.get_mut("vm-000002").expect("it is there").node = 1;
+    c.run(40_000);
+    c.journal.assert_golden("mesh-redirected-workers", &[Channel::AnswersToWorkers]);
+}
+
+/// The store no longer has the changes that are asked for, and lists its keys a few at a time.
+#[test]
+fn lists_instead_of_changes() {
+    let mut c = three(2);
+    c.runs.insert("wk-000001".into(), LONG);
+    for id in ["wk-000001", "wk-000002", "wk-000003"] {
+        assert_eq!(c.submit(0, &job(id, "array", 70)), 201);
+    }
+    c.store.listed_at_once = 2;
+    c.store.compacted_to = u64::MAX;
+    c.store.put("inbox/wk-000009", Value::Bool(false));
+    c.run(5_000);
+    c.store.compacted_to = 0;
+    c.run(2_000);
+    c.stop(0);
+    c.run(10_000);
+    assert_eq!(c.poll(1, "wk-000001"), c.poll(2, "wk-000001"));
+    c.journal.assert_golden("mesh-lists-instead-of-changes", &[Channel::ToStore]);
+}
+
 /// A message of the second controller.
 fn message(forward: Value) -> Value {
     raw!({"version" => 1, "from" => "n1", "epoch" => 0, "has_state" => true, "forward" => forward})
--- a/crates/core/tests/golden/metrics.rs
+++ b/crates/core/tests/golden/metrics.rs
@@ -32,7 +32,12 @@
     }
     let large = with(job("wk-000001", "array", 8), &[("vcpus", 6.0.into())]);
     assert_eq!(c.submit(0, &large), 201);
-    let gpus = [("job_class", "render".into()), ("gpus", 1.0.into()), ("hall", "a".into())];
+    let gpus = [
+        ("job_class", "render".into()),
+        ("gpus", 1.0.into()),
+        ("hall", "a".into()),
+        ("loaners", false.into()),
+    ];
     assert_eq!(c.submit(0, &with(job("wk-000002", "gang", 2), &gpus)), 201);
     assert_eq!(c.submit(1, &needing(job("wk-000003", "array", 1), &["wk-000004"])), 422);
     let typed = [("host_types", ciborium::Value::Array(vec!["k8".into()]))];
--- a/crates/core/tests/golden/records.rs
+++ b/crates/core/tests/golden/records.rs
@@ -29,7 +29,7 @@
         ("snapshot_cost_s", 4.0.into()),
     ];
     assert_eq!(c.submit(0, &with(job("wk-000001", "array", 3), &full)), 201);
-    assert_eq!(c.submit(0, &with(job("wk-000002", "array", 330), &[("vcpus", 0.5.into())])), 201);
+    assert_eq!(c.submit(0, &with(job("wk-000002", "array", 1_000), &[("vcpus", 0.5.into())])), 201);
     assert_eq!(c.submit(0, &with(job("wk-000003", "gang", 2), &[("together", true.into())])), 201);
     assert_eq!(c.submit(0, &job("wk-000004", "service", 2)), 201);
     assert_eq!(c.submit(0, &with(job("wk-000005", "array", 4), &[("spread", true.into())])), 201);
--- a/crates/core/tests/golden/store.rs
+++ b/crates/core/tests/golden/store.rs
@@ -44,6 +44,8 @@
     pub refuses: BTreeSet<usize>,
     /// Watches of changes before this revision get 410.
     pub compacted_to: u64,
+    /// Keys in one answer at most.
+    pub listed_at_once: usize,
     /// The status of the next transactions that set a key with this prefix, which are not executed.
     pub refuse_next: Option<(&'static str, u16, u32)>,
 }
@@ -63,6 +65,7 @@
             watches: Vec::new(),
             refuses: BTreeSet::new(),
             compacted_to: 0,
+            listed_at_once: 1_000,
             refuse_next: None,
         }
     }
@@ -84,7 +87,8 @@
         let number = |name: &str| parameter(name).map(|n| n.parse::<u64>().expect("a number"));
         let response = match (method, path) {
             ("GET", "/keys") => {
-                let most = number("most").unwrap_or(1_000) as usize;
+                let asked = number("most").unwrap_or(1_000) as usize;
+                let most = asked.min(self.listed_at_once);
                 let prefix = parameter("starts").expect("a prefix");
                 self.list(&prefix, &parameter("since").unwrap_or_default(), most)
             }
--- a/crates/core/tests/golden/workers.rs
+++ b/crates/core/tests/golden/workers.rs
@@ -22,15 +22,16 @@
         c.runs.insert(id.clone(), Run { run_ms: 400, cause });
         assert_eq!(c.submit(0, &job(&id, "array", 1)), 201);
     }
-    let saves = [("snapshot_every_s", 5.0.into()), ("snapshot_cost_s", 2.0.into())];
+    let saves = [("snapshot_every_s", 30.0.into()), ("snapshot_cost_s", 2.0.into())];
     for id in ["wk-000010", "wk-000011"] {
         c.runs.insert(id.into(), Run { run_ms: 60_000, cause: "done" });
         assert_eq!(c.submit(0, &with(job(id, "array", 2), &saves)), 201);
     }
     c.run_until(20_000, "they run", |c| c.running("wk-000010") + c.running("wk-000011") == 4);
+    c.run(4_000);
     // A notice that the machine is taken away, and a cancellation.
     let on_it = |w: &&mut crate::worker::Worker| w.running().any(|t| t.starts_with("wk-000010"));
-    c.workers.values_mut().find(on_it).expect("one runs it").notice_s = Some(30.0);
+    c.workers.values_mut().find(on_it).expect("one runs it").notice_s = Some(4.0);
     c.run(4_000);
     assert_eq!(c.abort(0, "wk-000011"), 200);
     c.run(10_000);
@@ -108,6 +109,7 @@
     assert_eq!(c.submit(0, &gpus), 201);
     c.run(2_000);
     c.no_capacity = false;
+    c.listed_at_once = 2;
     let ordinary = with(job("wk-000002", "gang", 6), &[("loaners", false.into())]);
     assert_eq!(c.submit(0, &ordinary), 201);
     assert_eq!(c.submit(0, &with(job("wk-000003", "array", 9), &[("hall", "b".into())])), 201);
--- /dev/null
+++ b/crates/quartzgate/tests/golden/sockets.rs
@@ -0,0 +1,182 @@
+//! The program on real sockets: heads and bodies of its answers and requests, and the figures
+//! that only the process itself can tell.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::process::{Child, Command, Stdio};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use quartzgate_wire::from_cbor;
+
+use crate::expected::{assert_golden, every_setting, file};
+
+/// Ends the program whatever becomes of the test.
+struct Program(Child);
+
+impl Drop for Program {
+    fn drop(&mut self) {
+        let _ = self.0.kill();
+        let _ = self.0.wait();
+    }
+}
+
+/// Heads of the requests that came, without the port.
+type Heads = Arc<Mutex<BTreeSet<String>>>;
+
+/// A service that answers every request with 503, and keeps its head.
+fn refusing_service(heads: Heads) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("an address is free");
+    let addr = listener.local_addr().expect("it has one");
+    std::thread::spawn(move || {
+        for stream in listener.incoming().flatten() {
+            let heads = heads.clone();
+            std::thread::spawn(move || refuse_all(stream, addr, &heads));
+        }
+    });
+    addr
+}
+
+fn refuse_all(mut stream: TcpStream, addr: SocketAddr, heads: &Heads) {
+    let mut buffer = [0; 4096];
+    while let Ok(n) = stream.read(&mut buffer) {
+        if n == 0 {
+            return;
+        }
+        let text = String::from_utf8_lossy(&buffer[..n]).into_owned();
+        let head = text.split("\r\n\r\n").next().unwrap_or("").replace(&addr.to_string(), "HOST");
+        heads.lock().expect("no panic").insert(head);
+        let _ = stream.write_all(b"HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n");
+    }
+}
+
+fn free_address() -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("an address is free");
+    listener.local_addr().expect("it has one")
+}
+
+fn connect(to: SocketAddr) -> TcpStream {
+    let until = Instant::now() + Duration::from_secs(20);
+    loop {
+        match TcpStream::connect(to) {
+            Ok(stream) => {
+                stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
+                return stream;
+            }
+            Err(e) => assert!(Instant::now() < until, "can't connect to the program: {e}"),
+        }
+        std::thread::sleep(Duration::from_millis(20));
+    }
+}
+
+/// Length of the body that a head tells.
+fn body_length(head: &str) -> usize {
+    let length = head.lines().find_map(|l| l.strip_prefix("Content-Length: "));
+    length.and_then(|l| l.parse().ok()).expect("a length")
+}
+
+/// Sends the bytes; the head and the body of the answer.
+fn exchange(stream: &mut TcpStream, request: &[u8]) -> (String, Vec<u8>) {
+    stream.write_all(request).expect("it is taken");
+    let (mut got, mut buffer) = (Vec::new(), [0; 4096]);
+    loop {
+        let end = got.windows(4).position(|w| w == b"\r\n\r\n").map(|at| at + 4);
+        if let Some(end) = end {
+            let head = String::from_utf8(got[..end].to_vec()).expect("text");
+            if got.len() >= end + body_length(&head) {
+                return (head, got[end..].to_vec());
+            }
+        }
+        let n = stream.read(&mut buffer).expect("an answer in time");
+        assert!(n > 0, "closed amid an answer: {got:?}");
+        got.extend_from_slice(&buffer[..n]);
+    }
+}
+
+/// The answer to a request on a connection of its own. One that the program did not look at for
+/// want of time (503 and no body) is asked again: the machine may be busy.
+fn ask(to: SocketAddr, request: &[u8]) -> (String, Vec<u8>) {
+    let until = Instant::now() + Duration::from_secs(60);
+    loop {
+        let (head, body) = exchange(&mut connect(to), request);
+        let unseen = head.starts_with("HTTP/1.1 503 ") && body.is_empty();
+        if !unseen || Instant::now() > until {
+            return (head, body);
+        }
+        std::thread::sleep(Duration::from_millis(500));
+    }
+}
+
+/// Bytes as text, others than printable ones escaped.
+fn escaped(bytes: &[u8]) -> String {
+    bytes.iter().flat_map(|b| std::ascii::escape_default(*b)).map(char::from).collect()
+}
+
+#[test]
+fn answers_requests_and_figures() {
+    let (to_store, to_cloud) = (Heads::default(), Heads::default());
+    let (clients, mesh) = (free_address(), free_address());
+    let mut settings = every_setting();
+    settings["client_listen"] = clients.to_string().into();
+    settings["mesh_addr"] = mesh.to_string().into();
+    settings["siblings"] = serde_json::json!([]);
+    settings["outside"]["state"] = refusing_service(to_store.clone()).to_string().into();
+    settings["outside"]["cloud"] = refusing_service(to_cloud.clone()).to_string().into();
+    let json = file("sockets", "settings.json", &settings.to_string());
+    let mut command = Command::new(env!("CARGO_BIN_EXE_quartzgate"));
+    command.env("LOG_LEVEL", "error").arg("--config").arg(json).stderr(Stdio::null());
+    let _program = Program(command.spawn().expect("the program can be started"));
+
+    let large = format!("A: {}", "a".repeat(9_000));
+    let requests = [
+        (clients, "GET /ready HTTP/1.1\r\n\r\n".to_string()),
+        (clients, "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n".into()),
+        (clients, "GET /ready HTTP/1.0\r\n\r\n".into()),
+        (clients, "GET /elsewhere HTTP/1.1\r\n\r\n".into()),
+        (clients, "PUT /ready HTTP/1.1\r\n\r\n".into()),
+        (clients, "GET /metrics HTTP/1.1\r\n\r\n".into()),
+        (clients, "POST /mesh HTTP/1.1\r\nContent-Length: 0\r\n\r\n".into()),
+        (clients, "POST /checkin HTTP/1.1\r\nContent-Length: 1\r\n\r\n0".into()),
+        (clients, "POST /api/jobs HTTP/1.1\r\nContent-Length: 1\r\n\r\n0".into()),
+        (clients, "GET /api/jobs/wk-000001 HTTP/1.1\r\n\r\n".into()),
+        (clients, "POST /api/jobs/wk-000001/abort HTTP/1.1\r\nContent-Length: 0\r\n\r\n".into()),
+        (clients, "nonsense\r\n\r\n".into()),
+        (clients, "POST /api/jobs HTTP/1.1\r\nContent-Length: 65537\r\n\r\n".into()),
+        (clients, format!("GET / HTTP/1.1\r\n{large}\r\n\r\n")),
+        (mesh, "GET /elsewhere HTTP/1.1\r\n\r\n".into()),
+        (mesh, "GET /mesh HTTP/1.1\r\n\r\n".into()),
+        (mesh, "POST /mesh HTTP/1.1\r\nContent-Length: 1\r\n\r\n0".into()),
+    ];
+    let mut text = String::new();
+    for (to, request) in requests {
+        let (head, body) = ask(to, request.as_bytes());
+        let asked = escaped(request.replace(&large, "A: (9,000 bytes)").as_bytes());
+        let (head, body) = (escaped(head.as_bytes()), escaped(&body));
+        text.push_str(&format!("{asked}\n  {head}\n  {body}\n"));
+    }
+    // Two requests on one connection.
+    let mut stream = connect(clients);
+    for _ in 0..2 {
+        let (head, _) = exchange(&mut stream, b"GET /ready HTTP/1.1\r\n\r\n");
+        assert!(head.starts_with("HTTP/1.1 503 "), "{head}");
+    }
+    assert_golden("answers", &text);
+
+    // The process tells its own figures once a second.
+    std::thread::sleep(Duration::from_millis(1_500));
+    let (head, body) = ask(mesh, b"GET /metrics HTTP/1.1\r\n\r\n");
+    assert!(head.starts_with("HTTP/1.1 200 OK\r\n"), "{head}");
+    let figures: BTreeMap<String, f64> = from_cbor(&body).expect("figures by name");
+    // Requests are refused unseen only on a very busy machine.
+    let names = figures.keys().filter(|name| !name.starts_with("intake_refused."));
+    let names: Vec<String> = names.map(|name| format!("{name}\n")).collect();
+    assert_golden("metrics", &names.concat());
+
+    // Heads of its own requests, in the order of the alphabet.
+    let shown = |heads: &Heads| {
+        let heads = heads.lock().expect("no panic");
+        heads.iter().map(|h| format!("{}\n", escaped(h.as_bytes()))).collect::<String>()
+    };
+    assert_golden("requests", &format!("{}{}", shown(&to_store), shown(&to_cloud)));
+}
