--- a/crates/core/tests/golden/main.rs
+++ b/crates/core/tests/golden/main.rs
@@ -6,6 +6,11 @@
 //! they are however the code is renamed or taken apart. `cluster` plays all parts but the
 //! controllers', and `journal` keeps what the controllers say and compares it with the files in
 //! `expected/`.
+//!
+//! Of each form of a message the first is shown in a file; a digest at its end covers all of them.
+//! If only a digest differs, `GOLDEN_TRACE=<folder>` writes every message of each test there, so
+//! that the traces of two versions can be compared. A refactoring leaves the files as they are;
+//! `GOLDEN_UPDATE=1` writes them anew for a change that is meant to be seen by others.
 
 mod cbor;
 mod cluster;
