--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -1,47 +1,81 @@
-//! HTTP/1.1 over byte buffers: httparse for the heads, bodies by length or chunks.
+//! HTTP/1.1 over byte buffers, as much of it as the protocols use.
+//!
+//! The parsers take one message off the front of a buffer that may hold a part of it or
+//! more than it. `httparse` reads the heads; bodies are framed by `Content-Length` or by
+//! chunks. A message that claims both, or two different lengths, is malformed: the two
+//! ends could disagree about where it ends. Nothing here does input or output.
 
-/// Heads larger than this are refused.
+#![warn(missing_docs)]
+
+use std::io::Write;
+
+use httparse::{Header, Status};
+
+/// Largest head accepted, in bytes.
 pub const MAX_HEAD: usize = 8 * 1024;
-/// Request bodies larger than this are refused with 413.
+/// Largest body of a request, in bytes; a larger one is refused with 413.
 pub const MAX_BODY: usize = 64 * 1024;
-/// Bodies of answers to our own calls; watches and listings have no limit of their own.
+/// Largest body of a response to a call of ours, in bytes. The protocol sets no limit for
+/// watches and listings.
 pub const MAX_ANSWER: usize = 4 * 1024 * 1024;
+/// Most headers accepted in a head.
 const MAX_HEADERS: usize = 48;
+/// Longest line that gives the size of a chunk, in bytes.
+const MAX_CHUNK_SIZE_LINE: usize = 64;
+/// End of a line, and of a chunk's data.
+const CRLF: &[u8] = b"\r\n";
+/// Media type of all bodies.
+const CONTENT_TYPE: &str = "application/cbor";
 
+/// A request, read whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
+    /// Method, in upper case as sent.
     pub method: String,
     /// Path with its query.
     pub target: String,
+    /// Body without its framing.
     pub body: Vec<u8>,
+    /// The client closes the connection after this exchange.
     pub close: bool,
 }
 
+/// A response, read whole or to be written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
+    /// Status code.
     pub status: u16,
+    /// Body without its framing.
     pub body: Vec<u8>,
+    /// Value of `Retry-After`, in seconds.
     pub retry_after_s: Option<u32>,
+    /// The server closes the connection after this exchange.
     pub close: bool,
 }
 
 impl Response {
+    /// A response after which the connection stays open.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Response { status, body, retry_after_s: None, close: false }
     }
 }
 
+/// Why a message can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
+    /// The bytes are not an HTTP/1.1 message with unambiguous framing.
     #[error("malformed message")]
     Malformed,
+    /// The head exceeds [`MAX_HEAD`] or has too many headers.
     #[error("head too large")]
     HeadTooLarge,
+    /// The body exceeds its limit.
     #[error("body too large")]
     BodyTooLarge,
 }
 
 impl HttpError {
+    /// Status of the response to a request that can't be read.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed => 400,
@@ -51,6 +85,83 @@
     }
 }
 
+/// Takes one request off the front of `buffer`, and says how many bytes it took; `None`
+/// while it is incomplete.
+pub fn parse_request(buffer: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut headers);
+    let head_length = match head.parse(buffer) {
+        Ok(Status::Complete(length)) if length <= MAX_HEAD => length,
+        Ok(Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLarge),
+        Err(_) => return Err(HttpError::Malformed),
+    };
+    let framing = Framing::from_headers(head.headers, head.version == Some(1))?;
+    let Some(body) = framing.read_body(buffer, head_length, MAX_BODY)? else { return Ok(None) };
+    let request = Request {
+        method: head.method.unwrap_or_default().to_string(),
+        target: head.path.unwrap_or_default().to_string(),
+        body: body.data,
+        close: framing.close,
+    };
+    Ok(Some((request, body.end)))
+}
+
+/// Takes one response off the front of `buffer`, and says how many bytes it took; `None`
+/// while it is incomplete.
+pub fn parse_response(buffer: &[u8]) -> Result<Option<(Response, usize)>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Response::new(&mut headers);
+    let head_length = match head.parse(buffer) {
+        Ok(Status::Complete(length)) => length,
+        Ok(Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(None),
+        _ => return Err(HttpError::Malformed),
+    };
+    let framing = Framing::from_headers(head.headers, head.version == Some(1))?;
+    let Some(body) = framing.read_body(buffer, head_length, MAX_ANSWER)? else { return Ok(None) };
+    let response = Response {
+        status: head.code.unwrap_or(0),
+        body: body.data,
+        retry_after_s: framing.retry_after_s,
+        close: framing.close,
+    };
+    Ok(Some((response, body.end)))
+}
+
+/// Appends a response to `out`.
+pub fn write_response(out: &mut Vec<u8>, response: &Response) {
+    append(out, format_args!("HTTP/1.1 {} {}\r\n", response.status, reason(response.status)));
+    write_content_headers(out, &response.body);
+    if let Some(seconds) = response.retry_after_s {
+        append(out, format_args!("Retry-After: {seconds}\r\n"));
+    }
+    if response.close {
+        out.extend_from_slice(b"Connection: close\r\n");
+    }
+    out.extend_from_slice(CRLF);
+    out.extend_from_slice(&response.body);
+}
+
+/// Appends a request to `out`. `POST` announces its body even when it is empty.
+pub fn write_request(out: &mut Vec<u8>, method: &str, target: &str, host: &str, body: &[u8]) {
+    append(out, format_args!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n"));
+    if !body.is_empty() || method == "POST" {
+        write_content_headers(out, body);
+    }
+    out.extend_from_slice(CRLF);
+    out.extend_from_slice(body);
+}
+
+fn write_content_headers(out: &mut Vec<u8>, body: &[u8]) {
+    append(out, format_args!("Content-Type: {CONTENT_TYPE}\r\n"));
+    append(out, format_args!("Content-Length: {}\r\n", body.len()));
+}
+
+fn append(out: &mut Vec<u8>, text: std::fmt::Arguments) {
+    out.write_fmt(text).expect("writing to a Vec can't fail");
+}
+
+/// What the headers say about the end of the message and of the connection.
 struct Framing {
     length: Option<usize>,
     chunked: bool,
@@ -58,127 +169,126 @@
     retry_after_s: Option<u32>,
 }
 
-fn framing(headers: &[httparse::Header], keep_alive: bool) -> Result<Framing, HttpError> {
-    let mut f = Framing { length: None, chunked: false, close: !keep_alive, retry_after_s: None };
-    for h in headers {
-        let text = std::str::from_utf8(h.value).map_err(|_| HttpError::Malformed)?.trim();
-        if h.name.eq_ignore_ascii_case("content-length") {
-            if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
-                return Err(HttpError::Malformed);
-            }
-            let n: usize = text.parse().map_err(|_| HttpError::BodyTooLarge)?;
-            if f.length.is_some_and(|old| old != n) {
-                return Err(HttpError::Malformed);
-            }
-            f.length = Some(n);
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            if !text.eq_ignore_ascii_case("chunked") {
+/// A body without its framing.
+struct Body {
+    data: Vec<u8>,
+    /// Where the message ends in the buffer.
+    end: usize,
+}
+
+impl Framing {
+    fn from_headers(headers: &[Header], keep_alive: bool) -> Result<Self, HttpError> {
+        let mut framing =
+            Framing { length: None, chunked: false, close: !keep_alive, retry_after_s: None };
+        for header in headers {
+            framing.add(header)?;
+        }
+        if framing.chunked && framing.length.is_some() {
+            return Err(HttpError::Malformed);
+        }
+        Ok(framing)
+    }
+
+    fn add(&mut self, header: &Header) -> Result<(), HttpError> {
+        let value = std::str::from_utf8(header.value).map_err(|_| HttpError::Malformed)?.trim();
+        let name = header.name;
+        if name.eq_ignore_ascii_case("content-length") {
+            self.set_length(value)?;
+        } else if name.eq_ignore_ascii_case("transfer-encoding") {
+            if !value.eq_ignore_ascii_case("chunked") {
                 return Err(HttpError::Malformed);
             }
-            f.chunked = true;
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            for word in text.split(',').map(str::trim) {
-                if word.eq_ignore_ascii_case("close") {
-                    f.close = true;
-                } else if word.eq_ignore_ascii_case("keep-alive") {
-                    f.close = false;
-                }
-            }
-        } else if h.name.eq_ignore_ascii_case("retry-after") {
-            f.retry_after_s = text.parse().ok();
+            self.chunked = true;
+        } else if name.eq_ignore_ascii_case("connection") {
+            self.set_connection_options(value);
+        } else if name.eq_ignore_ascii_case("retry-after") {
+            self.retry_after_s = value.parse().ok();
         }
+        Ok(())
     }
-    if f.chunked && f.length.is_some() {
-        return Err(HttpError::Malformed);
+
+    fn set_length(&mut self, value: &str) -> Result<(), HttpError> {
+        // `parse` alone would accept a leading plus sign.
+        if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
+            return Err(HttpError::Malformed);
+        }
+        let length = value.parse().map_err(|_| HttpError::BodyTooLarge)?;
+        if self.length.is_some_and(|earlier| earlier != length) {
+            return Err(HttpError::Malformed);
+        }
+        self.length = Some(length);
+        Ok(())
+    }
+
+    fn set_connection_options(&mut self, value: &str) {
+        for option in value.split(',').map(str::trim) {
+            if option.eq_ignore_ascii_case("close") {
+                self.close = true;
+            } else if option.eq_ignore_ascii_case("keep-alive") {
+                self.close = false;
+            }
+        }
     }
-    Ok(f)
-}
-
-/// Body of a message whose head ends at `start`; with it, where the message ends.
-fn body(
-    buf: &[u8],
-    start: usize,
-    f: &Framing,
-    max: usize,
-) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
-    if !f.chunked {
-        let n = f.length.unwrap_or(0);
-        if n > max {
+
+    /// Body of a message whose head ends at `start`; `None` while it is incomplete.
+    fn read_body(
+        &self,
+        buffer: &[u8],
+        start: usize,
+        max: usize,
+    ) -> Result<Option<Body>, HttpError> {
+        if self.chunked {
+            return read_chunks(buffer, start, max);
+        }
+        let length = self.length.unwrap_or(0);
+        if length > max {
             return Err(HttpError::BodyTooLarge);
         }
-        return Ok(buf.get(start..start + n).map(|b| (b.to_vec(), start + n)));
+        let end = start + length;
+        Ok(buffer.get(start..end).map(|data| Body { data: data.to_vec(), end }))
     }
-    let mut at = start;
-    let mut out = Vec::new();
-    loop {
-        match httparse::parse_chunk_size(&buf[at..]) {
-            Ok(httparse::Status::Partial) if buf.len() - at > 64 => {
-                return Err(HttpError::Malformed)
-            }
-            Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(HttpError::Malformed),
-            Ok(httparse::Status::Complete((head, size))) => {
-                let size = usize::try_from(size).map_err(|_| HttpError::BodyTooLarge)?;
-                if size > max || out.len() + size > max {
-                    return Err(HttpError::BodyTooLarge);
-                }
-                let from = at + head;
-                let Some(data) = buf.get(from..from + size + 2) else { return Ok(None) };
-                if &data[size..] != b"\r\n" {
-                    return Err(HttpError::Malformed);
-                }
-                out.extend_from_slice(&data[..size]);
-                at = from + size + 2;
-                if size == 0 {
-                    return Ok(Some((out, at)));
-                }
-            }
+}
+
+fn read_chunks(buffer: &[u8], start: usize, max: usize) -> Result<Option<Body>, HttpError> {
+    let mut body = Body { data: Vec::new(), end: start };
+    while let Some(chunk) = read_chunk(&buffer[body.end..], max - body.data.len())? {
+        body.end += chunk.encoded_length;
+        body.data.extend_from_slice(chunk.data);
+        if chunk.data.is_empty() {
+            return Ok(Some(body));
         }
     }
+    Ok(None)
 }
 
-/// Takes one request off the front of `buf`; `None` while it is incomplete.
-/// The number is how many bytes it took.
-pub fn parse_request(buf: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut req = httparse::Request::new(&mut headers);
-    let head = match req.parse(buf) {
-        Ok(httparse::Status::Complete(n)) if n <= MAX_HEAD => n,
-        Ok(httparse::Status::Partial) if buf.len() <= MAX_HEAD => return Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLarge),
-        Err(_) => return Err(HttpError::Malformed),
-    };
-    let f = framing(req.headers, req.version == Some(1))?;
-    let Some((data, end)) = body(buf, head, &f, MAX_BODY)? else { return Ok(None) };
-    let request = Request {
-        method: req.method.unwrap_or("").to_string(),
-        target: req.path.unwrap_or("").to_string(),
-        body: data,
-        close: f.close,
-    };
-    Ok(Some((request, end)))
+/// One chunk; the last one of a body is empty.
+struct Chunk<'a> {
+    data: &'a [u8],
+    /// Bytes that it takes in the buffer, with its size line and the end of its data.
+    encoded_length: usize,
 }
 
-/// Takes one response off the front of `buf`; `None` while it is incomplete.
-pub fn parse_response(buf: &[u8]) -> Result<Option<(Response, usize)>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut res = httparse::Response::new(&mut headers);
-    let head = match res.parse(buf) {
-        Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if buf.len() <= MAX_HEAD => return Ok(None),
-        _ => return Err(HttpError::Malformed),
-    };
-    let f = framing(res.headers, res.version == Some(1))?;
-    let Some((data, end)) = body(buf, head, &f, MAX_ANSWER)? else { return Ok(None) };
-    let response = Response {
-        status: res.code.unwrap_or(0),
-        body: data,
-        retry_after_s: f.retry_after_s,
-        close: f.close,
+/// Reads the chunk at the front of `buffer`; `None` while it is incomplete.
+fn read_chunk(buffer: &[u8], max: usize) -> Result<Option<Chunk<'_>>, HttpError> {
+    let (data_start, size) = match httparse::parse_chunk_size(buffer) {
+        Ok(Status::Complete(line)) => line,
+        Ok(Status::Partial) if buffer.len() <= MAX_CHUNK_SIZE_LINE => return Ok(None),
+        Ok(Status::Partial) | Err(_) => return Err(HttpError::Malformed),
     };
-    Ok(Some((response, end)))
+    let size = usize::try_from(size).map_err(|_| HttpError::BodyTooLarge)?;
+    if size > max {
+        return Err(HttpError::BodyTooLarge);
+    }
+    let encoded_length = data_start + size + CRLF.len();
+    let Some(data) = buffer.get(data_start..encoded_length) else { return Ok(None) };
+    let (data, end) = data.split_at(size);
+    if end != CRLF {
+        return Err(HttpError::Malformed);
+    }
+    Ok(Some(Chunk { data, encoded_length }))
 }
 
+/// Reason phrase of a status code.
 fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -198,27 +308,3 @@
         _ => "Status",
     }
 }
-
-pub fn write_response(out: &mut Vec<u8>, r: &Response) {
-    use std::io::Write;
-    let _ = write!(out, "HTTP/1.1 {} {}\r\n", r.status, reason(r.status));
-    let _ = write!(out, "Content-Type: application/cbor\r\nContent-Length: {}\r\n", r.body.len());
-    if let Some(s) = r.retry_after_s {
-        let _ = write!(out, "Retry-After: {s}\r\n");
-    }
-    if r.close {
-        out.extend_from_slice(b"Connection: close\r\n");
-    }
-    out.extend_from_slice(b"\r\n");
-    out.extend_from_slice(&r.body);
-}
-
-pub fn write_request(out: &mut Vec<u8>, method: &str, target: &str, host: &str, body: &[u8]) {
-    use std::io::Write;
-    let _ = write!(out, "{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
-    if !body.is_empty() || method == "POST" {
-        let _ = write!(out, "Content-Type: application/cbor\r\nContent-Length: {}\r\n", body.len());
-    }
-    out.extend_from_slice(b"\r\n");
-    out.extend_from_slice(body);
-}
