--- /dev/null
+++ b/crates/quartzgate/src/inbound.rs
@@ -0,0 +1,329 @@
+//! Requests of users, workers and other controllers, from the socket to the core.
+//!
+//! A request that was read whole is classified and queued. The queues are served in the
+//! order of the classes, so that heartbeats, which keep leases alive, overtake requests
+//! that can wait. Under overload, or when it has waited too long, a request is refused
+//! with `Retry-After` before the core sees it.
+
+use std::collections::HashMap;
+
+use quartzgate_core::{Action, Event, RequestId};
+use quartzgate_overload::{Class, Intake, Load, LoadState, Next, Turned};
+use quartzgate_wire::http::{HttpError, Request, Response};
+use rand::rngs::SmallRng;
+
+use crate::clock::Clock;
+use crate::connection::{Direction, Endpoint, Readiness, RequestProgress};
+use crate::connections::{ConnectionKey, ConnectionTable, Removed};
+
+/// How often the core is given new metrics.
+const METRICS_INTERVAL_MS: u64 = 1_000;
+/// `Retry-After` of a refused heartbeat or health check, in seconds: they come again soon
+/// in any case, and must not stay away longer.
+const MIN_RETRY_AFTER_S: u32 = 1;
+
+/// A request that waits for the core.
+struct QueuedRequest {
+    id: RequestId,
+    endpoint: Endpoint,
+    request: Request,
+}
+
+impl QueuedRequest {
+    fn into_event(self) -> Event {
+        let QueuedRequest { id, endpoint, request } = self;
+        match endpoint {
+            Endpoint::Clients => Event::Client { id, request },
+            Endpoint::Mesh => Event::Mesh { id, request },
+        }
+    }
+}
+
+/// What is to be done about the request that was queued longest in the first class.
+#[derive(Debug)]
+pub enum NextRequest {
+    /// The core handles it.
+    Handle(Event),
+    /// It is refused.
+    Refuse(Action),
+    /// Its client has gone.
+    Abandoned,
+}
+
+/// How many of the users' requests are served in a second.
+#[derive(Default)]
+struct Throughput {
+    last_second: f64,
+    this_second: u32,
+}
+
+impl Throughput {
+    fn count_one(&mut self) {
+        self.this_second += 1;
+    }
+
+    /// A second is over.
+    fn roll_over(&mut self) {
+        self.last_second = f64::from(std::mem::take(&mut self.this_second)).max(1.0);
+    }
+}
+
+/// Requests that were read and not answered yet.
+pub struct InboundRequests {
+    clock: Clock,
+    queue: Intake<QueuedRequest>,
+    load: Load,
+    retry_advisor: Turned,
+    throughput: Throughput,
+    rng: SmallRng,
+    connections: HashMap<RequestId, ConnectionKey>,
+    next_id: RequestId,
+    /// Earliest moment at which what is read now may have reached the sockets.
+    arrived_ms: u64,
+    heartbeat_interval_ms: u64,
+    next_metrics_ms: u64,
+}
+
+/// What the request queue needs to know of the settings.
+pub struct InboundSettings {
+    /// Requests that may be queued in a class; with as many as there are sockets, the bound
+    /// is never reached.
+    pub max_queued_per_class: usize,
+    /// Interval between two heartbeats of a worker.
+    pub heartbeat_interval_ms: u64,
+    /// How long a worker waits for the response to its heartbeat.
+    pub heartbeat_timeout_ms: u64,
+}
+
+impl InboundRequests {
+    /// No requests yet. `rng` spreads the times at which refused clients come again.
+    pub fn new(clock: Clock, settings: InboundSettings, rng: SmallRng) -> Self {
+        InboundRequests {
+            clock,
+            queue: Intake::new(settings.max_queued_per_class),
+            load: Load::new(settings.heartbeat_timeout_ms),
+            retry_advisor: Turned::default(),
+            throughput: Throughput::default(),
+            rng,
+            connections: HashMap::new(),
+            next_id: 1,
+            arrived_ms: 0,
+            heartbeat_interval_ms: settings.heartbeat_interval_ms,
+            next_metrics_ms: 0,
+        }
+    }
+
+    /// No request is queued.
+    pub fn is_empty(&self) -> bool {
+        self.queue.is_empty()
+    }
+
+    /// What is read from now on has reached the sockets at this moment at the earliest.
+    pub fn set_arrival(&mut self, arrived_ms: u64) {
+        self.arrived_ms = arrived_ms;
+    }
+
+    /// A connection's socket has become ready. Gives the refusal of the request that was
+    /// read, if it is refused at once.
+    pub fn on_ready(
+        &mut self,
+        connections: &mut ConnectionTable,
+        key: ConnectionKey,
+        ready: Readiness,
+    ) -> Option<Action> {
+        connections.get_mut(key)?.touch(self.clock.steady_ms());
+        if connections.transfer(key, ready).is_err() {
+            self.close(connections, key);
+            return None;
+        }
+        self.read_request(connections, key)
+    }
+
+    /// Sends the response to a request; if its client has gone, it is dropped. Gives the
+    /// refusal of the connection's next request, if it is refused at once.
+    pub fn respond(
+        &mut self,
+        connections: &mut ConnectionTable,
+        id: RequestId,
+        response: Response,
+    ) -> Option<Action> {
+        let now_ms = self.clock.steady_ms();
+        let key = self.connections.remove(&id)?;
+        let connection = connections.get_mut(key).filter(|c| c.is_processing(id))?;
+        if connection.send_response(response, now_ms).is_err() {
+            self.close(connections, key);
+            return None;
+        }
+        // The next request may be in the buffer already.
+        self.read_request(connections, key)
+    }
+
+    /// Closes a connection; its request, if it has one, is answered no more.
+    pub fn close(&mut self, connections: &mut ConnectionTable, key: ConnectionKey) {
+        if let Some(Removed::Inbound(Some(id))) = connections.remove(key) {
+            self.connections.remove(&id);
+        }
+    }
+
+    /// The next request by urgency.
+    pub fn next(&mut self, now_ms: u64) -> Option<NextRequest> {
+        let (class, queued, waited_ms) = match self.queue.next(now_ms)? {
+            Next::Refuse(class, queued) => {
+                return Some(NextRequest::Refuse(self.refuse(class, queued.id)));
+            }
+            Next::Serve(class, queued, waited_ms) => (class, queued, waited_ms),
+        };
+        match class {
+            Class::Report => self.load.note_report(waited_ms),
+            Class::Health | Class::Other => {}
+            Class::Abort | Class::Submit | Class::Poll => self.throughput.count_one(),
+        }
+        Some(match self.connections.contains_key(&queued.id) {
+            true => NextRequest::Handle(queued.into_event()),
+            false => NextRequest::Abandoned,
+        })
+    }
+
+    /// Follows how loaded this process is. Gives an event for the core when the load state
+    /// has changed or new metrics are due.
+    pub fn update_load(&mut self, now_ms: u64, connections: &ConnectionTable) -> Option<Event> {
+        let oldest_ms = self.queue.oldest_ms(now_ms);
+        let changed = self.load.tick(now_ms, oldest_ms);
+        if let Some((from, to)) = changed {
+            self.log_load_change(from, to, oldest_ms);
+        }
+        if now_ms >= self.next_metrics_ms {
+            self.next_metrics_ms = now_ms + METRICS_INTERVAL_MS;
+            self.throughput.roll_over();
+        } else if changed.is_none() {
+            return None;
+        }
+        Some(Event::Load { state: self.load.state(), figures: self.metrics(connections) })
+    }
+
+    fn log_load_change(&self, from: LoadState, to: LoadState, oldest_queued_ms: u64) {
+        let (from, to, queued) = (from.name(), to.name(), self.queue.len());
+        tracing::info!(from, to, queued, oldest_queued_ms, "load state changed");
+    }
+
+    fn metrics(&self, connections: &ConnectionTable) -> Vec<(String, f64)> {
+        let mut metrics = self.queue.figures();
+        metrics.push(("sockets_inbound".into(), connections.inbound() as f64));
+        metrics.push(("sockets_outbound".into(), connections.outbound() as f64));
+        metrics.push(("intake_turned_away".into(), self.retry_advisor.all() as f64));
+        metrics
+    }
+
+    /// Takes the next request off a connection, if it has come whole.
+    fn read_request(
+        &mut self,
+        connections: &mut ConnectionTable,
+        key: ConnectionKey,
+    ) -> Option<Action> {
+        let now_ms = self.clock.steady_ms();
+        match connections.get_mut(key)?.next_request(now_ms) {
+            Ok(RequestProgress::Incomplete) => None,
+            Ok(RequestProgress::Complete(request)) => {
+                self.enqueue(connections, key, request, now_ms)
+            }
+            Ok(RequestProgress::Finished) => {
+                self.close(connections, key);
+                None
+            }
+            Err(error) => {
+                self.reject(connections, key, error);
+                None
+            }
+        }
+    }
+
+    /// Queues a request for the core; the refusal if it can't be queued.
+    fn enqueue(
+        &mut self,
+        connections: &mut ConnectionTable,
+        key: ConnectionKey,
+        request: Request,
+        now_ms: u64,
+    ) -> Option<Action> {
+        let connection = connections.get_mut(key)?;
+        let &Direction::Inbound(endpoint) = connection.direction() else { return None };
+        let id = self.next_id;
+        self.next_id += 1;
+        connection.begin_processing(id, now_ms);
+        let class = classify(&request, endpoint);
+        if class == Class::Report {
+            connection.mark_worker();
+        }
+        let precedence = self.precedence(class, endpoint, connection.succeeded_ms());
+        self.connections.insert(id, key);
+        let queued = QueuedRequest { id, endpoint, request };
+        let state = self.load.state();
+        let refused = self.queue.push(class, precedence, self.arrived_ms, queued, state);
+        refused.map(|queued| self.refuse(class, queued.id))
+    }
+
+    /// Rank within a class, lowest first. Workers whose last heartbeat was answered longest
+    /// ago go first: their leases expire first. A sibling's message ranks as a heartbeat
+    /// that was last answered one interval ago.
+    fn precedence(&self, class: Class, endpoint: Endpoint, succeeded_ms: u64) -> u64 {
+        match (class, endpoint) {
+            (Class::Report, Endpoint::Clients) => succeeded_ms,
+            (Class::Report, Endpoint::Mesh) => {
+                self.arrived_ms.saturating_sub(self.heartbeat_interval_ms)
+            }
+            _ => 0,
+        }
+    }
+
+    /// Refuses a request that the core has not seen, and says when to come again.
+    fn refuse(&mut self, class: Class, id: RequestId) -> Action {
+        let mut response = Response::new(503, Vec::new());
+        response.retry_after_s = Some(match class {
+            Class::Report | Class::Health => MIN_RETRY_AFTER_S,
+            _ => {
+                let now_ms = self.clock.steady_ms();
+                self.retry_advisor.turn(now_ms, self.throughput.last_second, &mut self.rng)
+            }
+        });
+        Action::Answer { id, response }
+    }
+
+    /// Answers a request that can't be read.
+    fn reject(&mut self, connections: &mut ConnectionTable, key: ConnectionKey, error: HttpError) {
+        let now_ms = self.clock.steady_ms();
+        let Some(connection) = connections.get_mut(key) else { return };
+        let written = connection.send_rejection(error, now_ms);
+        if !matches!(written, Ok(false)) {
+            self.close(connections, key);
+        }
+    }
+}
+
+/// The class of work that a request is.
+fn classify(request: &Request, endpoint: Endpoint) -> Class {
+    let path = request.target.split('?').next().unwrap_or("");
+    match (request.method.as_str(), path) {
+        ("POST", "/mesh") if endpoint == Endpoint::Mesh => classify_forwarded(&request.body),
+        ("POST", "/checkin") => Class::Report,
+        ("GET", "/ready") => Class::Health,
+        ("POST", "/api/jobs") => Class::Submit,
+        ("POST", path) if path.ends_with("/abort") => Class::Abort,
+        ("GET", path) if path.starts_with("/api/jobs/") => Class::Poll,
+        _ => Class::Other,
+    }
+}
+
+/// The class of a sibling's message. Users' requests that it forwards keep their own class;
+/// the path inside tells, without decoding the message.
+fn classify_forwarded(body: &[u8]) -> Class {
+    let contains = |text: &str| memchr::memmem::find(body, text.as_bytes()).is_some();
+    if contains("/checkin") || !contains("/api/jobs") {
+        Class::Report
+    } else if contains("/abort") {
+        Class::Abort
+    } else if contains("/api/jobs/") {
+        Class::Poll
+    } else {
+        Class::Submit
+    }
+}
--- a/crates/quartzgate/src/main.rs
+++ b/crates/quartzgate/src/main.rs
@@ -1,7 +1,19 @@
 //! quartzgate: a cluster scheduler with constraint-aware, late-binding probes.
+//!
+//! This program is the shell round the core (`quartzgate-core`), which decides everything:
+//!
+//! - [`settings`] reads and checks the files;
+//! - [`event_loop`] brings events to the core and carries out its actions;
+//! - [`listeners`], [`connections`] and [`connection`] hold the sockets;
+//! - [`inbound`] queues requests for the core, [`outbound`] carries out its calls.
 
-mod conn;
-mod daemon;
+mod clock;
+mod connection;
+mod connections;
+mod event_loop;
+mod inbound;
+mod listeners;
+mod outbound;
 mod settings;
 
 use std::path::PathBuf;
@@ -9,6 +21,9 @@
 
 use clap::Parser;
 
+/// Exit code for a command line, an environment or settings that can't be used.
+const EXIT_USAGE: u8 = 2;
+
 /// A cluster scheduler with constraint-aware, late-binding probes.
 #[derive(Parser)]
 #[command(version, about)]
@@ -26,38 +41,42 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    if let Err(e) = start_logging() {
-        eprintln!("quartzgate: {e}");
-        return ExitCode::from(2);
+    if let Err(error) = start_logging() {
+        return fail(error, ExitCode::from(EXIT_USAGE));
     }
     let config = match settings::load(&cli.config, cli.operator.as_deref()) {
-        Ok(c) => c,
-        Err(e) => {
-            eprintln!("quartzgate: {e}");
-            return ExitCode::from(2);
-        }
+        Ok(config) => config,
+        Err(error) => return fail(error, ExitCode::from(EXIT_USAGE)),
     };
     if cli.check {
         print!("{}", settings::report(&config));
         return ExitCode::SUCCESS;
     }
-    match daemon::run(config) {
+    match event_loop::run(config) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("quartzgate: {e}");
-            ExitCode::FAILURE
-        }
+        Err(error) => fail(error, ExitCode::FAILURE),
     }
 }
 
+/// Says on standard error why the program ends.
+fn fail(error: impl std::error::Error, code: ExitCode) -> ExitCode {
+    eprintln!("quartzgate: {error}");
+    code
+}
+
+/// The environment names a log level that there isn't.
+#[derive(Debug, thiserror::Error)]
+#[error("LOG_LEVEL is error, info or debug, not `{0}`")]
+struct UnknownLogLevel(String);
+
 /// Structured logs on standard error, in the amount that LOG_LEVEL names.
-fn start_logging() -> Result<(), String> {
-    let word = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
-    let level = match word.to_ascii_lowercase().as_str() {
+fn start_logging() -> Result<(), UnknownLogLevel> {
+    let name = std::env::var("LOG_LEVEL").unwrap_or_default().to_ascii_lowercase();
+    let level = match name.as_str() {
         "error" => tracing::Level::ERROR,
         "info" | "" => tracing::Level::INFO,
         "debug" => tracing::Level::DEBUG,
-        other => return Err(format!("LOG_LEVEL is error, info or debug, not `{other}`")),
+        _ => return Err(UnknownLogLevel(name)),
     };
     tracing_subscriber::fmt()
         .with_max_level(level)
--- /dev/null
+++ b/crates/quartzgate/src/outbound.rs
@@ -0,0 +1,349 @@
+//! Calls of the core to its peers: those that wait for a connection, and those in flight.
+//!
+//! Every call ends in exactly one outcome. `NotSent` is said only when nothing of the
+//! request has left this process, so that it can't have any effect; a call that may have
+//! reached its peer and has no response is `Lost`.
+
+use std::collections::{HashMap, VecDeque};
+use std::net::{AddrParseError, SocketAddr};
+
+use mio::net::TcpStream;
+use quartzgate_core::{Call, CallId, Event, Outcome, Peer};
+use quartzgate_wire::http;
+use quartzgate_wire::settings::Platform;
+
+use crate::clock::Clock;
+use crate::connection::{
+    Direction, Handshake, OutboundRequest, Readiness, ResponseProgress, State,
+};
+use crate::connections::{ConnectionKey, ConnectionTable, OutboundCapacity, Removed};
+
+/// Calls that may wait for a connection, over all peers.
+const MAX_WAITING_CALLS: usize = 2_000;
+/// Room for the head of a request beside its body, in bytes.
+const HEAD_CAPACITY: usize = 160;
+
+/// Addresses of the peers that the settings name.
+pub struct PeerAddresses {
+    state: SocketAddr,
+    cloud: SocketAddr,
+    siblings: Vec<SocketAddr>,
+}
+
+impl PeerAddresses {
+    /// Reads them from the settings.
+    pub fn from_settings(platform: &Platform) -> Result<Self, AddrParseError> {
+        let siblings = platform.siblings.iter().map(|sibling| sibling.addr.parse());
+        Ok(PeerAddresses {
+            state: platform.services.state.parse()?,
+            cloud: platform.services.cloud.parse()?,
+            siblings: siblings.collect::<Result<_, _>>()?,
+        })
+    }
+
+    fn of(&self, peer: &Peer) -> SocketAddr {
+        match peer {
+            Peer::State => self.state,
+            Peer::Cloud => self.cloud,
+            Peer::Worker(address) => *address,
+            Peer::Sibling(index) => self.siblings[*index],
+        }
+    }
+}
+
+/// A call that waits for a connection.
+struct WaitingCall {
+    call: Call,
+    deadline_ms: u64,
+}
+
+/// A call whose request has been handed to a connection.
+struct InFlightCall {
+    peer: Peer,
+    /// The request once more, if it may be sent twice.
+    retry: Option<Vec<u8>>,
+}
+
+/// Calls that wait for a connection, by peer.
+struct WaitingCalls {
+    queues: HashMap<Peer, VecDeque<WaitingCall>>,
+    total: usize,
+    max_total: usize,
+    /// Peers whose calls wait for room under the limit of all connections together, in
+    /// order. A peer stands here once for each such call.
+    starved_peers: VecDeque<Peer>,
+}
+
+impl WaitingCalls {
+    fn new(max_total: usize) -> Self {
+        WaitingCalls { queues: HashMap::new(), total: 0, max_total, starved_peers: VecDeque::new() }
+    }
+
+    fn is_full(&self) -> bool {
+        self.total >= self.max_total
+    }
+
+    fn push(&mut self, waiting: WaitingCall) {
+        self.total += 1;
+        self.queues.entry(waiting.call.peer.clone()).or_default().push_back(waiting);
+    }
+
+    fn push_starved(&mut self, waiting: WaitingCall) {
+        self.starved_peers.push_back(waiting.call.peer.clone());
+        self.push(waiting);
+    }
+
+    fn pop(&mut self, peer: &Peer) -> Option<WaitingCall> {
+        let waiting = self.queues.get_mut(peer).and_then(VecDeque::pop_front);
+        if waiting.is_some() {
+            self.total -= 1;
+        } else {
+            self.queues.remove(peer);
+        }
+        waiting
+    }
+
+    fn pop_starved_peer(&mut self) -> Option<Peer> {
+        self.starved_peers.pop_front()
+    }
+
+    /// Takes out the calls whose time is over.
+    fn take_expired(&mut self, now_ms: u64) -> Vec<CallId> {
+        let mut expired = Vec::new();
+        for queue in self.queues.values_mut() {
+            queue.retain(|waiting| {
+                let in_time = waiting.deadline_ms > now_ms;
+                if !in_time {
+                    expired.push(waiting.call.id);
+                }
+                in_time
+            });
+        }
+        self.total -= expired.len();
+        expired
+    }
+}
+
+/// Carries out the calls of the core.
+pub struct OutboundCalls {
+    clock: Clock,
+    addresses: PeerAddresses,
+    waiting: WaitingCalls,
+    in_flight: HashMap<CallId, InFlightCall>,
+    /// Calls that have ended, for the core.
+    outcomes: VecDeque<Event>,
+}
+
+impl OutboundCalls {
+    /// No calls yet.
+    pub fn new(clock: Clock, addresses: PeerAddresses) -> Self {
+        OutboundCalls {
+            clock,
+            addresses,
+            waiting: WaitingCalls::new(MAX_WAITING_CALLS),
+            in_flight: HashMap::new(),
+            outcomes: VecDeque::new(),
+        }
+    }
+
+    /// The outcome of a call that has ended.
+    pub fn next_outcome(&mut self) -> Option<Event> {
+        self.outcomes.pop_front()
+    }
+
+    /// Starts a call. Its time counts from when it was decided: after a process stall in
+    /// between, one that is too late is not sent at all.
+    pub fn start(&mut self, connections: &mut ConnectionTable, call: Call, decided_ms: u64) {
+        let deadline_ms = decided_ms + call.timeout_ms;
+        self.place(connections, WaitingCall { call, deadline_ms });
+    }
+
+    /// A connection's socket has become ready.
+    pub fn on_ready(
+        &mut self,
+        connections: &mut ConnectionTable,
+        key: ConnectionKey,
+        ready: Readiness,
+    ) {
+        let now_ms = self.clock.steady_ms();
+        let Some(connection) = connections.get_mut(key) else { return };
+        connection.touch(now_ms);
+        match connection.advance_handshake(ready, now_ms) {
+            Handshake::Pending => return,
+            Handshake::Failed => return self.fail(connections, key, Outcome::NotSent),
+            Handshake::Complete => {}
+        }
+        match connections.transfer(key, ready) {
+            Ok(()) => self.take_response(connections, key),
+            Err(_) => self.on_broken(connections, key),
+        }
+    }
+
+    /// A connection has exceeded its time.
+    pub fn on_expired(&mut self, connections: &mut ConnectionTable, key: ConnectionKey) {
+        match connections.get(key).map(|connection| connection.state()) {
+            Some(State::Connecting(_)) => self.fail(connections, key, Outcome::NotSent),
+            _ => self.fail(connections, key, Outcome::Lost),
+        }
+    }
+
+    /// Gives up the waiting calls whose time is over.
+    pub fn expire_waiting(&mut self, now_ms: u64) {
+        for call in self.waiting.take_expired(now_ms) {
+            self.finish(call, Outcome::NotSent);
+        }
+    }
+
+    /// Sends a call on a pooled connection or a new one, or queues it until there is one.
+    fn place(&mut self, connections: &mut ConnectionTable, waiting: WaitingCall) {
+        if self.clock.steady_ms() >= waiting.deadline_ms {
+            return self.finish(waiting.call.id, Outcome::NotSent);
+        }
+        let peer = &waiting.call.peer;
+        if let Some(key) = connections.take_pooled(peer) {
+            let request = self.put_in_flight(waiting);
+            return self.send(connections, key, request);
+        }
+        match connections.make_outbound_capacity(peer) {
+            OutboundCapacity::Available => {
+                let peer = peer.clone();
+                let request = self.put_in_flight(waiting);
+                self.connect(connections, peer, request);
+            }
+            _ if self.waiting.is_full() => self.finish(waiting.call.id, Outcome::NotSent),
+            OutboundCapacity::PeerLimit => self.waiting.push(waiting),
+            OutboundCapacity::SocketLimit => self.waiting.push_starved(waiting),
+        }
+    }
+
+    /// Encodes a call's request. A read is kept, since it may be sent twice.
+    fn put_in_flight(&mut self, waiting: WaitingCall) -> OutboundRequest {
+        let WaitingCall { call, deadline_ms } = waiting;
+        let host = self.addresses.of(&call.peer).to_string();
+        let mut bytes = Vec::with_capacity(call.body.len() + HEAD_CAPACITY);
+        http::write_request(&mut bytes, call.method, &call.target, &host, &call.body);
+        let retry = (call.method == "GET").then(|| bytes.clone());
+        self.in_flight.insert(call.id, InFlightCall { peer: call.peer, retry });
+        OutboundRequest { id: call.id, bytes, deadline_ms }
+    }
+
+    /// Sends a request on a connection that is idle.
+    fn send(
+        &mut self,
+        connections: &mut ConnectionTable,
+        key: ConnectionKey,
+        request: OutboundRequest,
+    ) {
+        let now_ms = self.clock.steady_ms();
+        let Some(connection) = connections.get_mut(key) else { return };
+        if connection.begin_call(request, now_ms).is_err() {
+            self.on_broken(connections, key);
+        }
+    }
+
+    /// Opens a connection for a request, which is sent once the handshake is over.
+    fn connect(&mut self, connections: &mut ConnectionTable, peer: Peer, request: OutboundRequest) {
+        let (now_ms, call) = (self.clock.steady_ms(), request.id);
+        let connected = TcpStream::connect(self.addresses.of(&peer)).and_then(|stream| {
+            // Latency is worse without it, but the connection works.
+            let _ = stream.set_nodelay(true);
+            connections.insert_outbound(stream, peer, request, now_ms)
+        });
+        if connected.is_err() {
+            self.finish(call, Outcome::NotSent);
+        }
+    }
+
+    fn take_response(&mut self, connections: &mut ConnectionTable, key: ConnectionKey) {
+        let now_ms = self.clock.steady_ms();
+        let Some(connection) = connections.get_mut(key) else { return };
+        match connection.next_response(now_ms) {
+            ResponseProgress::Incomplete => {}
+            ResponseProgress::Finished => self.close(connections, key),
+            ResponseProgress::Interrupted => self.on_broken(connections, key),
+            ResponseProgress::Malformed => self.fail(connections, key, Outcome::Lost),
+            ResponseProgress::Complete { call, response, reusable } => {
+                let Direction::Outbound(peer) = connection.direction().clone() else { return };
+                self.finish(call, Outcome::Answer(response));
+                match reusable {
+                    true => connections.pool(key, peer.clone()),
+                    false => self.close(connections, key),
+                }
+                self.place_next(connections, &peer);
+            }
+        }
+    }
+
+    /// A connection broke. If it had been idle before, a read is sent once more on a new
+    /// one; any other request may have been executed.
+    fn on_broken(&mut self, connections: &mut ConnectionTable, key: ConnectionKey) {
+        let Some(connection) = connections.get(key) else { return };
+        let call = match connection.state() {
+            State::Connecting(_) => return self.fail(connections, key, Outcome::NotSent),
+            State::Calling(call) => call,
+            _ => return self.close(connections, key),
+        };
+        let deadline_ms = connection.deadline_ms();
+        let retry = match connection.broke_before_response() {
+            true => self.take_retry(call),
+            false => None,
+        };
+        let Some((peer, bytes)) = retry else {
+            return self.fail(connections, key, Outcome::Lost);
+        };
+        self.close(connections, key);
+        self.connect(connections, peer, OutboundRequest { id: call, bytes, deadline_ms });
+    }
+
+    /// The request of a call that may be sent once more, and its peer.
+    fn take_retry(&mut self, call: CallId) -> Option<(Peer, Vec<u8>)> {
+        let in_flight = self.in_flight.get_mut(&call)?;
+        let bytes = in_flight.retry.take()?;
+        Some((in_flight.peer.clone(), bytes))
+    }
+
+    /// The call on a connection, if there is one, has failed, and the connection with it.
+    fn fail(&mut self, connections: &mut ConnectionTable, key: ConnectionKey, outcome: Outcome) {
+        let Some(connection) = connections.get(key) else { return };
+        if let State::Connecting(call) | State::Calling(call) = connection.state() {
+            self.finish(call, outcome);
+        }
+        self.close(connections, key);
+    }
+
+    /// The one function that ends a call.
+    fn finish(&mut self, call: CallId, outcome: Outcome) {
+        self.in_flight.remove(&call);
+        self.outcomes.push_back(Event::Outcome { call, outcome });
+    }
+
+    fn close(&mut self, connections: &mut ConnectionTable, key: ConnectionKey) {
+        if let Some(Removed::Outbound(peer)) = connections.remove(key) {
+            self.place_next(connections, &peer);
+        }
+    }
+
+    /// A connection to a peer has become idle or was closed: the next call that waits for
+    /// the peer is placed, or else one that waits for room among all connections.
+    fn place_next(&mut self, connections: &mut ConnectionTable, peer: &Peer) {
+        if self.place_next_to(connections, peer) {
+            return;
+        }
+        if let Some(starved) = self.waiting.pop_starved_peer() {
+            self.place_next_to(connections, &starved);
+        }
+    }
+
+    /// Places the next call that waits for this peer; false if none does.
+    fn place_next_to(&mut self, connections: &mut ConnectionTable, peer: &Peer) -> bool {
+        let now_ms = self.clock.steady_ms();
+        while let Some(waiting) = self.waiting.pop(peer) {
+            if waiting.deadline_ms > now_ms {
+                self.place(connections, waiting);
+                return true;
+            }
+            self.finish(waiting.call.id, Outcome::NotSent);
+        }
+        false
+    }
+}
