--- a/crates/quartzgate/src/event_loop.rs
+++ b/crates/quartzgate/src/event_loop.rs
@@ -22,7 +22,7 @@
 use crate::connections::{ConnectionKey, ConnectionTable, EventSource};
 use crate::inbound::{InboundRequests, InboundSettings, NextRequest};
 use crate::listeners::{ListenError, Listeners};
-use crate::outbound::{OutboundCalls, PeerAddresses};
+use crate::outbound::{OutboundCalls, PeerAddresses, WaitingLimits};
 
 /// How often the core is told the time.
 const TICK_INTERVAL_MS: u64 = 25;
@@ -94,12 +94,16 @@
             heartbeat_interval_ms: config.report_ms(),
             heartbeat_timeout_ms: config.worker_patience_ms(),
         };
+        let waiting = WaitingLimits {
+            max_calls: config.max_queued_calls(),
+            max_bytes: config.max_held_bytes(),
+        };
         Ok(EventLoop {
             clock,
             listeners,
             connections,
             inbound: InboundRequests::new(clock, inbound, SmallRng::from_os_rng()),
-            outbound: OutboundCalls::new(clock, addresses),
+            outbound: OutboundCalls::new(clock, addresses, waiting),
             core: Controller::new(config, SmallRng::from_os_rng()),
             actions: VecDeque::new(),
         })
--- a/crates/quartzgate/src/outbound.rs
+++ b/crates/quartzgate/src/outbound.rs
@@ -18,8 +18,6 @@
 };
 use crate::connections::{ConnectionKey, ConnectionTable, OutboundCapacity, Removed};
 
-/// Calls that may wait for a connection, over all peers.
-const MAX_WAITING_CALLS: usize = 2_000;
 /// Room for the head of a request beside its body, in bytes.
 const HEAD_CAPACITY: usize = 160;
 
@@ -64,27 +62,51 @@
     retry: Option<Vec<u8>>,
 }
 
+impl WaitingCall {
+    fn bytes(&self) -> usize {
+        self.call.body.len()
+    }
+}
+
+/// Limits on the calls that wait for a connection, over all peers.
+#[derive(Clone, Copy, Debug)]
+pub struct WaitingLimits {
+    /// Number of calls.
+    pub max_calls: usize,
+    /// Bytes of their bodies. A single call may exceed it.
+    pub max_bytes: usize,
+}
+
 /// Calls that wait for a connection, by peer.
 struct WaitingCalls {
+    limits: WaitingLimits,
     queues: HashMap<Peer, VecDeque<WaitingCall>>,
-    total: usize,
-    max_total: usize,
+    calls: usize,
+    bytes: usize,
     /// Peers whose calls wait for room under the limit of all connections together, in
     /// order. A peer stands here once for each such call.
     starved_peers: VecDeque<Peer>,
 }
 
 impl WaitingCalls {
-    fn new(max_total: usize) -> Self {
-        WaitingCalls { queues: HashMap::new(), total: 0, max_total, starved_peers: VecDeque::new() }
+    fn new(limits: WaitingLimits) -> Self {
+        WaitingCalls {
+            limits,
+            queues: HashMap::new(),
+            calls: 0,
+            bytes: 0,
+            starved_peers: VecDeque::new(),
+        }
     }
 
-    fn is_full(&self) -> bool {
-        self.total >= self.max_total
+    fn has_room_for(&self, waiting: &WaitingCall) -> bool {
+        let fits = self.calls == 0 || self.bytes + waiting.bytes() <= self.limits.max_bytes;
+        fits && self.calls < self.limits.max_calls
     }
 
     fn push(&mut self, waiting: WaitingCall) {
-        self.total += 1;
+        self.calls += 1;
+        self.bytes += waiting.bytes();
         self.queues.entry(waiting.call.peer.clone()).or_default().push_back(waiting);
     }
 
@@ -94,13 +116,13 @@
     }
 
     fn pop(&mut self, peer: &Peer) -> Option<WaitingCall> {
-        let waiting = self.queues.get_mut(peer).and_then(VecDeque::pop_front);
-        if waiting.is_some() {
-            self.total -= 1;
-        } else {
+        let Some(waiting) = self.queues.get_mut(peer).and_then(VecDeque::pop_front) else {
             self.queues.remove(peer);
-        }
-        waiting
+            return None;
+        };
+        self.calls -= 1;
+        self.bytes -= waiting.bytes();
+        Some(waiting)
     }
 
     fn pop_starved_peer(&mut self) -> Option<Peer> {
@@ -115,11 +137,12 @@
                 let in_time = waiting.deadline_ms > now_ms;
                 if !in_time {
                     expired.push(waiting.call.id);
+                    self.bytes -= waiting.bytes();
                 }
                 in_time
             });
         }
-        self.total -= expired.len();
+        self.calls -= expired.len();
         expired
     }
 }
@@ -136,11 +159,11 @@
 
 impl OutboundCalls {
     /// No calls yet.
-    pub fn new(clock: Clock, addresses: PeerAddresses) -> Self {
+    pub fn new(clock: Clock, addresses: PeerAddresses, limits: WaitingLimits) -> Self {
         OutboundCalls {
             clock,
             addresses,
-            waiting: WaitingCalls::new(MAX_WAITING_CALLS),
+            waiting: WaitingCalls::new(limits),
             in_flight: HashMap::new(),
             outcomes: VecDeque::new(),
         }
@@ -210,7 +233,9 @@
                 let request = self.put_in_flight(waiting);
                 self.connect(connections, peer, request);
             }
-            _ if self.waiting.is_full() => self.finish(waiting.call.id, Outcome::NotSent),
+            _ if !self.waiting.has_room_for(&waiting) => {
+                self.finish(waiting.call.id, Outcome::NotSent);
+            }
             OutboundCapacity::PeerLimit => self.waiting.push(waiting),
             OutboundCapacity::SocketLimit => self.waiting.push_starved(waiting),
         }
@@ -347,3 +372,7 @@
         false
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/outbound.rs"]
+mod tests;
--- a/crates/quartzgate/tests/command_line.rs
+++ b/crates/quartzgate/tests/command_line.rs
@@ -1,9 +1,10 @@
-//! The command line and the settings, as a user meets them.
+//! The command line and the settings files, tested through the program.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-fn example() -> PathBuf {
+/// The platform's settings that the README shows.
+fn example_settings() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/example.json")
 }
 
@@ -11,6 +12,7 @@
     Command::new(env!("CARGO_BIN_EXE_quartzgate")).args(args).output().unwrap()
 }
 
+/// Whether `--check` accepts these settings, and what it says on standard error.
 fn check(name: &str, platform: &str, operator: Option<&str>) -> (bool, String) {
     let dir = std::env::temp_dir().join(format!("quartzgate-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
@@ -30,9 +32,9 @@
 
 /// Guards the example files that the README points at.
 #[test]
-fn the_examples_are_in_order() {
-    let platform = std::fs::read_to_string(example()).unwrap();
-    let yaml = example().with_file_name("operator.yaml");
+fn example_settings_are_valid() {
+    let platform = std::fs::read_to_string(example_settings()).unwrap();
+    let yaml = example_settings().with_file_name("operator.yaml");
     let operator = std::fs::read_to_string(yaml).unwrap();
     let (ok, text) = check("examples", &platform, Some(&operator));
     assert!(ok, "{text}");
@@ -40,11 +42,11 @@
     assert!(run(&["--help"]).status.success());
 }
 
-/// Guards the start: what is missing or makes no sense is named in one line, and the
-/// program ends; what is unknown in the platform's file is ignored.
+/// Guards the start: a field that is missing or invalid is named in one line, and the
+/// program ends; an unknown field in the platform's file is ignored.
 #[test]
-fn senseless_settings_are_refused_by_name() {
-    let good = std::fs::read_to_string(example()).unwrap();
+fn invalid_settings_are_refused_by_field() {
+    let good = std::fs::read_to_string(example_settings()).unwrap();
     let edited = |from: &str, to: &str| {
         assert!(good.contains(from));
         good.replacen(from, to, 1)
@@ -73,14 +75,33 @@
     }
 }
 
-/// Guards the dry run of a roll: what this build knows, and what is withheld here.
+/// Guards a refusal's message: file, field, value and what is allowed.
 #[test]
-fn the_check_tells_formats_and_features() {
+fn refusal_names_file_field_value_and_what_is_allowed() {
+    let good = std::fs::read_to_string(example_settings()).unwrap();
+    let bad = good.replacen("\"max_sockets\": 1024", "\"max_sockets\": 8", 1);
+    let (ok, said) = check("socket-limit", &bad, None);
+    assert!(!ok);
+    let expected =
+        "settings.json: setting `facts.resources.max_sockets` is `8`, but must be at least 32";
+    assert!(said.trim_end().ends_with(expected), "{said}");
+    let bad = good.replacen("\"cpus_max\": 256.0", "\"cpus_max\": -1.0", 1);
+    let (ok, said) = check("team", &bad, None);
+    assert!(!ok && said.contains("`facts.teams.0` is `{") && said.contains("-1.0"), "{said}");
+    let (ok, said) = check("probe-count", &good, Some("probes: 99"));
+    assert!(!ok);
+    let expected = "operator.yaml: setting `probes` is `99`, but must be from 1 to 16";
+    assert!(said.trim_end().ends_with(expected), "{said}");
+}
+
+/// Guards the dry run of a rollout: what this build knows, and what is withheld here.
+#[test]
+fn check_lists_formats_and_features() {
     let dir = std::env::temp_dir().join(format!("quartzgate-steps-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let yaml = dir.join("operator.yaml");
     std::fs::write(&yaml, "withhold: [format-2]").unwrap();
-    let (json, yaml) = (example(), yaml.display().to_string());
+    let (json, yaml) = (example_settings(), yaml.display().to_string());
     let json = json.to_str().unwrap();
     let out = run(&["--check", "--config", json, "--operator", &yaml]);
     std::fs::remove_dir_all(&dir).unwrap();
--- a/crates/quartzgate/tests/known_red.rs
+++ b/crates/quartzgate/tests/known_red.rs
@@ -30,7 +30,7 @@
 
 /// Guards a listed failure: it is printed with its cause and its issue, and the run passes.
 #[test]
-fn a_listed_failure_is_printed_and_passed_over() {
+fn listed_failure_is_printed_and_tolerated() {
     let judged = judge("listed", Some(LISTED), OUTPUT, 101);
     assert!(judged.status.success(), "{judged:?}");
     let said = String::from_utf8(judged.stdout).unwrap();
@@ -39,7 +39,7 @@
 
 /// Guards the ordinary run: without a list, or with an empty one, all must pass.
 #[test]
-fn without_a_list_the_run_is_the_ordinary_one() {
+fn every_failure_counts_without_a_list() {
     let fine = OUTPUT.replace("FAILED", "ok");
     for (n, list) in [None, Some(""), Some("\n  \n")].into_iter().enumerate() {
         let case = format!("ordinary-{n}");
@@ -50,7 +50,7 @@
 
 /// Guards against lists and runs that must not pass.
 #[test]
-fn what_is_not_in_order_fails() {
+fn invalid_lists_and_incomplete_runs_fail() {
     let fine = OUTPUT.replace("FAILED", "ok");
     let two_fail = OUTPUT.replace("holds ... ok", "holds ... FAILED");
     let twice = OUTPUT.replace("meetings::holds ... ok", "meetings::breaks ... FAILED");
--- /dev/null
+++ b/crates/quartzgate/tests/unit/outbound.rs
@@ -0,0 +1,58 @@
+//! Tests of the limits on calls that wait for a connection.
+
+use super::*;
+
+const LIMITS: WaitingLimits = WaitingLimits { max_calls: 3, max_bytes: 100 };
+
+fn worker(port: u16) -> Peer {
+    Peer::Worker(SocketAddr::from(([127, 0, 0, 1], port)))
+}
+
+fn waiting(id: CallId, peer: Peer, bytes: usize, deadline_ms: u64) -> WaitingCall {
+    let (method, target) = ("POST", "/orders".to_string());
+    let call = Call { id, peer, method, target, body: vec![0; bytes], timeout_ms: 1_000 };
+    WaitingCall { call, deadline_ms }
+}
+
+/// Guards memory: the number of waiting calls and the bytes of their bodies are bounded
+/// over all peers, and a call that leaves gives its room back.
+#[test]
+fn waiting_calls_are_bounded_by_number_and_bytes() {
+    let mut calls = WaitingCalls::new(LIMITS);
+    calls.push(waiting(1, worker(1), 60, 10));
+    assert!(!calls.has_room_for(&waiting(9, worker(2), 41, 10)), "too many bytes");
+    assert!(calls.has_room_for(&waiting(9, worker(2), 40, 10)));
+    calls.push(waiting(2, worker(2), 40, 10));
+    assert!(!calls.has_room_for(&waiting(9, worker(3), 1, 10)), "too many bytes");
+    assert_eq!(calls.pop(&worker(1)).map(|w| w.call.id), Some(1));
+    assert!(calls.has_room_for(&waiting(9, worker(3), 60, 10)));
+    calls.push(waiting(3, worker(3), 0, 10));
+    calls.push(waiting(4, worker(3), 0, 10));
+    assert!(!calls.has_room_for(&waiting(9, worker(3), 0, 10)), "too many calls");
+}
+
+/// Guards a large call: with nothing else waiting it is taken, whatever its size.
+#[test]
+fn a_single_call_may_exceed_the_bytes() {
+    let mut calls = WaitingCalls::new(LIMITS);
+    assert!(calls.has_room_for(&waiting(1, worker(1), 1_000, 10)));
+    calls.push(waiting(1, worker(1), 1_000, 10));
+    assert!(!calls.has_room_for(&waiting(2, worker(1), 0, 10)));
+}
+
+/// Guards expiry: calls whose time is over are taken out, and no others; their room is free.
+#[test]
+fn expired_calls_give_their_room_back() {
+    let mut calls = WaitingCalls::new(LIMITS);
+    calls.push(waiting(1, worker(1), 50, 10));
+    calls.push(waiting(2, worker(1), 10, 20));
+    calls.push(waiting(3, worker(2), 40, 10));
+    let mut expired = calls.take_expired(10);
+    expired.sort_unstable();
+    assert_eq!(expired, [1, 3]);
+    assert!(calls.has_room_for(&waiting(9, worker(3), 90, 30)));
+    assert!(!calls.has_room_for(&waiting(9, worker(3), 91, 30)));
+    assert_eq!(calls.pop(&worker(2)).map(|w| w.call.id), None);
+    assert_eq!(calls.pop(&worker(1)).map(|w| w.call.id), Some(2));
+    assert_eq!((calls.calls, calls.bytes), (0, 0));
+}
