--- a/crates/quartzgate/src/settings.rs
+++ b/crates/quartzgate/src/settings.rs
@@ -64,12 +64,28 @@
     }
 }
 
-/// The value of a field that is named by its path with dots.
+/// The value of a field that is named by its path with dots. Within a list, the values of
+/// all entries are given.
 fn value_at(document: &Value, field: &str) -> String {
-    let pointer = format!("/{}", field.replace('.', "/"));
-    let Some(value) = document.pointer(&pointer) else { return "not set".into() };
-    let quoted: String = value.to_string().chars().take(MAX_QUOTED_CHARS).collect();
-    format!("`{quoted}`")
+    match descend(document, field.split('.')) {
+        Value::Null => "not set".into(),
+        value => {
+            let quoted: String = value.to_string().chars().take(MAX_QUOTED_CHARS).collect();
+            format!("`{quoted}`")
+        }
+    }
+}
+
+fn descend<'a>(value: &Value, mut path: impl Iterator<Item = &'a str> + Clone) -> Value {
+    if let Value::Array(entries) = value {
+        if path.clone().next().is_some() {
+            return entries.iter().map(|entry| descend(entry, path.clone())).collect();
+        }
+    }
+    match path.next() {
+        None => value.clone(),
+        Some(key) => value.get(key).map_or(Value::Null, |inner| descend(inner, path)),
+    }
 }
 
 /// Reads and checks the platform's settings and, if there are any, the operators' own.
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -222,7 +222,8 @@
 #[derive(Debug, thiserror::Error)]
 #[error("setting `{field}` {problem}")]
 pub struct SettingsError {
-    /// Path of the field as the file spells it, with dots; list entries by their index.
+    /// Path of the field as the file spells it, with dots; it does not tell the entries of
+    /// a list apart.
     pub field: String,
     /// What is allowed.
     pub problem: String,
@@ -260,8 +261,8 @@
             check_text(field, text)?;
             check_address(field, text)?;
         }
-        for (index, sibling) in self.siblings.iter().enumerate() {
-            check_address(&format!("siblings.{index}.addr"), &sibling.addr)?;
+        for sibling in &self.siblings {
+            check_address("siblings.addr", &sibling.addr)?;
         }
         Ok(())
     }
@@ -305,12 +306,11 @@
         if self.teams.is_empty() {
             return Err(SettingsError::new("facts.teams", "must name a team"));
         }
-        for (index, team) in self.teams.iter().enumerate() {
+        for team in &self.teams {
             let quota = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
             if !quota.iter().all(|amount| (0.0..MAX_AMOUNT).contains(amount)) {
-                let field = format!("facts.teams.{index}");
                 let allowed = format!("must hold amounts from 0 to below {MAX_AMOUNT:e}");
-                return Err(SettingsError::new(field, allowed));
+                return Err(SettingsError::new("facts.teams", allowed));
             }
         }
         Ok(())
@@ -324,11 +324,8 @@
             next.check()?;
         }
         if self.lowest().value_kb < MIN_VALUE_KB {
-            let field = match self.value_kb < MIN_VALUE_KB {
-                true => "facts.state.value_kb",
-                false => "facts.state.next.value_kb",
-            };
-            return Err(SettingsError::new(field, format!("must be at least {MIN_VALUE_KB}")));
+            let allowed = format!("must be at least {MIN_VALUE_KB}, like `facts.state.value_kb`");
+            return Err(SettingsError::new("facts.state.next.value_kb", allowed));
         }
         Ok(())
     }
