--- a/crates/core/src/keeper.rs
+++ b/crates/core/src/keeper.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use quartzgate_hearing::{Age, Copies};
+use quartzgate_reachability::{DuplicateDetector, Freshness, MessageNumber};
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
     Change, Guard, Order, Report, ReportAnswer, TaskStatus, Transaction, TransactionAnswer,
@@ -43,7 +43,7 @@
 /// Where the messages of a worker stand that came here, and when the last one came.
 #[derive(Clone, Copy, Debug, Default)]
 struct Seen {
-    copies: Copies,
+    duplicates: DuplicateDetector,
     heard_ms: u64,
 }
 
@@ -126,7 +126,11 @@
         let seen = self.keeper.seen.entry(report.machine.clone()).or_default();
         seen.heard_ms = now;
         // A copy needs no keeper: nothing is claimed, posted or raised for it.
-        if seen.copies.report(report.tenure, report.seq) == Age::Copy {
+        if seen
+            .duplicates
+            .record_heartbeat(MessageNumber { agent_epoch: report.tenure, sequence: report.seq })
+            == Freshness::Duplicate
+        {
             self.copies_dropped += 1;
             return false;
         }
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -1,6 +1,6 @@
 //! Membership, leadership, and what the controllers tell one another.
 
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
     Change, ChangeLog, Guard, LeaseAnswer, LeaseRequest, MeshMessage, PairList, Transaction,
@@ -622,7 +622,11 @@
                 if l.retakes >= RETAKES {
                     return self.let_go(*stamp);
                 }
-                (*stamp, None, if self.has(Feature::Pieces) { l.retakes + 1 } else { 0 })
+                (
+                    *stamp,
+                    None,
+                    if self.has(Feature::SplitPlacementRecords) { l.retakes + 1 } else { 0 },
+                )
             }
             (Some(_), _) => return,
             (None, Role::Follower) if now >= self.member.elect_due_ms => (0, None, 0),
--- a/crates/core/src/restore.rs
+++ b/crates/core/src/restore.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use quartzgate_ladder::Feature;
+use quartzgate_feature_gates::Feature;
 use quartzgate_wire::from_cbor;
 use quartzgate_wire::msg::{Pair, PairList, Report};
 
@@ -178,7 +178,7 @@
         self.restore.since = None;
         self.restore.phase = match phase {
             // Before the jobs' own records, which go ahead of what pages say.
-            Phase::Format if self.has(Feature::SharedPages) => Phase::Pages,
+            Phase::Format if self.has(Feature::BatchRecords) => Phase::Pages,
             Phase::Format | Phase::Pages => Phase::Jobs,
             Phase::Jobs => {
                 self.restore_paged();
--- a/crates/quartzgate/src/inbound.rs
+++ b/crates/quartzgate/src/inbound.rs
@@ -8,7 +8,9 @@
 use std::collections::HashMap;
 
 use quartzgate_core::{Action, Event, RequestId};
-use quartzgate_overload::{Class, Intake, Load, LoadState, Next, Turned};
+use quartzgate_overload::{
+    Arrival, Dequeued, LoadMonitor, LoadTransition, RequestClass, RequestQueue, RetryAdvisor,
+};
 use quartzgate_wire::http::{HttpError, Request, Response};
 use rand::rngs::SmallRng;
 
@@ -71,9 +73,9 @@
 /// Requests that were read and not answered yet.
 pub struct InboundRequests {
     clock: Clock,
-    queue: Intake<QueuedRequest>,
-    load: Load,
-    retry_advisor: Turned,
+    queue: RequestQueue<QueuedRequest>,
+    load_monitor: LoadMonitor,
+    retry_advisor: RetryAdvisor,
     throughput: Throughput,
     rng: SmallRng,
     connections: HashMap<RequestId, ConnectionKey>,
@@ -100,9 +102,9 @@
     pub fn new(clock: Clock, settings: InboundSettings, rng: SmallRng) -> Self {
         InboundRequests {
             clock,
-            queue: Intake::new(settings.max_queued_per_class),
-            load: Load::new(settings.heartbeat_timeout_ms),
-            retry_advisor: Turned::default(),
+            queue: RequestQueue::new(settings.max_queued_per_class),
+            load_monitor: LoadMonitor::new(settings.heartbeat_timeout_ms),
+            retry_advisor: RetryAdvisor::default(),
             throughput: Throughput::default(),
             rng,
             connections: HashMap::new(),
@@ -167,50 +169,59 @@
 
     /// The next request by urgency.
     pub fn next(&mut self, now_ms: u64) -> Option<NextRequest> {
-        let (class, queued, waited_ms) = match self.queue.next(now_ms)? {
-            Next::Refuse(class, queued) => {
-                return Some(NextRequest::Refuse(self.refuse(class, queued.id)));
+        Some(match self.queue.pop(now_ms)? {
+            Dequeued::Reject { class, request } => {
+                NextRequest::Refuse(self.refuse(class, request.id))
             }
-            Next::Serve(class, queued, waited_ms) => (class, queued, waited_ms),
-        };
+            Dequeued::Serve { class, request, waited_ms } => {
+                self.record_service(class, waited_ms);
+                match self.connections.contains_key(&request.id) {
+                    true => NextRequest::Handle(request.into_event()),
+                    false => NextRequest::Abandoned,
+                }
+            }
+        })
+    }
+
+    fn record_service(&mut self, class: RequestClass, waited_ms: u64) {
         match class {
-            Class::Report => self.load.note_report(waited_ms),
-            Class::Health | Class::Other => {}
-            Class::Abort | Class::Submit | Class::Poll => self.throughput.count_one(),
+            RequestClass::Heartbeat => self.load_monitor.record_heartbeat_wait(waited_ms),
+            RequestClass::HealthCheck | RequestClass::Other => {}
+            RequestClass::Abort | RequestClass::Submit | RequestClass::StatusQuery => {
+                self.throughput.count_one();
+            }
         }
-        Some(match self.connections.contains_key(&queued.id) {
-            true => NextRequest::Handle(queued.into_event()),
-            false => NextRequest::Abandoned,
-        })
     }
 
     /// Follows how loaded this process is. Gives an event for the core when the load state
     /// has changed or new metrics are due.
     pub fn update_load(&mut self, now_ms: u64, connections: &ConnectionTable) -> Option<Event> {
-        let oldest_ms = self.queue.oldest_ms(now_ms);
-        let changed = self.load.tick(now_ms, oldest_ms);
-        if let Some((from, to)) = changed {
-            self.log_load_change(from, to, oldest_ms);
+        let oldest_ms = self.queue.oldest_wait_ms(now_ms);
+        let transition = self.load_monitor.tick(now_ms, oldest_ms);
+        if let Some(transition) = transition {
+            self.log_load_transition(transition, oldest_ms);
         }
         if now_ms >= self.next_metrics_ms {
             self.next_metrics_ms = now_ms + METRICS_INTERVAL_MS;
             self.throughput.roll_over();
-        } else if changed.is_none() {
+        } else if transition.is_none() {
             return None;
         }
-        Some(Event::Load { state: self.load.state(), figures: self.metrics(connections) })
+        Some(Event::Load { state: self.load_monitor.state(), figures: self.metrics(connections) })
     }
 
-    fn log_load_change(&self, from: LoadState, to: LoadState, oldest_queued_ms: u64) {
-        let (from, to, queued) = (from.name(), to.name(), self.queue.len());
+    fn log_load_transition(&self, transition: LoadTransition, oldest_queued_ms: u64) {
+        let (from, to) = (transition.from.name(), transition.to.name());
+        let queued = self.queue.len();
         tracing::info!(from, to, queued, oldest_queued_ms, "load state changed");
     }
 
     fn metrics(&self, connections: &ConnectionTable) -> Vec<(String, f64)> {
-        let mut metrics = self.queue.figures();
+        let queue_metrics = self.queue.metrics().into_iter();
+        let mut metrics: Vec<_> = queue_metrics.map(|m| (m.name, m.value)).collect();
         metrics.push(("sockets_inbound".into(), connections.inbound() as f64));
         metrics.push(("sockets_outbound".into(), connections.outbound() as f64));
-        metrics.push(("intake_turned_away".into(), self.retry_advisor.all() as f64));
+        metrics.push(("intake_turned_away".into(), self.retry_advisor.total_rejections() as f64));
         metrics
     }
 
@@ -251,24 +262,24 @@
         self.next_id += 1;
         connection.begin_processing(id, now_ms);
         let class = classify(&request, endpoint);
-        if class == Class::Report {
+        if class == RequestClass::Heartbeat {
             connection.mark_worker();
         }
-        let precedence = self.precedence(class, endpoint, connection.succeeded_ms());
+        let order = self.order_in_class(class, endpoint, connection.succeeded_ms());
         self.connections.insert(id, key);
-        let queued = QueuedRequest { id, endpoint, request };
-        let state = self.load.state();
-        let refused = self.queue.push(class, precedence, self.arrived_ms, queued, state);
-        refused.map(|queued| self.refuse(class, queued.id))
+        let request = QueuedRequest { id, endpoint, request };
+        let arrival = Arrival { class, order, arrived_ms: self.arrived_ms, request };
+        let queued = self.queue.push(arrival, self.load_monitor.state());
+        queued.err().map(|refused| self.refuse(class, refused.id))
     }
 
-    /// Rank within a class, lowest first. Workers whose last heartbeat was answered longest
+    /// Order within a class, lowest first. Workers whose last heartbeat was answered longest
     /// ago go first: their leases expire first. A sibling's message ranks as a heartbeat
     /// that was last answered one interval ago.
-    fn precedence(&self, class: Class, endpoint: Endpoint, succeeded_ms: u64) -> u64 {
+    fn order_in_class(&self, class: RequestClass, endpoint: Endpoint, succeeded_ms: u64) -> u64 {
         match (class, endpoint) {
-            (Class::Report, Endpoint::Clients) => succeeded_ms,
-            (Class::Report, Endpoint::Mesh) => {
+            (RequestClass::Heartbeat, Endpoint::Clients) => succeeded_ms,
+            (RequestClass::Heartbeat, Endpoint::Mesh) => {
                 self.arrived_ms.saturating_sub(self.heartbeat_interval_ms)
             }
             _ => 0,
@@ -276,13 +287,13 @@
     }
 
     /// Refuses a request that the core has not seen, and says when to come again.
-    fn refuse(&mut self, class: Class, id: RequestId) -> Action {
+    fn refuse(&mut self, class: RequestClass, id: RequestId) -> Action {
         let mut response = Response::new(503, Vec::new());
         response.retry_after_s = Some(match class {
-            Class::Report | Class::Health => MIN_RETRY_AFTER_S,
+            RequestClass::Heartbeat | RequestClass::HealthCheck => MIN_RETRY_AFTER_S,
             _ => {
                 let now_ms = self.clock.steady_ms();
-                self.retry_advisor.turn(now_ms, self.throughput.last_second, &mut self.rng)
+                self.retry_advisor.reject(now_ms, self.throughput.last_second, &mut self.rng)
             }
         });
         Action::Answer { id, response }
@@ -300,30 +311,30 @@
 }
 
 /// The class of work that a request is.
-fn classify(request: &Request, endpoint: Endpoint) -> Class {
+fn classify(request: &Request, endpoint: Endpoint) -> RequestClass {
     let path = request.target.split('?').next().unwrap_or("");
     match (request.method.as_str(), path) {
         ("POST", "/mesh") if endpoint == Endpoint::Mesh => classify_forwarded(&request.body),
-        ("POST", "/checkin") => Class::Report,
-        ("GET", "/ready") => Class::Health,
-        ("POST", "/api/jobs") => Class::Submit,
-        ("POST", path) if path.ends_with("/abort") => Class::Abort,
-        ("GET", path) if path.starts_with("/api/jobs/") => Class::Poll,
-        _ => Class::Other,
+        ("POST", "/checkin") => RequestClass::Heartbeat,
+        ("GET", "/ready") => RequestClass::HealthCheck,
+        ("POST", "/api/jobs") => RequestClass::Submit,
+        ("POST", path) if path.ends_with("/abort") => RequestClass::Abort,
+        ("GET", path) if path.starts_with("/api/jobs/") => RequestClass::StatusQuery,
+        _ => RequestClass::Other,
     }
 }
 
 /// The class of a sibling's message. Users' requests that it forwards keep their own class;
 /// the path inside tells, without decoding the message.
-fn classify_forwarded(body: &[u8]) -> Class {
+fn classify_forwarded(body: &[u8]) -> RequestClass {
     let contains = |text: &str| memchr::memmem::find(body, text.as_bytes()).is_some();
     if contains("/checkin") || !contains("/api/jobs") {
-        Class::Report
+        RequestClass::Heartbeat
     } else if contains("/abort") {
-        Class::Abort
+        RequestClass::Abort
     } else if contains("/api/jobs/") {
-        Class::Poll
+        RequestClass::StatusQuery
     } else {
-        Class::Submit
+        RequestClass::Submit
     }
 }
--- a/crates/quartzgate/src/settings.rs
+++ b/crates/quartzgate/src/settings.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use quartzgate_core::config::{Config, Operator};
-use quartzgate_ladder::Comes;
+use quartzgate_feature_gates::Activation;
 use quartzgate_wire::settings::{Platform, SettingsError};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -119,20 +119,22 @@
 /// knows, and which of them this controller withholds.
 pub fn report(config: &Config) -> String {
     let withheld = config.operator.withheld();
-    let line = |name: &str, how: String, changes: &str| {
+    let line = |name: &str, how: String, description: &str| {
         let mark = if withheld.contains(name) { " (withheld here)" } else { "" };
-        format!("{name}: {how}{mark}: {changes}\n")
+        format!("{name}: {how}{mark}: {description}\n")
     };
-    let formats = config.table.versions.iter().map(|version| {
+    let formats = config.table.formats.iter().map(|format| {
         let how = "format of the records".to_string();
-        line(version.name, how, version.changes)
+        line(format.name, how, format.description)
     });
     let features = config.table.features.iter().map(|feature| {
-        let how = match feature.comes {
-            Comes::With(version) => format!("feature, with format {version}"),
-            Comes::Alone { from } => format!("feature, its own step from format {from} on"),
+        let how = match feature.activation {
+            Activation::WithFormat(format) => format!("feature, with format {format}"),
+            Activation::Separate { min_format } => {
+                format!("feature, its own step from format {min_format} on")
+            }
         };
-        line(feature.name, how, feature.changes)
+        line(feature.name, how, feature.description)
     });
     let title = format!("settings of {} are in order\n", config.platform.node);
     std::iter::once(title).chain(formats).chain(features).collect()
