--- a/crates/quartzgate/src/connection.rs
+++ b/crates/quartzgate/src/connection.rs
@@ -99,7 +99,7 @@
     Interrupted,
     /// The response can't be read.
     Malformed,
-    /// The peer closed an idle connection, or sent something unasked.
+    /// The peer closed an idle connection, or sent data without a request.
     Finished,
 }
 
@@ -300,7 +300,7 @@
     /// Takes the next request off the input. While one is being processed, the next waits.
     pub fn next_request(&mut self, now_ms: u64) -> Result<RequestProgress, HttpError> {
         if matches!(self.state, State::Processing(_)) {
-            // If the client has gone, its response will find nobody.
+            // If the client has disconnected, nobody can receive the response.
             return Ok(self.finished_if(self.ended));
         }
         if self.closing {
--- a/crates/quartzgate/src/connections.rs
+++ b/crates/quartzgate/src/connections.rs
@@ -2,8 +2,8 @@
 //!
 //! Users and workers on one hand, calls of our own on the other, each have a part of the
 //! socket limit, so that neither can starve the other. Within the inbound part, idle
-//! connections make way for new ones; within the outbound part, pooled connections make
-//! way for calls to other peers.
+//! connections are evicted for new ones; within the outbound part, pooled connections are
+//! evicted for calls to other peers.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -135,7 +135,7 @@
     open_by_peer: HashMap<Peer, usize>,
     /// Idle outbound connections; the one used last is reused first.
     pooled: HashMap<Peer, Vec<ConnectionKey>>,
-    /// Idle inbound connections that may make way, in order; those that have been active
+    /// Idle inbound connections to evict, in order; those that have been active
     /// since are passed over.
     eviction_candidates: VecDeque<EvictionCandidate>,
     read_buffer: Vec<u8>,
@@ -286,8 +286,7 @@
         Ok(())
     }
 
-    /// Closes the inbound connection that can best be spared: a user's that has been idle
-    /// longest, else an idle worker's, whose next heartbeat opens a new one. A table full
+    /// Evicts the least useful inbound connection: a user's that has been idle longest, else an idle worker's, whose next heartbeat opens a new one. A table full
     /// of connections that nobody uses thus never keeps out a heartbeat. False if none is
     /// idle.
     pub fn evict_idle_client(&mut self) -> bool {
--- a/crates/quartzgate/src/event_loop.rs
+++ b/crates/quartzgate/src/event_loop.rs
@@ -39,7 +39,7 @@
 /// Why the event loop could not start, or has ended.
 #[derive(Debug, thiserror::Error)]
 pub enum EventLoopError {
-    /// An address in the settings is none.
+    /// The settings hold an invalid address.
     #[error("invalid address in the settings: {0}")]
     Address(#[from] AddrParseError),
     /// An address can't be listened on.
@@ -137,11 +137,11 @@
         }
     }
 
-    /// Waits until sockets are ready or a tick is due; with work at hand, only looks.
+    /// Waits until sockets are ready or a tick is due; with work queued, only polls.
     fn wait(&mut self, events: &mut Events, schedule: &mut Schedule) -> io::Result<()> {
-        let work_at_hand = schedule.reads_backlog() || !self.inbound.is_empty();
+        let work_queued = schedule.reads_backlog() || !self.inbound.is_empty();
         let before_ms = self.clock.steady_ms();
-        let timeout = match work_at_hand {
+        let timeout = match work_queued {
             true => Duration::ZERO,
             false => schedule.time_to_tick(before_ms),
         };
@@ -149,7 +149,7 @@
         let after_ms = self.clock.steady_ms();
         schedule.note_poll(after_ms);
         // What was there without waiting may have come at any time before.
-        self.inbound.set_arrival(if work_at_hand { before_ms } else { after_ms });
+        self.inbound.set_arrival(if work_queued { before_ms } else { after_ms });
         Ok(())
     }
 
@@ -217,7 +217,7 @@
         self.settle();
     }
 
-    /// Carries out the actions at hand, and lets the core handle the outcomes of its calls,
+    /// Carries out the queued actions, and lets the core handle the outcomes of its calls,
     /// until nothing is left.
     fn settle(&mut self) {
         loop {
@@ -263,8 +263,8 @@
     next_tick_ms: u64,
     next_expiry_ms: u64,
     last_poll_ms: u64,
-    /// After a stall, what lies in the sockets is read before anything is called late, and
-    /// before the core is told the time: else answers that came in time would be missed.
+    /// After a stall, the sockets' buffers are read before any timeout is checked and before
+    /// the core is told the time: else responses that arrived in time would count as lost.
     reads_backlog: bool,
 }
 
--- a/crates/quartzgate/src/inbound.rs
+++ b/crates/quartzgate/src/inbound.rs
@@ -20,8 +20,8 @@
 
 /// How often the core is given new metrics.
 const METRICS_INTERVAL_MS: u64 = 1_000;
-/// `Retry-After` of a refused heartbeat or health check, in seconds: they come again soon
-/// in any case, and must not stay away longer.
+/// `Retry-After` of a refused heartbeat or health check, in seconds: their clients
+/// retry soon in any case, and must not wait longer.
 const MIN_RETRY_AFTER_S: u32 = 1;
 
 /// A request that waits for the core.
@@ -48,7 +48,7 @@
     Handle(Event),
     /// It is refused.
     Refuse(Action),
-    /// Its client has gone.
+    /// Its client has disconnected.
     Abandoned,
 }
 
@@ -98,7 +98,7 @@
 }
 
 impl InboundRequests {
-    /// No requests yet. `rng` spreads the times at which refused clients come again.
+    /// No requests yet. `rng` spreads the times at which refused clients retry.
     pub fn new(clock: Clock, settings: InboundSettings, rng: SmallRng) -> Self {
         InboundRequests {
             clock,
@@ -141,7 +141,7 @@
         self.read_request(connections, key)
     }
 
-    /// Sends the response to a request; if its client has gone, it is dropped. Gives the
+    /// Sends the response to a request; if its client has disconnected, it is dropped. Gives the
     /// refusal of the connection's next request, if it is refused at once.
     pub fn respond(
         &mut self,
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Refuses a request that the core has not seen, and says when to come again.
+    /// Refuses a request that the core has not seen, and says when to retry.
     fn refuse(&mut self, class: RequestClass, id: RequestId) -> Action {
         let mut response = Response::new(503, Vec::new());
         response.retry_after_s = Some(match class {
--- a/crates/quartzgate/src/listeners.rs
+++ b/crates/quartzgate/src/listeners.rs
@@ -44,8 +44,8 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(_) => {
-                    // Out of sockets: an idle connection makes way, or we try again at the
-                    // next event.
+                    // Out of sockets: an idle connection is evicted, or we retry at the next
+                    // event.
                     if !connections.evict_idle_client() {
                         return;
                     }
--- a/crates/quartzgate/src/main.rs
+++ b/crates/quartzgate/src/main.rs
@@ -1,6 +1,7 @@
 //! quartzgate: a cluster scheduler with constraint-aware, late-binding probes.
 //!
-//! This program is the shell round the core (`quartzgate-core`), which decides everything:
+//! This program does the input and output for the core (`quartzgate-core`), which makes all
+//! decisions:
 //!
 //! - [`settings`] reads and checks the files;
 //! - [`event_loop`] brings events to the core and carries out its actions;
@@ -64,7 +65,7 @@
     code
 }
 
-/// The environment names a log level that there isn't.
+/// The environment names an unknown log level.
 #[derive(Debug, thiserror::Error)]
 #[error("LOG_LEVEL is error, info or debug, not `{0}`")]
 struct UnknownLogLevel(String);
--- a/crates/quartzgate/src/outbound.rs
+++ b/crates/quartzgate/src/outbound.rs
@@ -1,6 +1,6 @@
 //! Calls of the core to its peers: those that wait for a connection, and those in flight.
 //!
-//! Every call ends in exactly one outcome. `NotSent` is said only when nothing of the
+//! Every call ends in exactly one outcome. `NotSent` is reported only when nothing of the
 //! request has left this process, so that it can't have any effect; a call that may have
 //! reached its peer and has no response is `Lost`.
 
--- a/crates/quartzgate/tests/unit/event_loop.rs
+++ b/crates/quartzgate/tests/unit/event_loop.rs
@@ -1,5 +1,5 @@
-//! Tests of the event loop over real sockets: limits on connections, and what makes way
-//! when they are reached.
+//! Tests of the event loop over real sockets: limits on connections, and evictions when
+//! they are reached.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -60,8 +60,8 @@
     }
 }
 
-/// Guards calls to more peers than the outbound limit has room for: pooled connections make
-/// way and waiting calls are placed, instead of hanging until they are given up.
+/// Guards calls to more peers than the outbound limit has room for: pooled connections are
+/// evicted and waiting calls are placed, instead of hanging until they are given up.
 #[test]
 fn calls_to_more_peers_than_sockets_are_all_answered() {
     let mut event_loop = event_loop(12);
@@ -118,7 +118,7 @@
 }
 
 /// Guards workers' heartbeats when the table of connections is full of others that are
-/// idle: idle connections make way, and every heartbeat is answered.
+/// idle: idle connections are evicted, and every heartbeat is answered.
 #[test]
 fn heartbeats_are_answered_while_the_table_is_full_of_idle_connections() {
     let mut event_loop = event_loop(12);
