--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,5 +1,5 @@
-//! All figures that the core goes by: the platform's, the operators', and what
-//! follows from them. Lengths of time are ratios to the platform's figures.
+//! Settings of the core: the platform's, the operators', and the times that follow from them.
+//! Every time is a ratio to a setting, so that it holds for any deployment.
 
 use std::collections::BTreeSet;
 
@@ -11,28 +11,28 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
-    /// Machines each short task is probed to.
+    /// Probes of each short task.
     pub probes: usize,
-    /// Tasks estimated to run longer than this are placed directly.
+    /// Tasks estimated to run longer than this, in seconds, get a single probe at the best machine.
     pub long_task_s: f64,
-    /// Demand/supply ratio past which scarce constraints may go first.
+    /// Demand/supply ratio above which scarce constraints may go first.
     pub ratio_threshold: f64,
-    /// E[W] past which scarce constraints go first.
+    /// E\[W\], in seconds, above which scarce constraints go first.
     pub wait_threshold_s: f64,
-    /// Times a queued task may be passed.
+    /// How often a queued task may be passed by others.
     pub slack_cap: u32,
-    /// Idle time after which a machine is returned, in multiples of the larger of
-    /// its boot time and the minute it is charged for anyway.
+    /// Idle time after which a machine is released, in multiples of the larger of
+    /// its boot time and the minute that is charged at least.
     pub idle_ratio: f64,
-    /// Ordinary room kept free for production starts, as a share of what
+    /// Resources of ordinary machines kept free for production starts, as a share of what
     /// production uses.
     pub warm_share: f64,
     /// Whether this controller agrees to format 2 of the records, and so to any later one.
-    /// Once all do, the version before can't be put back.
+    /// Once all do, the first version cannot be put back.
     pub new_format: bool,
-    /// Acceptances share records while less than this part of a second's changes is left.
+    /// Accepted jobs share batch records while less than this part of a second's writes is left.
     pub share_pages_below: f64,
-    /// Names of steps, formats or features, that this controller does not agree to.
+    /// Names of formats and features that this controller does not agree to activate.
     pub withhold: Vec<String>,
 }
 
@@ -54,6 +54,7 @@
 }
 
 impl Operator {
+    /// Checks that every value is in range and every step is known; the error names the key.
     pub fn check(&self) -> Result<(), SettingsError> {
         let range = |field: &str, value: f64, low: f64, high: f64| {
             if (low..=high).contains(&value) {
@@ -78,7 +79,7 @@
         })
     }
 
-    /// Steps that this controller does not agree to.
+    /// Formats and features that this controller does not agree to activate.
     pub fn withheld(&self) -> BTreeSet<String> {
         let first = GATES.formats.first().filter(|_| !self.new_format);
         let named = self.withhold.iter().cloned();
@@ -86,19 +87,22 @@
     }
 }
 
+/// All settings of one controller.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// The platform's settings.
     pub platform: Platform,
+    /// The operators' settings.
     pub operator: Operator,
-    /// What fits the state service's limits now and later.
+    /// Limits of the key-value store that hold now and after they have fallen.
     pub lowest: StateLimits,
     /// The formats and features that this build knows.
     pub table: &'static GateTable,
 }
 
-/// Time after which a worker drops an answer to its report (PROTOCOL).
+/// Time after which a worker ignores the answer to its heartbeat, by the protocol.
 const ANSWER_DROP_MS: u64 = 4_000;
-/// Steady clocks drift apart by up to 0.05%; counted twice, for both ends.
+/// Monotonic clocks drift apart by up to 0.05%; counted twice, for both ends.
 const DRIFT: f64 = 0.001;
 
 fn ms(seconds: f64) -> u64 {
@@ -106,111 +110,119 @@
 }
 
 impl Config {
+    /// Settings with the feature gates that this build knows.
     pub fn new(platform: Platform, operator: Operator) -> Self {
         let lowest = platform.params.state.lowest();
         Config { platform, operator, lowest, table: &GATES }
     }
 
+    /// Time between two heartbeats of a worker.
     pub fn heartbeat_interval_ms(&self) -> u64 {
         ms(self.platform.params.workers.report_s)
     }
 
+    /// Length of a worker's lease, from when it sent the heartbeat that was answered.
     pub fn lease_ms(&self) -> u64 {
         ms(self.platform.params.workers.lease_s)
     }
 
+    /// Time within which the tasks of a cancelled job must be gone.
     fn cancel_ms(&self) -> u64 {
         ms(self.platform.params.workers.cancel_s)
     }
 
-    /// Slack for drift over the longest span that we measure, and for a timer or two.
+    /// Margin for drift over the longest span that is measured, and for two late timers.
     fn margin_ms(&self) -> u64 {
         ms(self.platform.params.workers.cancel_s * DRIFT) + 250
     }
 
-    /// How long after its last proven contact with the state service a controller
-    /// may go on answering reports. A worker's lease counts from when it sent the
-    /// report that was answered, so the time after which it drops an answer
-    /// (PROTOCOL) needs no place here.
+    /// The lease bound: how long after its last proven contact with the key-value store a
+    /// controller may go on answering heartbeats, so that all that it keeps alive is gone in time
+    /// for a cancellation that it did not see. A worker's lease counts from when it sent the
+    /// heartbeat, so the time after which it ignores an answer needs no place here.
     pub fn lease_bound_ms(&self) -> u64 {
         self.cancel_ms().saturating_sub(self.lease_ms() + 2 * self.margin_ms())
     }
 
-    /// How long after our last answer a machine that knows our token must have
-    /// given up all its tasks.
+    /// How long after this leader's last answer a worker that accepts only its fencing token must
+    /// have given up all its tasks.
     pub fn lease_expiry_ms(&self) -> u64 {
         self.lease_ms() + self.margin_ms()
     }
 
-    /// How long after a view began a machine that never knew its token must have
-    /// given up all its tasks: its former owner has stopped answering, and the
-    /// lease that it last gave has run out.
+    /// How long after an epoch began a worker that never saw its fencing token must have given up
+    /// all its tasks: the earlier leader has stopped answering by its lease bound, and the lease
+    /// that it last renewed has expired.
     pub fn inherited_lease_expiry_ms(&self) -> u64 {
         self.lease_bound_ms() + self.lease_ms() + 2 * self.margin_ms()
     }
 
-    /// Time to live of a controller's lease at the state service.
+    /// Time to live of a controller's lease at the key-value store.
     pub fn controller_lease_ttl_ms(&self) -> u64 {
         (self.lease_ms() / 4).max(1000)
     }
 
+    /// Time between two renewals of a controller's lease.
     pub fn lease_renewal_ms(&self) -> u64 {
         self.controller_lease_ttl_ms() / 4
     }
 
+    /// How long a watch at the key-value store waits for a change.
     pub fn watch_block_ms(&self) -> u64 {
-        // Contact must be proven several times within the horizon.
+        // Contact must be proven several times within the lease bound.
         self.heartbeat_interval_ms().clamp(1000, 3000).min((self.lease_bound_ms() / 4).max(100))
     }
 
-    /// Time between two events past which this process must have stood still: it is
-    /// told the time far more often, and a lease outlasts it.
+    /// Time between two events above which the process must have stalled: ticks come far more
+    /// often, and a lease outlasts it.
     pub fn stall_threshold_ms(&self) -> u64 {
         self.controller_lease_ttl_ms() / 3
     }
 
-    /// Time for an ordinary answer of the state service.
+    /// Timeout of an ordinary call to the key-value store.
     pub fn store_timeout_ms(&self) -> u64 {
         (self.controller_lease_ttl_ms() / 3).clamp(400, 1000)
     }
 
+    /// Timeout of a call to a worker.
     pub fn worker_timeout_ms(&self) -> u64 {
         self.heartbeat_interval_ms().clamp(800, ANSWER_DROP_MS / 2)
     }
 
-    /// How long a worker waits for the answer to its report.
+    /// How long a worker waits for the answer to its heartbeat.
     pub fn worker_patience_ms(&self) -> u64 {
         ANSWER_DROP_MS
     }
 
-    /// How long a worker's report may wait for an answer: well within the time
-    /// after which the worker looks elsewhere.
+    /// How long a worker's heartbeat may be held before it is answered: well within the time
+    /// after which the worker turns to another controller.
     pub fn max_heartbeat_hold_ms(&self) -> u64 {
         ANSWER_DROP_MS * 3 / 4
     }
 
-    /// Time for a sibling to answer a request passed on: well within the two
-    /// seconds that a poll waits.
+    /// Timeout of a call to another controller: well within the two seconds that a user waits for
+    /// the answer to a status query.
     pub fn mesh_timeout_ms(&self) -> u64 {
         1_000
     }
 
-    /// Time for a sibling to decide a user's request: what is left must do to decide
-    /// it here, by the records.
+    /// Timeout of a user's request that is forwarded: what is left must do to decide it here by
+    /// the records.
     pub fn forward_timeout_ms(&self) -> u64 {
         self.mesh_timeout_ms() * 2 / 5
     }
 
-    /// Longest time for which recorded ends of tasks are gathered into one write.
+    /// Longest time for which changes are gathered into one write.
     pub fn write_batch_ms(&self) -> u64 {
         self.heartbeat_interval_ms() / 10
     }
 
-    /// Longest time for which a write that nothing waits for makes way for others.
+    /// Longest time for which a write that nothing waits for is delayed by others.
     pub fn max_write_delay_ms(&self) -> u64 {
         self.lease_ms() / 2
     }
 
+    /// Index of a team in the settings.
     pub fn team(&self, name: &str) -> Option<usize> {
         self.platform.params.teams.iter().position(|t| t.name == name)
     }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,24 +1,28 @@
-//! Keys of the tables in memory, tokens and attempt numbers.
+//! Keys of the tables in memory, fencing tokens and attempt numbers.
 
-/// A job in memory, by order of arrival here.
+/// Key of a job in memory, in the order in which jobs came here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobIndex(pub u32);
 
-/// A machine in memory.
+/// Key of a machine in memory, in the order in which machines came here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachineIndex(pub u32);
 
+/// Key of a task in memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskKey {
+    /// Its job.
     pub job: JobIndex,
+    /// Its number within the job, from 0.
     pub task: u32,
 }
 
-/// An image's name, hashed: machines remember many, and only a preference hangs on it.
+/// Hash of an image's name: machines remember many, and only a preference depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ImageKey(u64);
 
 impl ImageKey {
+    /// The key of an image by its name.
     pub fn of(name: &str) -> ImageKey {
         let mut hasher = std::hash::DefaultHasher::new();
         std::hash::Hasher::write(&mut hasher, name.as_bytes());
@@ -26,24 +30,28 @@
     }
 }
 
-/// Bits of a token or an attempt number that count within an epoch.
+/// Bits of a fencing token or an attempt number that count within an epoch.
 const COUNTER_BITS: u32 = 24;
 
-/// Token or attempt number: the epoch, then a counter that starts anew with it.
+/// A fencing token or attempt number: the epoch in the high bits, so that those of a later epoch
+/// are larger, and below it a counter that begins anew with each epoch.
 pub fn scoped_to_epoch(epoch: u64, counter: u64) -> u64 {
     (epoch << COUNTER_BITS) | (counter & ((1 << COUNTER_BITS) - 1))
 }
 
+/// The epoch of a fencing token or attempt number.
 pub fn epoch_of(number: u64) -> u64 {
     number >> COUNTER_BITS
 }
 
-/// Splits `wk-000412/3` into the job's id and the task's number.
+/// Splits the wire's name of a task, as `wk-000412/3`, into the job's identifier and the task's
+/// number.
 pub fn parse_task(text: &str) -> Option<(&str, u32)> {
-    let (job, n) = text.rsplit_once('/')?;
-    Some((job, n.parse().ok()?))
+    let (job, number) = text.rsplit_once('/')?;
+    Some((job, number.parse().ok()?))
 }
 
+/// The wire's name of a task.
 pub fn task_name(job: &str, task: u32) -> String {
     format!("{job}/{task}")
 }
--- a/crates/core/src/latency.rs
+++ b/crates/core/src/latency.rs
@@ -1,28 +1,29 @@
-//! How long things take, for operators: histograms in the figures of `/metrics`.
+//! Latencies for operators: histograms in the metrics.
 
 use std::collections::HashMap;
 
 use hdrhistogram::Histogram;
 
-use crate::controller::Controller;
-use crate::ids::TaskKey;
 use crate::RequestId;
 
-/// What is timed.
+/// What is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LatencySpan {
-    /// From a user's request to its answer.
+    /// From a user's submission to its answer.
     Submit,
+    /// From a status query to its answer.
     Poll,
+    /// From an abort to its answer.
     Abort,
     /// From when a task's job could run until the task is on a machine, again or not.
     Start,
-    /// The same for the first task of a job that waited for others.
+    /// The same for the first task of a job with dependencies.
     ChainStart,
-    /// A write of records, from sending to its answer.
+    /// From sending a write of records to its answer.
     Write,
 }
 
+/// Spans with their names in the metrics.
 const SPANS: [(LatencySpan, &str); 6] = [
     (LatencySpan::Submit, "submit"),
     (LatencySpan::Poll, "poll"),
@@ -31,9 +32,10 @@
     (LatencySpan::ChainStart, "chain_start"),
     (LatencySpan::Write, "write"),
 ];
-/// Longest time that is told apart from longer ones: an hour.
-const MOST_MS: u64 = 3_600_000;
+/// Longest latency that is told apart from longer ones: an hour.
+const MAX_LATENCY_MS: u64 = 3_600_000;
 
+/// Histograms of all spans, and the requests that are being measured.
 pub(crate) struct Latencies {
     spans: Vec<Histogram<u32>>,
     open: HashMap<RequestId, (LatencySpan, u64)>,
@@ -42,16 +44,19 @@
 
 impl Latencies {
     pub fn new(max_timed_requests: usize) -> Self {
-        let one =
-            || Histogram::new_with_max(MOST_MS, 1).expect("an hour and one digit are in range");
+        let one = || {
+            Histogram::new_with_max(MAX_LATENCY_MS, 1).expect("an hour and one digit are in range")
+        };
         let spans = SPANS.iter().map(|_| one()).collect();
         Latencies { spans, open: HashMap::new(), max_timed_requests }
     }
 
+    /// Adds a measurement, in milliseconds.
     pub fn note(&mut self, span: LatencySpan, ms: u64) {
         self.spans[span as usize].saturating_record(ms);
     }
 
+    /// Begins to measure a request; beyond the limit it is not measured.
     pub fn begin(&mut self, id: RequestId, span: LatencySpan, now_ms: u64) {
         if self.open.len() < self.max_timed_requests {
             self.open.entry(id).or_insert((span, now_ms));
@@ -64,48 +69,31 @@
         oldest.map_or(0, |since| now_ms.saturating_sub(since))
     }
 
+    /// Ends the measurement of a request that is answered.
     pub fn end(&mut self, id: RequestId, now_ms: u64) {
         if let Some((span, since)) = self.open.remove(&id) {
             self.note(span, now_ms.saturating_sub(since));
         }
     }
-}
-
-impl Controller {
-    /// A task is seen on the machine that it was started on.
-    pub(crate) fn note_start(&mut self, key: TaskKey) {
-        let Some(job) = self.jobs.get(key.job) else { return };
-        let waited_ms = self.context.now.wall_ms.saturating_sub(job.ready_ms);
-        let first = job.on == 1 && job.done == 0;
-        if first {
-            let (class, tasks) = (&job.spec.class, job.spec.tasks);
-            tracing::debug!(job = %job.id, %class, tasks, waited_ms, "begun");
-        }
-        let chained = first && !job.spec.dependencies.is_empty();
-        if chained {
-            self.context.latencies.note(LatencySpan::ChainStart, waited_ms);
-        }
-        self.context.latencies.note(LatencySpan::Start, waited_ms);
-    }
 
-    /// Median, 95% and 99%, longest and number of each, in milliseconds.
-    pub(crate) fn latency_figures(&self) -> Vec<(String, f64)> {
-        let mut out = Vec::new();
+    /// Quantiles, maximum and number of each span by metric name, in milliseconds.
+    pub fn metrics(&self) -> Vec<(String, f64)> {
+        let mut metrics = Vec::new();
         for (span, name) in SPANS {
-            let h = &self.context.latencies.spans[span as usize];
-            if h.is_empty() {
+            let histogram = &self.spans[span as usize];
+            if histogram.is_empty() {
                 continue;
             }
             for (part, value) in [
-                ("p50", h.value_at_quantile(0.5)),
-                ("p95", h.value_at_quantile(0.95)),
-                ("p99", h.value_at_quantile(0.99)),
-                ("max", h.max()),
-                ("count", h.len()),
+                ("p50", histogram.value_at_quantile(0.5)),
+                ("p95", histogram.value_at_quantile(0.95)),
+                ("p99", histogram.value_at_quantile(0.99)),
+                ("max", histogram.max()),
+                ("count", histogram.len()),
             ] {
-                out.push((format!("latency_ms.{name}.{part}"), value as f64));
+                metrics.push((format!("latency_ms.{name}.{part}"), value as f64));
             }
         }
-        out
+        metrics
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! The daemon feeds [`Event`]s together with the present time and carries out the
 //! [`Action`]s that come back. Nothing here reads a clock, a socket or a file, and
-//! random numbers come from a generator that is passed in, so that every story can
-//! be told again in a test.
+//! random numbers come from a generator that is passed in, so that a simulation repeats
+//! by its seed.
 
 mod api;
 pub mod capacity;
@@ -19,6 +19,7 @@
 mod metrics;
 mod placement;
 mod recovery;
+mod start_latency;
 mod storage;
 
 pub use controller::Controller;
@@ -28,64 +29,81 @@
 pub use quartzgate_overload::LoadState;
 use quartzgate_wire::http::{Request, Response};
 
-/// Names a request that came in and waits for its answer.
+/// Identifies a request that came in and waits for its answer.
 pub type RequestId = u64;
-/// Names a call of ours that waits for its outcome.
+/// Identifies a call to a peer that waits for its outcome.
 pub type CallId = u64;
 
-/// The present, as the daemon's clocks show it.
+/// The present time by the clocks of the process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
-    /// Steady clock, milliseconds since some fixed moment.
+    /// Monotonic clock: milliseconds since some fixed moment.
     pub steady_ms: u64,
-    /// Time of day, milliseconds since the Unix epoch.
+    /// Wall clock: milliseconds since the Unix epoch.
     pub wall_ms: u64,
 }
 
+/// What has happened.
 #[derive(Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
     /// A request on the address for users, workers and health checks.
     Client { id: RequestId, request: Request },
-    /// A request of another controller.
+    /// A request on the address for other controllers.
     Mesh { id: RequestId, request: Request },
-    /// How loaded this process is, and its figures of what waited, for operators.
+    /// How loaded this process is, and its metrics of requests that waited.
     Load { state: LoadState, figures: Vec<(String, f64)> },
-    /// How one of our calls ended.
+    /// How a call ended.
     Outcome { call: CallId, outcome: Outcome },
 }
 
+/// How a call ended.
 #[derive(Debug)]
 pub enum Outcome {
+    /// The peer answered, with whatever status.
     Answer(Response),
-    /// Nothing of the request left this process: it can't have any effect.
+    /// Nothing of the request left this process: it cannot have any effect.
     NotSent,
     /// No answer; the request may have been executed, or may be executed later.
     Lost,
 }
 
+/// Whom a call goes to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Peer {
+    /// The key-value store.
     State,
+    /// The cloud.
     Cloud,
+    /// A worker, by the address that its heartbeat names.
     Worker(std::net::SocketAddr),
-    /// Another controller, by its place in the settings.
+    /// Another controller, by its index in the settings.
     Sibling(usize),
 }
 
+/// What the caller of [`Controller::handle`] is to do.
 #[derive(Debug)]
 pub enum Action {
+    /// Answer a request that came in.
     Answer { id: RequestId, response: Response },
+    /// Call a peer.
     Call(Call),
 }
 
+/// A call to a peer. Its outcome comes back as [`Event::Outcome`].
 #[derive(Debug)]
 pub struct Call {
+    /// Identifies the call in its outcome.
     pub id: CallId,
+    /// Whom it goes to.
     pub peer: Peer,
+    /// HTTP method.
     pub method: &'static str,
+    /// HTTP path and query.
     pub target: String,
+    /// CBOR body.
     pub body: Vec<u8>,
+    /// Time after which the outcome is [`Outcome::Lost`], in milliseconds.
     pub timeout_ms: u64,
 }
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Figures for operators: `GET /metrics` on the mesh address, and a line a second in
-//! the debug log.
+//! Metrics for operators: `GET /metrics` on the address for other controllers, and a line a second
+//! in the debug log. The names are part of the service's interface and never change.
 
 use std::collections::BTreeMap;
 
@@ -12,125 +12,184 @@
 use crate::jobs::JobState;
 use crate::storage::record_writer::Purpose;
 
+/// Values by name.
+#[derive(Default)]
+struct Metrics {
+    values: BTreeMap<String, f64>,
+}
+
+impl Metrics {
+    fn set(&mut self, name: impl Into<String>, value: impl Into<f64>) {
+        self.values.insert(name.into(), value.into());
+    }
+
+    /// A count, which may exceed 32 bits.
+    fn set_count(&mut self, name: impl Into<String>, count: u64) {
+        self.set(name, count as f64);
+    }
+
+    fn set_flag(&mut self, name: impl Into<String>, flag: bool) {
+        self.set(name, u8::from(flag));
+    }
+
+    /// A duration in seconds.
+    fn set_seconds(&mut self, name: impl Into<String>, ms: u64) {
+        self.set(name, ms as f64 / 1000.0);
+    }
+}
+
 impl Controller {
-    /// All figures by name, as CBOR.
+    /// All metrics by name, as CBOR.
     pub(crate) fn metrics(&mut self) -> Vec<u8> {
-        to_cbor(&self.figures())
+        to_cbor(&self.collect_metrics().values)
+    }
+
+    /// Writes all metrics that are not 0 to the debug log.
+    pub(crate) fn log_pulse(&mut self) {
+        if !tracing::enabled!(tracing::Level::DEBUG) {
+            return;
+        }
+        let metrics = self.collect_metrics();
+        let shown = metrics.values.iter().filter(|(name, value)| {
+            **value != 0.0
+                && !name.starts_with("ratio.")
+                && !name.starts_with("latency")
+                && *name != "leads"
+        });
+        let line: Vec<String> = shown.map(|(name, value)| format!("{name}={value:.1}")).collect();
+        tracing::debug!("pulse {}", line.join(" "));
+    }
+
+    fn collect_metrics(&mut self) -> Metrics {
+        let mut metrics = Metrics::default();
+        self.membership_metrics(&mut metrics);
+        self.feature_metrics(&mut metrics);
+        self.job_metrics(&mut metrics);
+        self.job_age_metrics(&mut metrics);
+        self.machine_metrics(&mut metrics);
+        self.queue_metrics(&mut metrics);
+        self.storage_metrics(&mut metrics);
+        self.request_metrics(&mut metrics);
+        metrics
+    }
+
+    fn membership_metrics(&self, metrics: &mut Metrics) {
+        metrics.set_count("epoch", self.epoch());
+        metrics.set_flag("leads", self.leads());
+        metrics.set("load", self.load as u8);
+        metrics.set_flag("in_doubt", self.leadership_unverified());
+        metrics.set_count("pauses_noticed", self.stall.noticed);
     }
 
-    fn figures(&mut self) -> BTreeMap<String, f64> {
-        let now = self.context.now.steady_ms;
-        let mut all: BTreeMap<String, f64> = BTreeMap::new();
-        let mut put = |name: &str, value: f64| {
-            all.insert(name.to_string(), value);
-        };
-        put("epoch", self.epoch() as f64);
-        put("leads", f64::from(u8::from(self.leads())));
-        put("load", f64::from(self.load as u8));
-        put("in_doubt", f64::from(u8::from(self.leadership_unverified())));
+    fn feature_metrics(&self, metrics: &mut Metrics) {
+        let now_ms = self.context.now.steady_ms;
         let gates = &self.feature_state.gates;
-        put("format", f64::from(gates.format_version()));
-        put("format_complete", f64::from(u8::from(gates.is_complete() && !gates.is_unsupported())));
-        put("format_foreign", f64::from(u8::from(gates.is_unsupported())));
-        for (node, said) in gates.capabilities() {
-            put(&format!("format_node.{node}"), f64::from(said.version));
+        metrics.set("format", gates.format_version());
+        metrics.set_flag("format_complete", gates.is_complete() && !gates.is_unsupported());
+        metrics.set_flag("format_foreign", gates.is_unsupported());
+        for (node, capabilities) in gates.capabilities() {
+            metrics.set(format!("format_node.{node}"), capabilities.version);
         }
         for feature in Feature::all() {
-            put(&format!("feature.{}", feature.name()), f64::from(u8::from(self.has(feature))));
+            metrics.set_flag(format!("feature.{}", feature.name()), self.has(feature));
         }
-        for held in gates.blocked_steps() {
-            for node in held.blocked_by.keys() {
-                let for_s = now.saturating_sub(held.since_ms) as f64 / 1000.0;
-                put(&format!("step_held_s.{}.{node}", held.step), for_s);
+        for blocked in gates.blocked_steps() {
+            let blocked_ms = now_ms.saturating_sub(blocked.since_ms);
+            for node in blocked.blocked_by.keys() {
+                metrics.set_seconds(format!("step_held_s.{}.{node}", blocked.step), blocked_ms);
             }
         }
-        let waits = self.jobs.iter().filter(|(_, j)| j.state == JobState::Waiting);
-        put("jobs_waiting_for_jobs", waits.count() as f64);
-        put("chain_links", self.dependency_graph.edges() as f64);
-        put("chain_unknown", self.dependency_graph.unknown() as f64);
-        put("pauses_noticed", self.stall.noticed as f64);
-        let (mut waiting, mut on, mut failing_everywhere) = (0, 0, 0);
-        for (_, j) in self.jobs.iter() {
-            waiting += j.waiting;
-            on += j.on;
-            failing_everywhere += u32::from(j.failing_everywhere());
+    }
+
+    fn job_metrics(&self, metrics: &mut Metrics) {
+        let waiting_jobs = self.jobs.iter().filter(|(_, job)| job.state == JobState::Waiting);
+        metrics.set_count("jobs_waiting_for_jobs", waiting_jobs.count() as u64);
+        metrics.set_count("chain_links", self.dependency_graph.edges() as u64);
+        metrics.set_count("chain_unknown", self.dependency_graph.unknown() as u64);
+        let (mut waiting, mut on_machines, mut failing_everywhere) = (0, 0, 0);
+        for (_, job) in self.jobs.iter() {
+            waiting += job.waiting;
+            on_machines += job.on;
+            failing_everywhere += u32::from(job.failing_everywhere());
         }
-        put("jobs", self.jobs.len() as f64);
-        put("jobs_mistaken", f64::from(failing_everywhere));
-        put("tasks_waiting", f64::from(waiting));
-        put("tasks_on_machines", f64::from(on));
-        let (mut queued, mut longest, mut wait_s, mut quarantined) = (0, 0, 0.0f64, 0);
-        let (mut deaf, mut indeterminate_submissions) = (0, 0);
-        let mut states = [0u32; 6];
-        for (_, m) in self.machines.iter() {
-            states[m.state as usize] += 1;
-            quarantined += u32::from(m.quarantined);
-            deaf += u32::from(m.reachability.is_one_way_unreachable());
-            indeterminate_submissions +=
-                u32::from(m.reachability.state() == ReachabilityState::Suspected);
-            queued += m.queue.len();
-            longest = longest.max(m.queue.len());
-            wait_s = wait_s.max(m.wait_s);
+        metrics.set_count("jobs", self.jobs.len() as u64);
+        metrics.set("jobs_mistaken", failing_everywhere);
+        metrics.set("tasks_waiting", waiting);
+        metrics.set("tasks_on_machines", on_machines);
+        metrics.set_count("pages", self.job_batches.count() as u64);
+        metrics.set_count("pages_jobs", self.job_batches.members() as u64);
+    }
+
+    /// Age of the oldest job of each class that could run and of which nothing has begun.
+    fn job_age_metrics(&self, metrics: &mut Metrics) {
+        let mut oldest_ms: BTreeMap<&str, u64> = BTreeMap::new();
+        let live = self.jobs.iter().filter(|(_, job)| job.state == JobState::Live);
+        for (_, job) in live.filter(|(_, job)| job.on == 0 && job.done == 0) {
+            let age_ms = self.context.now.wall_ms.saturating_sub(job.ready_ms);
+            let oldest = oldest_ms.entry(&job.spec.class).or_default();
+            *oldest = (*oldest).max(age_ms);
         }
-        let state = |s: MachineState| f64::from(states[s as usize]);
-        put("machines", states.iter().sum::<u32>().into());
-        put(
-            "machines_unheard",
-            state(MachineState::Provisioning) + state(MachineState::Registering),
-        );
-        put("machines_ready", state(MachineState::Ready));
-        put("machines_presumed_empty", state(MachineState::LeaseExpired));
-        put("machines_returning", state(MachineState::Returning));
-        put("machines_quarantined", f64::from(quarantined));
-        put("machines_deaf", f64::from(deaf));
-        put("machines_doubted", f64::from(indeterminate_submissions));
-        put("copies_dropped", self.duplicates_dropped as f64);
-        put("workers_let_go", self.let_go as f64);
-        put("question_oldest_s", self.context.latencies.oldest_ms(now) as f64 / 1000.0);
-        let mut not_begun: BTreeMap<&str, u64> = BTreeMap::new();
-        let live = self.jobs.iter().filter(|(_, j)| j.state == JobState::Live);
-        for (_, j) in live.filter(|(_, j)| j.on == 0 && j.done == 0) {
-            let oldest = not_begun.entry(&j.spec.class).or_default();
-            *oldest = (*oldest).max(self.context.now.wall_ms.saturating_sub(j.ready_ms));
+        for (class, age_ms) in oldest_ms {
+            metrics.set_seconds(format!("not_begun_oldest_s.{class}"), age_ms);
         }
-        for (class, ms) in not_begun {
-            put(&format!("not_begun_oldest_s.{class}"), ms as f64 / 1000.0);
+    }
+
+    fn machine_metrics(&self, metrics: &mut Metrics) {
+        let mut by_state = [0u32; 6];
+        let (mut quarantined, mut unreachable, mut suspected) = (0, 0, 0);
+        for (_, machine) in self.machines.iter() {
+            by_state[machine.state as usize] += 1;
+            quarantined += u32::from(machine.quarantined);
+            unreachable += u32::from(machine.reachability.is_one_way_unreachable());
+            suspected += u32::from(machine.reachability.state() == ReachabilityState::Suspected);
         }
-        put("machines_expected", self.provisioner.expected() as f64);
-        put("probes_queued", queued as f64);
-        put("queue_longest", longest as f64);
-        put("wait_longest_s", wait_s);
-        put("ratio_highest", self.ratios.highest());
-        put("writes_left", self.record_writer.writes.room(now, 0.0));
-        put("reads_left", self.membership.reads.room(now, 0.0));
-        for (purpose, name) in Purpose::ALL {
-            put(&format!("writes.{name}"), self.record_writer.spent(purpose) as f64);
+        let in_state = |state: MachineState| by_state[state as usize];
+        let not_ready = in_state(MachineState::Provisioning) + in_state(MachineState::Registering);
+        metrics.set("machines", by_state.iter().sum::<u32>());
+        metrics.set("machines_unheard", not_ready);
+        metrics.set("machines_ready", in_state(MachineState::Ready));
+        metrics.set("machines_presumed_empty", in_state(MachineState::LeaseExpired));
+        metrics.set("machines_returning", in_state(MachineState::Returning));
+        metrics.set("machines_quarantined", quarantined);
+        metrics.set("machines_deaf", unreachable);
+        metrics.set("machines_doubted", suspected);
+        metrics.set_count("machines_expected", self.provisioner.expected() as u64);
+        metrics.set_count("copies_dropped", self.duplicates_dropped);
+        metrics.set_count("workers_let_go", self.let_go);
+    }
+
+    fn queue_metrics(&self, metrics: &mut Metrics) {
+        let (mut queued, mut longest, mut longest_wait_s) = (0, 0, 0.0f64);
+        for (_, machine) in self.machines.iter() {
+            queued += machine.queue.len();
+            longest = longest.max(machine.queue.len());
+            longest_wait_s = longest_wait_s.max(machine.wait_s);
         }
-        put("writes_short", f64::from(u8::from(self.admission.short())));
-        put("turned_away", self.admission.retry_advisor.total_rejections() as f64);
-        put("pages", self.job_batches.count() as f64);
-        put("pages_jobs", self.job_batches.members() as f64);
-        put("records_behind", self.record_writer.unwritten_records() as f64);
+        metrics.set_count("probes_queued", queued as u64);
+        metrics.set_count("queue_longest", longest as u64);
+        metrics.set("wait_longest_s", longest_wait_s);
+        metrics.set("ratio_highest", self.ratios.highest());
         for (constraint, ratio) in self.ratios.named() {
-            put(&format!("ratio.{constraint}"), ratio);
+            metrics.set(format!("ratio.{constraint}"), ratio);
         }
-        all.extend(self.latency_figures());
-        all.extend(self.intake.iter().cloned());
-        all
     }
 
-    /// How things stand, for someone who reads the log.
-    pub(crate) fn log_pulse(&mut self) {
-        if tracing::enabled!(tracing::Level::DEBUG) {
-            let figures = self.figures();
-            let shown = figures.iter().filter(|(name, value)| {
-                **value != 0.0
-                    && !name.starts_with("ratio.")
-                    && !name.starts_with("latency")
-                    && *name != "leads"
-            });
-            let line: Vec<String> = shown.map(|(n, v)| format!("{n}={v:.1}")).collect();
-            tracing::debug!("pulse {}", line.join(" "));
+    fn storage_metrics(&mut self, metrics: &mut Metrics) {
+        let now_ms = self.context.now.steady_ms;
+        metrics.set("writes_left", self.record_writer.writes.room(now_ms, 0.0));
+        metrics.set("reads_left", self.membership.reads.room(now_ms, 0.0));
+        for (purpose, name) in Purpose::ALL {
+            metrics.set_count(format!("writes.{name}"), self.record_writer.spent(purpose));
         }
+        metrics.set_flag("writes_short", self.admission.short());
+        metrics.set_count("records_behind", self.record_writer.unwritten_records() as u64);
+    }
+
+    fn request_metrics(&self, metrics: &mut Metrics) {
+        let now_ms = self.context.now.steady_ms;
+        metrics.set_count("turned_away", self.admission.retry_advisor.total_rejections());
+        metrics.set_seconds("question_oldest_s", self.context.latencies.oldest_ms(now_ms));
+        metrics.values.extend(self.context.latencies.metrics());
+        metrics.values.extend(self.intake.iter().cloned());
     }
 }
