--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -329,7 +329,7 @@
     /// Takes a share into memory. Every machine that it names may hold the task,
     /// unless this owner wrote it and so knows better.
     pub(crate) fn load_chunk(&mut self, ix: JobIndex, chunk: u32, share: AssembledPlacement) {
-        let AssembledPlacement { record, revision, of, inline, .. } = share;
+        let AssembledPlacement { record, revision, piece_count, inline, .. } = share;
         let own = record.epoch == self.epoch();
         let Some(job) = self.jobs.get(ix) else { return };
         if chunk >= job.chunk_count() || job.chunks.contains_key(&chunk) {
@@ -337,13 +337,13 @@
         }
         // Folded into the job's record already: counted once, and cleared away.
         if job.in_done_chunk(chunk * TASKS_PER_CHUNK) {
-            let paths: Vec<String> = piece_keys(&job.id, chunk, of).collect();
+            let paths: Vec<String> = piece_keys(&job.id, chunk, piece_count).collect();
             return paths.into_iter().for_each(|p| self.record_writer.remove(p));
         }
         let (len, zone_rule) = (job.chunk_len(chunk), job.spec.together);
         let mut fresh = self.new_chunk(len);
         (fresh.version, fresh.acked, fresh.inline) = (0, 0, inline);
-        (fresh.revision, fresh.pieces) = if inline { (0, 0) } else { (revision, of) };
+        (fresh.revision, fresh.pieces) = if inline { (0, 0) } else { (revision, piece_count) };
         let machines: Vec<MachineIndex> = record.machines.iter().map(|n| self.machine(n)).collect();
         let zones = self.context.config.platform.params.zones.clone();
         let zone_of = |i: u32| {
--- a/crates/core/src/storage/record_writer.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -815,7 +815,7 @@
                 // All pieces are written together, so that the first tells of the others.
                 let read = pair.map(|p| read_placement(&p.path, &p.value, p.revision));
                 let (revision, pieces) = match read {
-                    Some(Some(share)) => (share.revision, share.of),
+                    Some(Some(share)) => (share.revision, share.piece_count),
                     Some(None) => return self.unreadable(job),
                     None => (0, 0),
                 };
