--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -186,8 +186,6 @@
     pub(crate) supply_changed: bool,
     pub(crate) round_at_ms: u64,
     pub(crate) second_at_ms: u64,
-    /// Reads of records that failed and are tried again.
-    pub(crate) record_reads_to_retry: Vec<FlushItem>,
     pub(crate) handoff_reads_to_retry: Vec<String>,
     /// Jobs whose acceptance got no answer, and until when they are looked for.
     pub(crate) indeterminate_submissions: BTreeMap<String, u64>,
@@ -254,7 +252,6 @@
             supply_changed: false,
             round_at_ms: 0,
             second_at_ms: 0,
-            record_reads_to_retry: Vec::new(),
             handoff_reads_to_retry: Vec::new(),
             indeterminate_submissions: BTreeMap::new(),
             let_go: 0,
@@ -310,11 +307,11 @@
             self.inspect_silent();
             self.release_silent();
             self.fence_aborted_tasks();
-            self.read_again();
+            self.read_live_records();
             self.tick_provisioning();
             self.drain();
-            self.retry_reads();
-            self.read_unsure();
+            self.retry_record_reads();
+            self.read_unverified_jobs();
             self.retry_handoff_reads();
             self.retry_batch_reads();
             self.placement_due = true;
@@ -442,7 +439,7 @@
             InFlight::Recovery { .. } => self.on_recovery_list(outcome),
             InFlight::InboxWatch { sent_ms, .. } => self.on_handoff_watch(sent_ms, outcome),
             InFlight::ChainRead { job, .. } => self.on_dependency_read(job, outcome),
-            InFlight::ReadAgain { job, .. } => self.on_read_again(job, outcome),
+            InFlight::ReadAgain { job, .. } => self.on_live_record_read(job, outcome),
             InFlight::PageWrite { number, .. } => self.on_batch_written(number, outcome),
             InFlight::PageRead { number, .. } => self.on_batch_read(number, outcome),
             InFlight::InboxRead { job, .. } => self.on_handoff_job_read(job, outcome),
@@ -523,7 +520,6 @@
         self.machines_to_dispatch.clear();
         self.machines_to_command.clear();
         self.attempts = 0;
-        self.record_reads_to_retry.clear();
         self.handoff_reads_to_retry.clear();
         self.indeterminate_submissions.clear();
         self.gang_holds.clear();
--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -397,6 +397,12 @@
         }
     }
 
+    fn load_chunks(&mut self, ix: JobIndex, placements: BTreeMap<u32, AssembledPlacement>) {
+        for (chunk, placement) in placements {
+            self.load_chunk(ix, chunk, placement);
+        }
+    }
+
     fn finish_recovery(&mut self) {
         let rev = self.recovery.rev.unwrap_or(0);
         self.watch_handoff_from(rev);
--- /dev/null
+++ b/crates/core/src/storage/record_writer/outcomes.rs
@@ -0,0 +1,194 @@
+//! Outcomes of flushes: what they change in memory, and what is written again.
+
+use super::{write_outcome, FlushItem};
+use crate::controller::Controller;
+use crate::ids::JobIndex;
+use crate::jobs::JobState;
+use crate::storage::placement_records::RecordLocation;
+use crate::storage::records::{piece_keys, EPOCH_KEY, HANDOFF_PREFIX};
+use crate::Outcome;
+
+impl Controller {
+    /// A flush has ended. If its outcome is indeterminate, its records are read again before
+    /// anything else is written to them.
+    pub(crate) fn on_flush(&mut self, items: Vec<FlushItem>, outcome: Outcome) {
+        self.record_writer.flush_in_flight = false;
+        let (status, answer) = write_outcome(&outcome);
+        match (status, answer) {
+            (200, Some(answer)) => {
+                self.note_store_answer();
+                for item in items {
+                    self.on_item_written(item, answer.store_revision);
+                }
+            }
+            (409, Some(answer)) => {
+                self.note_store_answer();
+                if answer.failed.iter().any(|path| path == EPOCH_KEY) {
+                    tracing::info!("superseded: a write was refused because of a later epoch");
+                    return self.step_down();
+                }
+                self.on_flush_conflict(items, &answer.failed);
+            }
+            (400, _) => {
+                self.note_store_answer();
+                self.on_flush_rejected(items);
+            }
+            (503 | 429, _) => {
+                if status == 429 {
+                    tracing::debug!("a write exceeded the store's rate limit");
+                }
+                self.on_store_throttled(status);
+                items.into_iter().for_each(|item| self.unwritten(item));
+            }
+            // It may have been applied, or may be applied later.
+            _ => items.into_iter().for_each(|item| self.reread_record(item)),
+        }
+    }
+
+    /// The store rejected a transaction as malformed or too large: nothing of it was executed.
+    fn on_flush_rejected(&mut self, items: Vec<FlushItem>) {
+        tracing::error!(
+            items = items.len(),
+            "the store rejected a write as too large or malformed"
+        );
+        if let [item] = items.as_slice() {
+            let deferred = match item {
+                FlushItem::Chunk { job, chunk, .. } => Some((*job, Some(*chunk))),
+                FlushItem::Terminal { job, .. } | FlushItem::Fold { job, .. } => Some((*job, None)),
+                // Nothing is lost with a key that nobody reads: its deletion is given up.
+                FlushItem::Deletion { .. } => None,
+            };
+            let Some((job, chunk)) = deferred else { return };
+            self.defer_write(job, chunk);
+        } else {
+            // Which of the records is at fault shows when each is sent by itself.
+            self.record_writer.single_record_flushes = items.len();
+        }
+        items.into_iter().for_each(|item| self.unwritten(item));
+    }
+
+    /// Nothing of a transaction was executed, since the revisions of these keys have changed. The
+    /// deletion of a changed entry of the handoff queue is given up: either it is gone already, or
+    /// the watch reports what took its place.
+    fn on_flush_conflict(&mut self, items: Vec<FlushItem>, failed: &[String]) {
+        let (deletions, records): (Vec<_>, Vec<_>) =
+            items.into_iter().partition(|item| matches!(item, FlushItem::Deletion { .. }));
+        for deletion in deletions {
+            let FlushItem::Deletion { path, .. } = &deletion else { continue };
+            if !failed.contains(path) {
+                self.unwritten(deletion);
+            }
+        }
+        let record_changed = failed.iter().any(|path| !path.starts_with(HANDOFF_PREFIX));
+        if record_changed {
+            tracing::info!(?failed, "a write conflicted with a changed record; reading it again");
+        }
+        for item in records {
+            match record_changed {
+                true => self.reread_record(item),
+                false => self.unwritten(item),
+            }
+        }
+    }
+
+    fn on_item_written(&mut self, item: FlushItem, revision: u64) {
+        match item {
+            FlushItem::Chunk { job, chunk, placed } => {
+                self.on_placement_written(job, chunk, placed, revision)
+            }
+            FlushItem::Terminal { job, chunks } => {
+                self.on_terminal_state_written(job, &chunks, revision)
+            }
+            FlushItem::Fold { job, chunks } => self.on_fold_written(job, &chunks, revision),
+            FlushItem::Deletion { .. } => {}
+        }
+    }
+
+    fn on_placement_written(
+        &mut self,
+        ix: JobIndex,
+        chunk: u32,
+        placed: RecordLocation,
+        revision: u64,
+    ) {
+        self.chunk_stands(ix, chunk, placed, revision);
+        // A job with a record of its own is no longer part of a batch record.
+        let with_own_record = self.jobs.get_mut(ix).filter(|_| placed.own);
+        if let Some(batch) = with_own_record.and_then(|job| job.page.take()) {
+            self.remove_from_batch(ix, batch);
+        }
+        self.touch_probed(ix);
+        self.preempt_due = true;
+        self.placement_due = true;
+        self.record_writer.touch_job(ix);
+    }
+
+    fn on_terminal_state_written(&mut self, ix: JobIndex, deleted: &[u32], revision: u64) {
+        let Some(job) = self.jobs.get_mut(ix) else { return };
+        (job.busy, job.revision) = (false, revision);
+        for number in deleted {
+            if let Some(chunk) = job.chunks.get_mut(number) {
+                (chunk.revision, chunk.pieces) = (0, 0);
+            }
+        }
+        let placements_left = job.chunks.values().any(|chunk| chunk.revision > 0);
+        if job.state == JobState::Finishing {
+            self.set_job_state(ix, JobState::Done);
+        }
+        if placements_left {
+            self.remove_leftover_placements(ix);
+        } else {
+            self.drop_job(ix);
+        }
+    }
+
+    fn on_fold_written(&mut self, ix: JobIndex, folded: &[u32], revision: u64) {
+        let Some(job) = self.jobs.get_mut(ix) else { return };
+        (job.busy, job.revision) = (false, revision);
+        job.chunks.retain(|number, _| !folded.contains(number));
+        job.done_chunks = job.done_chunks_with(folded);
+        self.record_writer.touch_job(ix);
+        self.placement_due = true;
+    }
+
+    /// Schedules the deletion of an ended job's placement records for which the write of its
+    /// terminal state had no room, and forgets the job.
+    pub(super) fn remove_leftover_placements(&mut self, ix: JobIndex) {
+        let Some(job) = self.jobs.get(ix) else { return };
+        let recorded = job.chunks.iter().filter(|(_, chunk)| chunk.revision > 0);
+        let paths: Vec<String> = recorded
+            .flat_map(|(number, chunk)| piece_keys(&job.id, *number, chunk.pieces))
+            .collect();
+        for path in paths {
+            self.record_writer.remove(path);
+        }
+        self.drop_job(ix);
+    }
+
+    /// A record was not written: memory is still ahead of it.
+    pub(crate) fn unwritten(&mut self, item: FlushItem) {
+        match item {
+            FlushItem::Chunk { job: ix, chunk, placed } => {
+                let Some(job) = self.jobs.get_mut(ix) else { return };
+                job.busy &= !placed.own;
+                if let Some(chunk) = job.chunks.get_mut(&chunk) {
+                    // Tasks may wait for this record to start.
+                    (chunk.busy, chunk.blocks_starts) = (false, true);
+                }
+                self.mark_dirty(ix, chunk);
+            }
+            FlushItem::Terminal { job: ix, .. } | FlushItem::Fold { job: ix, .. } => {
+                if let Some(job) = self.jobs.get_mut(ix) {
+                    job.busy = false;
+                    if job.state == JobState::Finishing {
+                        self.set_job_state(ix, JobState::Live);
+                    }
+                }
+                self.record_writer.touch_job(ix);
+            }
+            FlushItem::Deletion { path, revision } => {
+                self.record_writer.remove_note(path, revision)
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/storage/record_writer/terminal_states.rs
@@ -0,0 +1,231 @@
+//! Jobs' own records in a flush: terminal states, and completed chunks folded into the record.
+
+use std::cmp::Reverse;
+
+use quartzgate_feature_gates::Feature;
+use quartzgate_wire::msg::{Change, Guard, JobKind};
+
+use super::{Draft, FlushItem, Purpose, CLEANUP_RESERVE};
+use crate::controller::Controller;
+use crate::ids::JobIndex;
+use crate::jobs::{Chunk, Job, JobState};
+use crate::placement::placer::MAX_OPEN_CHUNKS;
+use crate::storage::records::{encode, job_key, JobRecord, RecordedStatus};
+
+/// Completed chunks that are folded in one write, if there are so many.
+const MIN_FOLDED_CHUNKS: usize = 4;
+/// Fraction of a second's writes that terminal states of aborted jobs leave to everything else.
+const ABORTED_RESERVE: f64 = 0.5;
+/// Changes that must be left beyond the reserve for placement records to be deleted at once.
+const MIN_CHANGES_FOR_DELETIONS: f64 = 2.0;
+/// Estimated bytes of a terminal state in a transaction.
+const TERMINAL_STATE_BYTES: usize = 300;
+/// Estimated bytes of the deletion of a chunk's placement record.
+const DELETION_BYTES: usize = 200;
+
+/// What to do with a job's own record in this flush.
+enum JobRecordAction {
+    /// Nothing is to be written any more.
+    Discard,
+    /// It can't be written before something else has happened.
+    Wait,
+    /// Completed chunks may be folded into it.
+    Fold,
+    /// The job has ended.
+    End(RecordedStatus),
+}
+
+/// The first of these chunks whose records have no more keys than that.
+fn first_within<'a>(
+    chunks: impl Iterator<Item = (&'a u32, &'a Chunk)>,
+    max_keys: usize,
+) -> Vec<u32> {
+    let mut left = max_keys;
+    let fitting = chunks.take_while(|(_, chunk)| {
+        let fits = chunk.pieces as usize <= left;
+        left = left.saturating_sub(chunk.pieces as usize);
+        fits
+    });
+    fitting.map(|(number, _)| *number).collect()
+}
+
+impl Controller {
+    /// Adds terminal states and folds to the transaction: of jobs whose tasks have all completed,
+    /// and of aborted ones that are on no machine any more; either of teams without a quota
+    /// (`best_effort`) or of all others. Returns whether any completion is left for lack of
+    /// changes.
+    pub(super) fn gather_terminal_states(
+        &mut self,
+        best_effort: bool,
+        max_changes: usize,
+        draft: &mut Draft,
+    ) -> bool {
+        if draft.changes() >= max_changes {
+            return self.any_completion_waits(best_effort);
+        }
+        for ix in self.dirty_jobs_in_order(best_effort) {
+            if self.record_writer.must_send_alone(draft) {
+                return false;
+            }
+            match self.job_record_action(ix) {
+                JobRecordAction::Discard => self.record_writer.forget_job(ix),
+                JobRecordAction::Wait => {}
+                JobRecordAction::Fold => self.gather_fold(ix, max_changes, draft),
+                JobRecordAction::End(status) => {
+                    if !self.add_terminal_state(ix, status, max_changes, draft) {
+                        return status == RecordedStatus::Done;
+                    }
+                }
+            }
+        }
+        false
+    }
+
+    fn is_best_effort_job(&self, ix: JobIndex) -> bool {
+        self.jobs.get(ix).is_some_and(|job| self.is_best_effort(job))
+    }
+
+    fn any_completion_waits(&self, best_effort: bool) -> bool {
+        let completed = |job: &Job| job.state == JobState::Live && job.done >= job.spec.tasks;
+        let mut waiting = self.record_writer.dirty_jobs.iter();
+        waiting.any(|ix| {
+            self.is_best_effort_job(*ix) == best_effort && self.jobs.get(*ix).is_some_and(completed)
+        })
+    }
+
+    /// Jobs whose own record may have to be written. Those that others depend on come first,
+    /// aborted ones last; in between by priority, then by fairness between teams and classes.
+    fn dirty_jobs_in_order(&self, best_effort: bool) -> Vec<JobIndex> {
+        let dirty = self.record_writer.dirty_jobs.iter().copied();
+        let mut jobs: Vec<JobIndex> =
+            dirty.filter(|ix| self.is_best_effort_job(*ix) == best_effort).collect();
+        let mut tags = self.record_writer.completion_queue.tag_assigner();
+        jobs.sort_by_cached_key(|ix| {
+            let job = self.jobs.get(*ix);
+            let rank = match job {
+                Some(job) if job.state == JobState::Aborted => 2,
+                Some(job) if self.dependency_graph.needed(&job.id) => 0,
+                _ => 1,
+            };
+            let fairness_tag = job.map(|job| tags.next_tag(job.team, &job.spec.class));
+            (rank, Reverse(job.map(|job| job.priority)), fairness_tag)
+        });
+        jobs
+    }
+
+    fn job_record_action(&self, ix: JobIndex) -> JobRecordAction {
+        let Some(job) = self.jobs.get(ix) else { return JobRecordAction::Discard };
+        let now = self.context.now.steady_ms;
+        if job.busy || job.chunks.values().any(|c| c.busy) || now < job.deferred_until_ms {
+            return JobRecordAction::Wait;
+        }
+        let off_machines = || job.tasks().all(|(_, task)| !task.state.reserved());
+        match job.state {
+            JobState::Live if job.done >= job.spec.tasks => {
+                JobRecordAction::End(RecordedStatus::Done)
+            }
+            JobState::Aborted if off_machines() => JobRecordAction::End(RecordedStatus::Aborted),
+            JobState::Live => JobRecordAction::Fold,
+            JobState::Done | JobState::Finishing | JobState::Unreadable | JobState::Waiting => {
+                JobRecordAction::Discard
+            }
+            _ => JobRecordAction::Wait,
+        }
+    }
+
+    /// Adds a job's terminal state to the transaction, with the deletion of as many of its
+    /// placement records as there are changes for. False if it does not fit.
+    fn add_terminal_state(
+        &mut self,
+        ix: JobIndex,
+        status: RecordedStatus,
+        max_changes: usize,
+        draft: &mut Draft,
+    ) -> bool {
+        let now = self.context.now.steady_ms;
+        let writes = &mut self.record_writer.writes;
+        if status == RecordedStatus::Aborted && writes.room(now, ABORTED_RESERVE) < 1.0 {
+            return true;
+        }
+        // Placement records of an ended job only occupy the store: while changes are scarce they
+        // are deleted later, in transactions of their own.
+        let delete_now = writes.room(now, CLEANUP_RESERVE) >= MIN_CHANGES_FOR_DELETIONS;
+        let changes_left = max_changes.saturating_sub(draft.changes());
+        if changes_left < 1 + usize::from(delete_now) && draft.changes() > 0 {
+            return false;
+        }
+        let Some(job) = self.jobs.get(ix) else { return true };
+        let recorded = job.chunks.iter().filter(|(_, chunk)| chunk.revision > 0);
+        let max_keys = if delete_now { changes_left.max(2) - 1 } else { 0 };
+        let chunks = first_within(recorded, max_keys);
+        let record = self.terminal_record(job, status);
+        let key = job_key(&job.id);
+        draft.transaction.guards.push(Guard { path: key.clone(), revision: job.revision });
+        draft.transaction.apply.push(Change::Set {
+            set: key,
+            value: encode(&record),
+            lease_id: None,
+        });
+        let before_deletions = draft.changes();
+        self.record_writer.completion_queue.record_service(job.team, &job.spec.class);
+        self.remove_placements(ix, &chunks, &mut draft.transaction);
+        self.record_writer.note(Purpose::TerminalState, 1);
+        self.record_writer.note(Purpose::Cleanup, draft.changes() - before_deletions);
+        draft.bytes += TERMINAL_STATE_BYTES + DELETION_BYTES * chunks.len();
+        self.record_writer.forget_job(ix);
+        if let Some(job) = self.jobs.get_mut(ix) {
+            job.busy = true;
+        }
+        if status == RecordedStatus::Done {
+            self.set_job_state(ix, JobState::Finishing);
+        }
+        draft.items.push(FlushItem::Terminal { job: ix, chunks });
+        true
+    }
+
+    /// The record of a job that has ended, which keeps no description.
+    fn terminal_record(&self, job: &Job, status: RecordedStatus) -> JobRecord {
+        JobRecord {
+            status,
+            spec: None,
+            at_ms: job.at_ms,
+            done_chunks: Vec::new(),
+            service: job.spec.shape == JobKind::Service && self.has(Feature::ServiceMark),
+            share: None,
+        }
+    }
+
+    /// Folds completed chunks of a large job into the job's own record, several at a time unless
+    /// they hold up the placement of further chunks.
+    fn gather_fold(&mut self, ix: JobIndex, max_changes: usize, draft: &mut Draft) {
+        let Some(job) = self.jobs.get(ix) else { return };
+        let changes_left = max_changes.saturating_sub(draft.changes());
+        if !self.may_fold(job) || changes_left < 2 {
+            return self.record_writer.forget_job(ix);
+        }
+        let foldable = |chunk: &Chunk| !chunk.busy && chunk.revision > 0 && chunk.whole();
+        let completed = job.chunks.iter().filter(|(_, chunk)| foldable(chunk));
+        let max_keys = changes_left - 1;
+        let chunks = first_within(completed, max_keys);
+        let few = chunks.len() < MIN_FOLDED_CHUNKS.min(max_keys);
+        let may_wait = job.chunks.len() < MAX_OPEN_CHUNKS + MIN_FOLDED_CHUNKS;
+        if chunks.is_empty() || few && may_wait {
+            return self.record_writer.forget_job(ix);
+        }
+        let record = self.folded_record(job, &chunks);
+        let key = job_key(&job.id);
+        let before = draft.changes();
+        draft.transaction.guards.push(Guard { path: key.clone(), revision: job.revision });
+        draft.transaction.apply.push(Change::Set {
+            set: key,
+            value: encode(&record),
+            lease_id: None,
+        });
+        self.remove_placements(ix, &chunks, &mut draft.transaction);
+        self.record_writer.note(Purpose::Fold, draft.changes() - before);
+        if let Some(job) = self.jobs.get_mut(ix) {
+            job.busy = true;
+        }
+        draft.items.push(FlushItem::Fold { job: ix, chunks });
+    }
+}
