--- a/crates/core/src/storage/feature_state.rs
+++ b/crates/core/src/storage/feature_state.rs
@@ -1,13 +1,19 @@
-//! Which formats and features are on, and how a new one comes in while older versions
-//! still serve: the feature gates' keys at the state service. What may be switched on, and what
-//! holds it back, is decided in `quartzgate-feature-gates`.
+//! Which record formats and features are active, and the activation of new ones while controllers
+//! of older versions are still running.
+//!
+//! This module reads and writes the feature gates' keys. What may be activated, and what blocks
+//! it, is decided in `quartzgate-feature-gates`.
+//!
+//! Each controller publishes its capabilities. The leader activates a step with a transaction that
+//! is guarded by the epoch, by the active formats, and by every controller's capabilities or
+//! membership: it fails if any of them has changed since it was read.
 
 use std::collections::BTreeMap;
 
 use enumset::EnumSet;
 use quartzgate_feature_gates::{
-    ActivationGuard, ActivationRecord, ActivationStatus, CapabilityRecord, Feature, FeatureGates,
-    PlannedActivation, StoredCapabilities,
+    ActivationGuard, ActivationRecord, ActivationStatus, BlockedStep, CapabilityRecord, Feature,
+    FeatureGates, PlannedActivation, StoredCapabilities,
 };
 use quartzgate_wire::msg::{Change, Guard, KeyValue, KeyValueList, Transaction, TransactionAnswer};
 use quartzgate_wire::settings::StateLimits;
@@ -20,43 +26,93 @@
 };
 use crate::Outcome;
 
+/// What is known about formats and features, and the calls that keep it up to date.
 pub(crate) struct FeatureState {
+    /// Decides what may be activated.
     pub gates: FeatureGates,
-    /// What is known to be on.
-    on: EnumSet<Feature>,
-    asking: bool,
-    due_ms: u64,
+    /// Features that are known to be active.
+    active: EnumSet<Feature>,
+    /// A read, or the write of a step, is in flight. There is at most one.
+    call_in_flight: bool,
+    next_read_ms: u64,
 }
 
 impl FeatureState {
+    /// The state of a controller that has read nothing yet.
     pub fn new(cfg: &Config) -> Self {
         let gates = FeatureGates::new(cfg.table, cfg.operator.withheld());
-        FeatureState { gates, on: EnumSet::empty(), asking: false, due_ms: 0 }
+        FeatureState { gates, active: EnumSet::empty(), call_in_flight: false, next_read_ms: 0 }
+    }
+
+    /// Takes over a status that was read or written; false if it was known already.
+    fn set_status(&mut self, status: ActivationStatus, revision: u64) -> bool {
+        if !self.gates.set_status(status, revision) {
+            return false;
+        }
+        let gates = &self.gates;
+        self.active = Feature::all().filter(|f| gates.is_active(f.name())).collect();
+        true
+    }
+
+    fn log_status(&self) {
+        match self.gates.status() {
+            ActivationStatus::Active(record) => {
+                let features = record.features.iter().cloned().collect::<Vec<_>>().join(" ");
+                let (version, complete) = (record.version, self.gates.is_complete());
+                tracing::info!(version, features, complete, "formats in use");
+            }
+            ActivationStatus::Unsupported(unsupported) => tracing::error!(
+                %unsupported,
+                "a format or feature is active that this version does not support; it neither leads nor serves"
+            ),
+            ActivationStatus::Unknown => {}
+        }
+    }
+
+    /// Whether to read the keys now: until all steps that this version supports are active and
+    /// this controller's capabilities are published.
+    fn is_read_due(&self, node: &str, now_ms: u64) -> bool {
+        let settled = self.gates.is_complete() && !self.gates.must_publish_capabilities(node, None);
+        !settled && !self.call_in_flight && now_ms >= self.next_read_ms
     }
 }
 
-fn node_key(node: &str) -> String {
+/// Key of a controller's capability record.
+fn capability_key(node: &str) -> String {
     format!("{FORMAT_NODE_PREFIX}{node}")
 }
 
+/// Node and capabilities of a capability record's key. What can't be decoded says nothing about
+/// its controller.
+fn stored_capabilities(pair: &KeyValue) -> Option<(String, StoredCapabilities)> {
+    let node = pair.path.strip_prefix(FORMAT_NODE_PREFIX)?;
+    let record = decode::<CapabilityRecord>(&pair.value)?;
+    Some((node.to_string(), StoredCapabilities { record, revision: pair.revision }))
+}
+
+/// Node and revision of a membership key.
+fn membership_revision(pair: &KeyValue) -> Option<(String, u64)> {
+    Some((pair.path.strip_prefix(MEMBER_PREFIX)?.to_string(), pair.revision))
+}
+
 impl Controller {
-    /// A feature is known to be on.
+    /// Whether a feature is known to be active.
     pub(crate) fn has(&self, feature: Feature) -> bool {
-        self.feature_state.on.contains(feature)
+        self.feature_state.active.contains(feature)
     }
 
-    /// A later version's records are nothing to meddle with.
+    /// Whether something is active that this version does not support: it must not touch records.
     pub(crate) fn foreign_format(&self) -> bool {
         self.feature_state.gates.is_unsupported()
     }
 
-    /// It is known what the records mean.
+    /// Whether it is known in which formats records are written.
     pub(crate) fn knows_format(&self) -> bool {
         matches!(self.feature_state.gates.status(), ActivationStatus::Active(_))
     }
 
-    /// Limits of the state service to keep to: those to come as well once that is agreed,
-    /// since they change without notice.
+    /// Limits of the store to observe: the lowest announced ones once all controllers observe
+    /// them, since the limits change without notice.
     pub(crate) fn limits(&self) -> &StateLimits {
         match self.has(Feature::AnnouncedLimits) {
             true => &self.context.config.lowest,
@@ -64,194 +120,178 @@
         }
     }
 
-    /// Largest value that may be written, as `checked_size` counts.
+    /// Largest value in bytes that may be written, as
+    /// [`checked_size`](crate::storage::records::checked_size) counts them.
     pub(crate) fn value_most(&self) -> usize {
         (self.limits().value_kb * 1024.0) as usize
     }
 
-    /// Takes in what is known to stand now.
-    fn stands(&mut self, stands: ActivationStatus, revision: u64) {
-        if !self.feature_state.gates.set_status(stands, revision) {
-            return;
+    /// Takes over what is known to be active now.
+    fn set_activation_status(&mut self, status: ActivationStatus, revision: u64) {
+        if self.feature_state.set_status(status, revision) {
+            self.feature_state.log_status();
+            self.fit_rate_limits();
         }
-        let gates = &self.feature_state.gates;
-        self.feature_state.on = Feature::all().filter(|f| gates.is_active(f.name())).collect();
-        match gates.status() {
-            ActivationStatus::Active(at) => {
-                let (version, alone) = (at.version, at.features.iter());
-                let features = alone.cloned().collect::<Vec<_>>().join(" ");
-                tracing::info!(version, features, complete = gates.is_complete(), "formats in use");
-            }
-            ActivationStatus::Unsupported(unsupported) => {
-                tracing::error!(
-                    %unsupported,
-                    "this is on and this version does not know it; it neither leads nor serves"
-                )
-            }
-            ActivationStatus::Unknown => {}
-        }
-        self.fit_rate_limits();
     }
 
-    /// Reads how things stand until all that this version knows is on; leaves our own key,
-    /// and takes a step when its time has come.
+    /// Reads the keys when that is due: less often while nothing can be activated, only to show
+    /// operators who else blocks a step.
     pub(crate) fn tick_format(&mut self) {
         let now = self.context.now.steady_ms;
-        let gates = &self.feature_state.gates;
-        let settled = gates.is_complete()
-            && !gates.must_publish_capabilities(&self.context.config.platform.node, None);
-        if settled || self.feature_state.asking || now < self.feature_state.due_ms {
+        if !self.feature_state.is_read_due(&self.context.config.platform.node, now) {
             return;
         }
-        self.feature_state.asking = true;
-        // Without our consent nothing comes: a look now and then shows who else holds it.
-        let hopeful = gates.has_consented_step();
-        self.feature_state.due_ms = now
-            + if hopeful {
-                self.context.config.lease_renewal_ms()
-            } else {
-                self.context.config.lease_ms()
-            };
+        let interval_ms = match self.feature_state.gates.has_consented_step() {
+            true => self.context.config.lease_renewal_ms(),
+            false => self.context.config.lease_ms(),
+        };
+        self.feature_state.call_in_flight = true;
+        self.feature_state.next_read_ms = now + interval_ms;
         let target = format!("/keys?starts={FORMAT_KEY}");
         self.call_store("GET", target, Vec::new(), InFlight::FormatRead);
     }
 
+    /// The formats' keys have been read; the membership keys are read after them, because
+    /// capabilities count for the run of a controller in which they were published.
     pub(crate) fn on_format_read(&mut self, outcome: Outcome) {
-        self.feature_state.asking = false;
+        self.feature_state.call_in_flight = false;
         let Some(list) = self.listed(outcome) else { return };
         self.see_format(&list.pairs);
-        // No settings name so many controllers.
+        // No settings name more controllers than one answer holds.
         if list.more || self.foreign_format() {
             return;
         }
-        let word = |pair: &KeyValue| {
-            let node = pair.path.strip_prefix(FORMAT_NODE_PREFIX)?;
-            // What can't be read says nothing of what its controller can do.
-            let said = decode::<CapabilityRecord>(&pair.value)?;
-            Some((node.to_string(), StoredCapabilities { record: said, revision: pair.revision }))
-        };
-        let words = list.pairs.iter().filter_map(word).collect();
-        self.feature_state.gates.set_capabilities(words);
-        // What a controller can do counts for the life in which it lives now.
-        let unsaid = self
-            .feature_state
-            .gates
-            .must_publish_capabilities(&self.context.config.platform.node, None);
-        if unsaid || !self.feature_state.gates.is_complete() {
-            self.feature_state.asking = true;
+        let capabilities = list.pairs.iter().filter_map(stored_capabilities).collect();
+        let gates = &mut self.feature_state.gates;
+        gates.set_capabilities(capabilities);
+        let node = &self.context.config.platform.node;
+        if gates.must_publish_capabilities(node, None) || !gates.is_complete() {
+            self.feature_state.call_in_flight = true;
             let target = format!("/keys?starts={MEMBER_PREFIX}");
             self.call_store("GET", target, Vec::new(), InFlight::MembersRead);
         }
     }
 
-    /// Who lives, read after what they say.
+    /// The membership keys have been read: publishes this controller's capabilities, or its
+    /// membership if its write was refused or lost; the leader activates a step if it can.
     pub(crate) fn on_members_read(&mut self, outcome: Outcome) {
-        self.feature_state.asking = false;
+        self.feature_state.call_in_flight = false;
         let Some(list) = self.listed(outcome) else { return };
-        let member =
-            |p: &KeyValue| Some((p.path.strip_prefix(MEMBER_PREFIX)?.to_string(), p.revision));
-        let members: BTreeMap<String, u64> = list.pairs.iter().filter_map(member).collect();
-        let me = self.context.config.platform.node.clone();
-        match members.get(&me).copied() {
-            Some(life) if self.feature_state.gates.must_publish_capabilities(&me, Some(life)) => {
-                self.leave_key(&me, life)
+        let members: BTreeMap<String, u64> =
+            list.pairs.iter().filter_map(membership_revision).collect();
+        let node = self.context.config.platform.node.clone();
+        match members.get(&node).copied() {
+            Some(revision) => {
+                let gates = &self.feature_state.gates;
+                if gates.must_publish_capabilities(&node, Some(revision)) {
+                    self.publish_capabilities(&node, revision);
+                }
             }
-            Some(_) => {}
-            // Its write was refused, or got lost.
             None => self.write_member_key(),
         }
         if self.leads() {
-            self.weigh_steps(&members);
+            self.activate_next_step(&members);
         }
     }
 
     fn listed(&mut self, outcome: Outcome) -> Option<KeyValueList> {
-        let Outcome::Answer(r) = outcome else { return None };
-        let list = from_cbor::<KeyValueList>(&r.body).ok().filter(|_| r.status == 200)?;
+        let Outcome::Answer(response) = outcome else { return None };
+        let list = from_cbor::<KeyValueList>(&response.body).ok();
+        let list = list.filter(|_| response.status == 200)?;
         self.note_store_answer();
         Some(list)
     }
 
-    /// Takes in what stands, as a list of the format's keys shows it.
+    /// Takes over the activation record from a list of the formats' keys.
     pub(crate) fn see_format(&mut self, pairs: &[KeyValue]) {
         let gates = &self.feature_state.gates;
-        let (stands, revision) = match pairs.iter().find(|p| p.path == FORMAT_KEY) {
+        let (status, revision) = match pairs.iter().find(|pair| pair.path == FORMAT_KEY) {
             Some(pair) => (gates.interpret(decode(&pair.value)), pair.revision),
             None => (gates.interpret(Some(ActivationRecord::initial())), 0),
         };
-        self.stands(stands, revision);
+        self.set_activation_status(status, revision);
     }
 
-    /// Says for good what this controller can do, and in which life.
-    fn leave_key(&mut self, me: &str, life: u64) {
+    /// Publishes for good what this controller supports, and in which run of it.
+    fn publish_capabilities(&mut self, node: &str, membership_revision: u64) {
         let record = CapabilityRecord {
-            membership_revision: Some(life),
+            membership_revision: Some(membership_revision),
             ..self.feature_state.gates.own_capabilities()
         };
-        let set = Change::Set { set: node_key(me), value: encode(&record), lease_id: None };
-        // An earlier life's word that comes late must not stand for this one's.
-        let guards = vec![Guard { path: member_key(me), revision: life }];
+        let set = Change::Set { set: capability_key(node), value: encode(&record), lease_id: None };
+        // A late write of an earlier run must not replace that of this one.
+        let guards = vec![Guard { path: member_key(node), revision: membership_revision }];
+        // The next read shows whether it was written, and repeats it if not.
+        self.write_format_keys(Transaction { guards, apply: vec![set] }, InFlight::MemberKey);
+    }
+
+    fn write_format_keys(&mut self, transaction: Transaction, pending: InFlight) {
         self.record_writer.writes.force(self.context.now.steady_ms, 1.0);
-        let body = to_cbor(&Transaction { guards, apply: vec![set] });
-        // Looked for by the next read; written again if it is not there.
-        self.call_store("POST", "/multi".into(), body, InFlight::MemberKey);
+        self.call_store("POST", "/multi".into(), to_cbor(&transaction), pending);
     }
 
-    /// Takes the next step if all have it; tells operators what it waits for, when that
-    /// changes.
-    fn weigh_steps(&mut self, members: &BTreeMap<String, u64>) {
+    /// Activates the next step if every controller supports it; otherwise logs what blocks it.
+    fn activate_next_step(&mut self, members: &BTreeMap<String, u64>) {
         let platform = &self.context.config.platform;
-        let mut named: Vec<String> = platform.siblings.iter().map(|s| s.node.clone()).collect();
-        named.push(platform.node.clone());
+        let siblings = platform.siblings.iter().map(|sibling| sibling.node.clone());
+        let configured: Vec<String> = siblings.chain([platform.node.clone()]).collect();
         let now = self.context.now.steady_ms;
-        let before = self.feature_state.gates.blocked_steps().to_vec();
-        let due = self.feature_state.gates.next_activation(now, &named, members);
-        for held in self.feature_state.gates.blocked_steps() {
-            if before.iter().any(|b| b.step == held.step && b.blocked_by == held.blocked_by) {
+        let blocked_before = self.feature_state.gates.blocked_steps().to_vec();
+        let planned = self.feature_state.gates.next_activation(now, &configured, members);
+        self.log_blocked_steps(&blocked_before);
+        if let Some(planned) = planned {
+            self.activate(planned);
+        }
+    }
+
+    /// Logs the steps that are blocked by others than before.
+    fn log_blocked_steps(&self, before: &[BlockedStep]) {
+        let now = self.context.now.steady_ms;
+        for blocked in self.feature_state.gates.blocked_steps() {
+            let unchanged =
+                |b: &BlockedStep| b.step == blocked.step && b.blocked_by == blocked.blocked_by;
+            if before.iter().any(unchanged) {
                 continue;
             }
-            let by: Vec<String> =
-                held.blocked_by.iter().map(|(n, why)| format!("{n} {why}")).collect();
-            let for_s = (now - held.since_ms) / 1000;
-            tracing::info!(step = %held.step, for_s, by = by.join("; "), "a step waits");
-        }
-        if let Some(due) = due {
-            self.take_step(due);
+            let reasons = blocked.blocked_by.iter().map(|(node, why)| format!("{node} {why}"));
+            let blocked_by = reasons.collect::<Vec<_>>().join("; ");
+            let for_s = (now - blocked.since_ms) / 1000;
+            tracing::info!(step = %blocked.step, for_s, blocked_by, "a step is blocked");
         }
     }
 
-    /// Switches a step on: guarded by our view, by what stood, and by each controller's
-    /// being the one that agreed.
-    fn take_step(&mut self, due: PlannedActivation) {
+    /// Writes the activation of a step, guarded by everything that the decision relies on.
+    fn activate(&mut self, planned: PlannedActivation) {
         let mut guards = vec![
             Guard { path: FORMAT_KEY.into(), revision: self.feature_state.gates.revision() },
             Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision },
         ];
-        guards.extend(due.guards.into_iter().map(|g| match g {
+        guards.extend(planned.guards.into_iter().map(|guard| match guard {
             ActivationGuard::Membership { node, revision } => {
                 Guard { path: member_key(&node), revision }
             }
             ActivationGuard::Capabilities { node, revision } => {
-                Guard { path: node_key(&node), revision }
+                Guard { path: capability_key(&node), revision }
             }
         }));
-        let value = encode(&due.record);
+        let value = encode(&planned.record);
         let apply = vec![Change::Set { set: FORMAT_KEY.into(), value, lease_id: None }];
-        self.record_writer.writes.force(self.context.now.steady_ms, 1.0);
-        let body = to_cbor(&Transaction { guards, apply });
-        tracing::info!(step = %due.step, "all controllers have it: switching it on");
-        let pending = InFlight::Step { record: due.record, epoch: self.epoch() };
-        self.feature_state.asking = true;
-        self.call_store("POST", "/multi".into(), body, pending);
+        tracing::info!(step = %planned.step, "all controllers support this step: activating it");
+        let pending = InFlight::Step { record: planned.record, epoch: self.epoch() };
+        self.feature_state.call_in_flight = true;
+        self.write_format_keys(Transaction { guards, apply }, pending);
     }
 
-    /// Whatever else came of it shows in the next read.
+    /// The write of a step has ended; `record` is `None` if the epoch has changed since. Outcomes
+    /// other than success show in the next read, which follows at once.
     pub(crate) fn on_step(&mut self, record: Option<ActivationRecord>, outcome: Outcome) {
-        (self.feature_state.asking, self.feature_state.due_ms) = (false, 0);
-        let (Outcome::Answer(r), Some(record)) = (outcome, record) else { return };
-        if let (200, Ok(a)) = (r.status, from_cbor::<TransactionAnswer>(&r.body)) {
+        self.feature_state.call_in_flight = false;
+        self.feature_state.next_read_ms = 0;
+        let (Outcome::Answer(response), Some(record)) = (outcome, record) else { return };
+        let answer = from_cbor::<TransactionAnswer>(&response.body);
+        if let (200, Ok(answer)) = (response.status, answer) {
             self.note_store_answer();
-            self.stands(ActivationStatus::Active(record), a.store_revision);
+            self.set_activation_status(ActivationStatus::Active(record), answer.store_revision);
         }
     }
 }
--- a/crates/core/src/storage/placement_records.rs
+++ b/crates/core/src/storage/placement_records.rs
@@ -1,5 +1,5 @@
-//! Shares as they are written and taken away: in one key or several, which always change
-//! together, and folded into their job's record once they are done.
+//! Writes of placement records: in the job's own record, in one key or in several, which always
+//! change together; and their deletion once completed chunks are folded into the job's record.
 
 use ciborium::value::Value;
 use quartzgate_feature_gates::Feature;
@@ -7,100 +7,173 @@
 
 use crate::controller::Controller;
 use crate::ids::JobIndex;
-use crate::jobs::{Job, JobState};
+use crate::jobs::{Chunk, Job, JobState};
 use crate::storage::records::{
     checked_size, encode, inline_piece, job_key, json_size, pack_placement, piece_key, piece_keys,
-    JobRecord, RecordedStatus,
+    JobRecord, PlacementRecord, RecordedStatus,
 };
 
-/// Where a chunk's record stands once a write of it is executed.
+/// Bytes that stay free in a job's own record with a placement: a follower that records an abort
+/// writes the record back as it read it, with a longer status.
+const ABORT_SPARE_BYTES: usize = 64;
+
+/// Where a chunk's placement is once a write of it has been executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RecordLocation {
-    /// Keys over which it is spread.
+    /// Number of keys over which it is split.
     pub pieces: u32,
-    /// It stands within the job's own record.
+    /// It is part of the job's own record.
     pub inline: bool,
     /// The write sets the job's own record.
     pub own: bool,
 }
 
-/// A chunk's record, ready to be written over what stands of it.
+/// A value to be set, and the revision that its key must still have.
+struct GuardedValue {
+    value: Value,
+    revision: u64,
+}
+
+/// A chunk's placement, ready to be written over the one that is recorded.
 pub(crate) struct PlacementWrite {
     pub placed: RecordLocation,
-    /// Keys that stand, and their stamp.
-    old: u32,
-    revision: u64,
+    /// Number of keys of the recorded placement, and their revision.
+    recorded_pieces: u32,
+    recorded_revision: u64,
+    /// One value for each key.
     values: Vec<Value>,
-    /// The job's own record, if it has to change as well, and its stamp.
-    own: Option<(Value, u64)>,
+    /// The job's own record, if it changes as well.
+    own_record: Option<GuardedValue>,
+    /// Estimated size of all values.
     pub bytes: usize,
-    /// Some value is too large for any write.
+    /// Some value exceeds the store's limit.
     pub oversize: bool,
 }
 
 impl PlacementWrite {
+    /// Number of keys that the write changes.
     pub fn changes(&self) -> usize {
-        self.placed.pieces.max(self.old) as usize + usize::from(self.placed.own)
+        let pieces = self.placed.pieces.max(self.recorded_pieces);
+        pieces as usize + usize::from(self.placed.own)
     }
 
-    /// Adds it to a transaction: all pieces, old and new, and the job's own record change
+    /// Adds the write to a transaction: all keys, old and new, and the job's own record change
     /// together.
     pub fn enter(self, id: &str, chunk: u32, guards: &mut Vec<Guard>, apply: &mut Vec<Change>) {
-        let (pieces, old, revision) = (self.placed.pieces, self.old, self.revision);
-        if let Some((value, revision)) = self.own {
-            guards.push(Guard { path: job_key(id), revision });
-            apply.push(Change::Set { set: job_key(id), value, lease_id: None });
+        let (pieces, recorded) = (self.placed.pieces, self.recorded_pieces);
+        if let Some(own) = self.own_record {
+            guards.push(Guard { path: job_key(id), revision: own.revision });
+            apply.push(Change::Set { set: job_key(id), value: own.value, lease_id: None });
         }
-        for n in 0..pieces.max(old) {
-            let revision = if n < old { revision } else { 0 };
-            guards.push(Guard { path: piece_key(id, chunk, n), revision });
+        for piece in 0..pieces.max(recorded) {
+            let revision = if piece < recorded { self.recorded_revision } else { 0 };
+            guards.push(Guard { path: piece_key(id, chunk, piece), revision });
         }
-        for (n, value) in (0..).zip(self.values) {
-            apply.push(Change::Set { set: piece_key(id, chunk, n), value, lease_id: None });
+        for (piece, value) in (0..).zip(self.values) {
+            apply.push(Change::Set { set: piece_key(id, chunk, piece), value, lease_id: None });
         }
-        apply.extend((pieces..old).map(|n| Change::Delete { delete: piece_key(id, chunk, n) }));
+        let unused = (pieces..recorded).map(|piece| piece_key(id, chunk, piece));
+        apply.extend(unused.map(|delete| Change::Delete { delete }));
     }
 }
 
-/// What is left free in a record that holds its share: a follower that records an abort
-/// writes what it read, and a word more.
-const SPARE_BYTES: usize = 64;
+/// A write in the first format, which has no pieces.
+fn unsplit_write(record: &PlacementRecord, chunk: &Chunk, max_bytes: usize) -> PlacementWrite {
+    let bytes = json_size(record);
+    PlacementWrite {
+        placed: RecordLocation { pieces: 1, ..RecordLocation::default() },
+        recorded_pieces: chunk.pieces,
+        recorded_revision: chunk.revision,
+        values: vec![encode(record)],
+        own_record: None,
+        bytes,
+        oversize: bytes > max_bytes,
+    }
+}
 
 impl Controller {
-    /// Removes shares of a job.
-    pub(crate) fn remove_placements(&self, ix: JobIndex, chunks: &[u32], txn: &mut Transaction) {
-        let Some(job) = self.jobs.get(ix) else { return };
-        for c in chunks {
-            let stands = &job.chunks[c];
-            for path in piece_keys(&job.id, *c, stands.pieces) {
-                txn.guards.push(Guard { path: path.clone(), revision: stands.revision });
-                txn.apply.push(Change::Delete { delete: path });
-            }
+    /// A chunk's placement as memory has it now, ready to be written. Raises the chunk's version.
+    pub(crate) fn placement_write(&mut self, ix: JobIndex, chunk: u32) -> Option<PlacementWrite> {
+        let record = self.placement_record(ix, chunk)?;
+        let job = self.jobs.get(ix)?;
+        let recorded = job.chunks.get(&chunk)?;
+        if !self.has(Feature::SplitPlacementRecords) {
+            return Some(unsplit_write(&record, recorded, self.value_most()));
         }
+        let inline_write = self.inline_write(ix, job, recorded, &record);
+        Some(inline_write.unwrap_or_else(|| self.split_write(ix, job, chunk, recorded, &record)))
     }
 
-    /// The record of a job some of whose chunks are folded.
-    pub(crate) fn folded_record(&self, job: &Job, chunks: &[u32]) -> JobRecord {
-        JobRecord {
-            status: RecordedStatus::Live,
-            spec: Some(job.spec.clone()),
-            at_ms: job.at_ms,
-            done_chunks: job.done_chunks_with(chunks),
-            service: false,
-            share: None,
+    /// The write of a placement into the job's own record, if it belongs there and fits.
+    fn inline_write(
+        &self,
+        ix: JobIndex,
+        job: &Job,
+        recorded: &Chunk,
+        record: &PlacementRecord,
+    ) -> Option<PlacementWrite> {
+        if !self.inlines(ix) {
+            return None;
+        }
+        let mut own_record = self.own_record(job);
+        own_record.share = Some(inline_piece(record));
+        let bytes = checked_size(&own_record);
+        if bytes + ABORT_SPARE_BYTES > self.value_most() {
+            return None;
         }
+        Some(PlacementWrite {
+            placed: RecordLocation { pieces: 0, inline: true, own: true },
+            recorded_pieces: recorded.pieces,
+            recorded_revision: recorded.revision,
+            values: Vec::new(),
+            own_record: Some(GuardedValue { value: encode(&own_record), revision: job.revision }),
+            bytes,
+            oversize: false,
+        })
     }
 
-    /// Large jobs are folded, if what is folded still has room in the job's record.
-    pub(crate) fn may_fold(&self, job: &Job) -> bool {
-        job.chunk_count() > 1 && {
-            let whole: Vec<u32> =
-                job.chunks.iter().filter(|(_, c)| c.whole()).map(|(n, _)| *n).collect();
-            whole.is_empty() || checked_size(&self.folded_record(job, &whole)) <= self.value_most()
+    /// The write of a placement to as many keys of its own as it takes.
+    fn split_write(
+        &self,
+        ix: JobIndex,
+        job: &Job,
+        chunk: u32,
+        recorded: &Chunk,
+        record: &PlacementRecord,
+    ) -> PlacementWrite {
+        let max_bytes = self.value_most();
+        // A placement that has outgrown the job's own record must not remain there as well.
+        let leaves_own_record = self.inlines(ix) && recorded.inline;
+        // A job that leaves its batch record has no record of its own yet.
+        let leaves_batch = job.own && job.page.is_some();
+        let own_record = (leaves_own_record || leaves_batch)
+            .then(|| GuardedValue { value: encode(&self.own_record(job)), revision: job.revision });
+        let pieces = pack_placement(record, chunk, max_bytes);
+        let own_record_bytes = if own_record.is_some() { max_bytes } else { 0 };
+        PlacementWrite {
+            placed: RecordLocation {
+                pieces: pieces.len() as u32,
+                inline: false,
+                own: own_record.is_some(),
+            },
+            recorded_pieces: recorded.pieces,
+            recorded_revision: recorded.revision,
+            values: pieces.iter().map(encode).collect(),
+            own_record,
+            bytes: pieces.iter().map(json_size).sum::<usize>() + own_record_bytes,
+            oversize: pieces.iter().any(|piece| checked_size(piece) > max_bytes),
         }
     }
 
-    /// A job's own record as memory has it, without its share.
+    /// Whether the placement of a job belongs in the job's own record, if it fits.
+    pub(crate) fn inlines(&self, ix: JobIndex) -> bool {
+        self.has(Feature::InlinePlacements)
+            && self.jobs.get(ix).is_some_and(|job| {
+                job.chunk_count() == 1 && job.chunks.get(&0).is_none_or(|c| c.pieces == 0)
+            })
+    }
+
+    /// A job's own record as memory has it, without its placement.
     pub(crate) fn own_record(&self, job: &Job) -> JobRecord {
         let mut record = self.folded_record(job, &[]);
         if matches!(job.state, JobState::Aborted | JobState::Aborting | JobState::Doubtful) {
@@ -110,99 +183,67 @@
         record
     }
 
-    /// Whether the share of a job is to stand in the job's own record, if it fits.
-    pub(crate) fn inlines(&self, ix: JobIndex) -> bool {
-        self.has(Feature::InlinePlacements)
-            && self.jobs.get(ix).is_some_and(|j| {
-                j.chunk_count() == 1 && j.chunks.get(&0).is_none_or(|c| c.pieces == 0)
-            })
+    /// The record of a live job into which these chunks are folded, beside those folded before.
+    pub(super) fn folded_record(&self, job: &Job, chunks: &[u32]) -> JobRecord {
+        JobRecord {
+            status: RecordedStatus::Live,
+            spec: Some(job.spec.clone()),
+            at_ms: job.at_ms,
+            done_chunks: job.done_chunks_with(chunks),
+            service: false,
+            share: None,
+        }
     }
 
-    /// A chunk's record as memory stands now, ready to be written.
-    pub(crate) fn placement_write(&mut self, ix: JobIndex, chunk: u32) -> Option<PlacementWrite> {
-        let record = self.placement_record(ix, chunk)?;
-        let most = self.value_most();
-        let job = self.jobs.get(ix)?;
-        let c = job.chunks.get(&chunk)?;
-        let (old, revision) = (c.pieces, c.revision);
-        if !self.has(Feature::SplitPlacementRecords) {
-            let bytes = json_size(&record);
-            let (values, oversize) = (vec![encode(&record)], bytes > most);
-            let placed = RecordLocation { pieces: 1, ..RecordLocation::default() };
-            return Some(PlacementWrite {
-                placed,
-                old,
-                revision,
-                values,
-                own: None,
-                bytes,
-                oversize,
-            });
+    /// Whether completed chunks may be folded into the job's record: jobs of several chunks, as
+    /// long as the record stays within the store's limit.
+    pub(super) fn may_fold(&self, job: &Job) -> bool {
+        if job.chunk_count() <= 1 {
+            return false;
         }
-        let mut own = None;
-        if self.inlines(ix) {
-            let mut record_of_job = self.own_record(job);
-            record_of_job.share = Some(inline_piece(&record));
-            let bytes = checked_size(&record_of_job);
-            if bytes + SPARE_BYTES <= most {
-                let own = Some((encode(&record_of_job), job.revision));
-                let placed = RecordLocation { pieces: 0, inline: true, own: true };
-                let (values, oversize) = (Vec::new(), false);
-                return Some(PlacementWrite {
-                    placed,
-                    old,
-                    revision,
-                    values,
-                    own,
-                    bytes,
-                    oversize,
-                });
-            }
-            // It has outgrown the job's record, which must not say any more what it said.
-            if c.inline {
-                record_of_job.share = None;
-                own = Some((encode(&record_of_job), job.revision));
+        let completed = job.chunks.iter().filter(|(_, chunk)| chunk.whole());
+        let completed: Vec<u32> = completed.map(|(number, _)| *number).collect();
+        completed.is_empty()
+            || checked_size(&self.folded_record(job, &completed)) <= self.value_most()
+    }
+
+    /// Adds the deletion of these chunks' placement records to a transaction.
+    pub(super) fn remove_placements(&self, ix: JobIndex, chunks: &[u32], txn: &mut Transaction) {
+        let Some(job) = self.jobs.get(ix) else { return };
+        for number in chunks {
+            let recorded = &job.chunks[number];
+            for path in piece_keys(&job.id, *number, recorded.pieces) {
+                txn.guards.push(Guard { path: path.clone(), revision: recorded.revision });
+                txn.apply.push(Change::Delete { delete: path });
             }
         }
-        // It leaves its page, and has no record of its own yet.
-        if job.own && job.page.is_some() {
-            own = Some((encode(&self.own_record(job)), job.revision));
-        }
-        let pieces = pack_placement(&record, chunk, most);
-        let oversize = pieces.iter().any(|p| checked_size(p) > most);
-        let bytes =
-            pieces.iter().map(json_size).sum::<usize>() + if own.is_some() { most } else { 0 };
-        let values: Vec<Value> = pieces.iter().map(encode).collect();
-        let placed =
-            RecordLocation { pieces: values.len() as u32, inline: false, own: own.is_some() };
-        Some(PlacementWrite { placed, old, revision, values, own, bytes, oversize })
     }
 
-    /// A chunk's record is on its way, perhaps with the job's own.
+    /// A write of a chunk's placement has been sent, perhaps with the job's own record.
     pub(crate) fn chunk_sent(&mut self, ix: JobIndex, chunk: u32, placed: RecordLocation) {
-        let Some(j) = self.jobs.get_mut(ix) else { return };
-        j.busy |= placed.own;
-        if let Some(c) = j.chunks.get_mut(&chunk) {
-            (c.dirty, c.busy) = (false, true);
+        let Some(job) = self.jobs.get_mut(ix) else { return };
+        job.busy |= placed.own;
+        if let Some(chunk) = job.chunks.get_mut(&chunk) {
+            (chunk.dirty, chunk.busy) = (false, true);
         }
     }
 
-    /// A chunk's record stands as it was sent.
+    /// A chunk's placement has been recorded as it was sent.
     pub(crate) fn chunk_stands(
         &mut self,
         ix: JobIndex,
         chunk: u32,
         placed: RecordLocation,
-        rev: u64,
+        revision: u64,
     ) {
-        let Some(j) = self.jobs.get_mut(ix) else { return };
+        let Some(job) = self.jobs.get_mut(ix) else { return };
         if placed.own {
-            (j.busy, j.revision) = (false, rev);
+            (job.busy, job.revision) = (false, revision);
         }
-        if let Some(c) = j.chunks.get_mut(&chunk) {
-            (c.busy, c.acked) = (false, c.version);
-            (c.pieces, c.inline) = (placed.pieces, placed.inline);
-            c.revision = if placed.inline { 0 } else { rev };
+        if let Some(chunk) = job.chunks.get_mut(&chunk) {
+            (chunk.busy, chunk.acked) = (false, chunk.version);
+            (chunk.pieces, chunk.inline) = (placed.pieces, placed.inline);
+            chunk.revision = if placed.inline { 0 } else { revision };
         }
     }
 }
--- a/crates/core/src/storage/rate_limiter.rs
+++ b/crates/core/src/storage/rate_limiter.rs
@@ -1,61 +1,66 @@
-//! Budgets for what the state service and the cloud allow a second.
+//! A rate limiter for calls to the key-value store and the cloud.
 
-/// A token bucket that holds up to one second's worth.
+/// A token bucket that holds up to one second's worth of tokens. Times are milliseconds of the
+/// monotonic clock.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
-    per_s: f64,
-    level: f64,
-    at_ms: u64,
+    tokens_per_s: f64,
+    /// Below zero after [`RateLimiter::force`].
+    tokens: f64,
+    refilled_ms: u64,
     closed_until_ms: u64,
 }
 
 impl RateLimiter {
-    pub fn new(per_s: f64) -> Self {
-        RateLimiter { per_s, level: per_s, at_ms: 0, closed_until_ms: 0 }
+    /// A full bucket.
+    pub fn new(tokens_per_s: f64) -> Self {
+        RateLimiter { tokens_per_s, tokens: tokens_per_s, refilled_ms: 0, closed_until_ms: 0 }
     }
 
-    /// The limit has changed.
-    pub fn set_rate(&mut self, per_s: f64) {
-        self.per_s = per_s;
-        self.level = self.level.min(per_s);
+    /// Changes the rate; the bucket shrinks with it.
+    pub fn set_rate(&mut self, tokens_per_s: f64) {
+        self.tokens_per_s = tokens_per_s;
+        self.tokens = self.tokens.min(tokens_per_s);
     }
 
+    /// Tokens a second.
     pub fn rate(&self) -> f64 {
-        self.per_s
+        self.tokens_per_s
     }
 
     fn refill(&mut self, now_ms: u64) {
-        let passed = now_ms.saturating_sub(self.at_ms) as f64 / 1000.0;
-        self.level = (self.level + passed * self.per_s).min(self.per_s);
-        self.at_ms = now_ms;
+        let elapsed_s = now_ms.saturating_sub(self.refilled_ms) as f64 / 1000.0;
+        self.tokens = (self.tokens + elapsed_s * self.tokens_per_s).min(self.tokens_per_s);
+        self.refilled_ms = now_ms;
     }
 
-    /// How much may be spent now while `reserve` (a share of a second's worth)
-    /// stays for what is more pressing.
+    /// Tokens that may be taken now while `reserve`, a fraction of a second's worth, stays for
+    /// more urgent uses.
     pub fn room(&mut self, now_ms: u64, reserve: f64) -> f64 {
         if now_ms < self.closed_until_ms {
             return 0.0;
         }
         self.refill(now_ms);
-        (self.level - reserve * self.per_s).max(0.0)
+        (self.tokens - reserve * self.tokens_per_s).max(0.0)
     }
 
+    /// Takes this many tokens if the reserve stays; otherwise takes none and returns false.
     pub fn take(&mut self, now_ms: u64, amount: f64, reserve: f64) -> bool {
-        let ok = self.room(now_ms, reserve) >= amount;
-        if ok {
-            self.level -= amount;
+        let allowed = self.room(now_ms, reserve) >= amount;
+        if allowed {
+            self.tokens -= amount;
         }
-        ok
+        allowed
     }
 
-    /// Spends what can't wait; the debt is paid back first.
+    /// Takes tokens for what can't wait, even if there are none; the debt is paid back first.
     pub fn force(&mut self, now_ms: u64, amount: f64) {
         self.refill(now_ms);
-        self.level -= amount;
+        self.tokens -= amount;
     }
 
-    /// The other side said 429 or 503: nothing more until then.
-    pub fn close(&mut self, now_ms: u64, for_ms: u64) {
-        self.closed_until_ms = self.closed_until_ms.max(now_ms + for_ms);
+    /// The service has refused a call with 429 or 503: no tokens for this duration.
+    pub fn close(&mut self, now_ms: u64, duration_ms: u64) {
+        self.closed_until_ms = self.closed_until_ms.max(now_ms + duration_ms);
     }
 }
