--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -24,7 +24,7 @@
 use crate::placement::candidates::SearchBudget;
 use crate::placement::dispatch::DemandRatios;
 use crate::placement::gangs::GangHold;
-use crate::recovery::Recovery;
+use crate::recovery::{RecordedJobReads, Recovery};
 use crate::storage::feature_state::FeatureState;
 use crate::storage::job_batches::{BatchLookup, JobBatches};
 use crate::storage::placement_records::RecordLocation;
@@ -186,9 +186,7 @@
     pub(crate) supply_changed: bool,
     pub(crate) round_at_ms: u64,
     pub(crate) second_at_ms: u64,
-    pub(crate) handoff_reads_to_retry: Vec<String>,
-    /// Jobs whose acceptance got no answer, and until when they are looked for.
-    pub(crate) indeterminate_submissions: BTreeMap<String, u64>,
+    pub(crate) recorded_job_reads: RecordedJobReads,
     /// Reports whose workers were sent elsewhere.
     pub(crate) let_go: u64,
     /// Room that is kept for gangs, by machine.
@@ -252,8 +250,7 @@
             supply_changed: false,
             round_at_ms: 0,
             second_at_ms: 0,
-            handoff_reads_to_retry: Vec::new(),
-            indeterminate_submissions: BTreeMap::new(),
+            recorded_job_reads: RecordedJobReads::default(),
             let_go: 0,
             gang_holds: BTreeMap::new(),
             duplicates_dropped: 0,
@@ -520,8 +517,7 @@
         self.machines_to_dispatch.clear();
         self.machines_to_command.clear();
         self.attempts = 0;
-        self.handoff_reads_to_retry.clear();
-        self.indeterminate_submissions.clear();
+        self.recorded_job_reads = RecordedJobReads::default();
         self.gang_holds.clear();
         self.clear_mailbox();
     }
--- /dev/null
+++ b/crates/core/src/recovery/placements.rs
@@ -0,0 +1,194 @@
+//! Loading of placement records into memory.
+
+use std::collections::btree_map::{BTreeMap, Entry};
+
+use crate::controller::Controller;
+use crate::ids::{JobIndex, MachineIndex, TaskKey};
+use crate::jobs::{Chunk, JobState, Probe, TaskState};
+use crate::storage::records::{
+    job_key, open_inline, piece_keys, AssembledPlacement, PlacementPiece, PlacementRecord,
+    ProbeSet, TASKS_PER_CHUNK,
+};
+
+/// Placements of one job by chunk, perhaps without some of their pieces.
+#[derive(Default)]
+pub(super) struct PartialPlacements {
+    by_chunk: BTreeMap<u32, AssembledPlacement>,
+}
+
+impl PartialPlacements {
+    /// Adds a piece to what was read of the chunk's placement before; false if they do not belong
+    /// together.
+    pub(super) fn add(&mut self, chunk: u32, piece: AssembledPlacement) -> bool {
+        match self.by_chunk.entry(chunk) {
+            Entry::Vacant(entry) => {
+                entry.insert(piece);
+                true
+            }
+            Entry::Occupied(mut entry) => entry.get_mut().join(piece),
+        }
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.by_chunk.is_empty()
+    }
+
+    /// The placements all of whose pieces have been read, and the others.
+    pub(super) fn split_complete(self) -> (BTreeMap<u32, AssembledPlacement>, PartialPlacements) {
+        let (complete, by_chunk) =
+            self.by_chunk.into_iter().partition(|(_, placement)| placement.whole());
+        (complete, PartialPlacements { by_chunk })
+    }
+
+    /// Numbers of the chunks.
+    pub(super) fn into_chunks(self) -> impl Iterator<Item = u32> {
+        self.by_chunk.into_keys()
+    }
+}
+
+impl Controller {
+    /// Loads several chunks of a job.
+    pub(super) fn load_chunks(
+        &mut self,
+        ix: JobIndex,
+        placements: BTreeMap<u32, AssembledPlacement>,
+    ) {
+        for (chunk, placement) in placements {
+            self.load_chunk(ix, chunk, placement);
+        }
+    }
+
+    /// Loads a placement that is part of its job's own record or of a batch record.
+    pub(super) fn load_inline(&mut self, ix: JobIndex, piece: &PlacementPiece, revision: u64) {
+        let Some(placement) = open_inline(piece, revision) else {
+            let key = self.jobs.get(ix).map(|job| job_key(&job.id));
+            return self.on_unreadable_placement(ix, &key.unwrap_or_default());
+        };
+        self.load_chunk(ix, 0, placement);
+        // The placement of a batched job is in the batch record, not in a record of its own.
+        if let Some(job) = self.jobs.get_mut(ix).filter(|job| job.page.is_some()) {
+            job.chunks.values_mut().for_each(|chunk| chunk.inline = false);
+        }
+    }
+
+    /// A placement can't be decoded, or lacks a piece: its job stops, and no other.
+    pub(super) fn on_unreadable_placement(&mut self, ix: JobIndex, key: &str) {
+        tracing::error!(key, "a placement record can't be decoded; its job stops");
+        self.set_job_state(ix, JobState::Unreadable);
+    }
+
+    /// Loads a chunk. Every machine that the placement names may have the tasks, unless this
+    /// leader wrote the placement in its own epoch and so knows what it has started.
+    fn load_chunk(&mut self, ix: JobIndex, number: u32, placement: AssembledPlacement) {
+        let Some(job) = self.jobs.get(ix) else { return };
+        if number >= job.chunk_count() || job.chunks.contains_key(&number) {
+            return;
+        }
+        // Folded into the job's record already, which counts its tasks.
+        if job.in_done_chunk(number * TASKS_PER_CHUNK) {
+            let keys: Vec<String> = piece_keys(&job.id, number, placement.piece_count).collect();
+            return keys.into_iter().for_each(|key| self.record_writer.remove(key));
+        }
+        let tasks = TaskRange::of_chunk(number, job.chunk_len(number));
+        let chunk = self.recorded_chunk(tasks, &placement);
+        let record = placement.record;
+        let machines: Vec<MachineIndex> =
+            record.machines.iter().map(|name| self.machine(name)).collect();
+        self.insert_recorded_chunk(ix, number, chunk, &record);
+        for (first, last) in &record.done {
+            for task in tasks.intersection(*first, *last) {
+                let key = TaskKey { job: ix, task };
+                self.set_task_state(key, TaskState::Done { version: 0 });
+            }
+        }
+        let proven = record.epoch == self.epoch();
+        for set in &record.sets {
+            for task in tasks.intersection(set.from, set.to) {
+                let probes = recorded_probes(set, &machines, proven);
+                self.load_probes(TaskKey { job: ix, task }, probes, proven);
+            }
+        }
+        if let Some(job) = self.jobs.get_mut(ix) {
+            job.next = 0;
+        }
+    }
+
+    /// A chunk as recorded, without its tasks' states.
+    fn recorded_chunk(&mut self, tasks: TaskRange, placement: &AssembledPlacement) -> Chunk {
+        let mut chunk = self.new_chunk(tasks.len);
+        (chunk.version, chunk.acked, chunk.inline) = (0, 0, placement.inline);
+        (chunk.revision, chunk.pieces) = match placement.inline {
+            true => (0, 0),
+            false => (placement.revision, placement.piece_count),
+        };
+        chunk
+    }
+
+    /// Adds a chunk to its job, with the zones that the placement has fixed.
+    fn insert_recorded_chunk(
+        &mut self,
+        ix: JobIndex,
+        number: u32,
+        mut chunk: Chunk,
+        record: &PlacementRecord,
+    ) {
+        let zones = &self.context.config.platform.params.zones;
+        let zone_index = |name: &String| zones.iter().position(|zone| zone == name);
+        for (index, task) in chunk.tasks.iter_mut().enumerate() {
+            let zone = record.zones.get(index).and_then(zone_index);
+            task.zone = zone.map(|zone| zone as u16);
+        }
+        let first_zone = chunk.tasks.iter().find_map(|task| task.zone);
+        let Some(job) = self.jobs.get_mut(ix) else { return };
+        job.chunks.insert(number, chunk);
+        if job.spec.together {
+            job.zone = job.zone.or(first_zone);
+        }
+    }
+
+    /// Loads a task that has not completed. It is unproven if an earlier leader may have started it
+    /// on one of the machines.
+    fn load_probes(&mut self, key: TaskKey, probes: Vec<Probe>, proven: bool) {
+        for probe in probes.iter().filter(|probe| probe.unproven) {
+            if let Some(machine) = self.machines.get_mut(probe.machine) {
+                machine.unproven.push(key);
+            }
+        }
+        let waits = proven || probes.is_empty();
+        if let Some(task) = self.jobs.task_mut(key) {
+            task.probes = probes;
+        }
+        let aborted = self.jobs.get(key.job).is_some_and(|job| job.state == JobState::Aborted);
+        let state = match waits {
+            true if aborted => TaskState::Dropped,
+            true => TaskState::Waiting,
+            false => TaskState::Unproven,
+        };
+        self.set_task_state(key, state);
+    }
+}
+
+/// The tasks of a chunk.
+#[derive(Clone, Copy)]
+struct TaskRange {
+    first: u32,
+    len: u32,
+}
+
+impl TaskRange {
+    fn of_chunk(number: u32, len: u32) -> Self {
+        TaskRange { first: number * TASKS_PER_CHUNK, len }
+    }
+
+    /// Tasks `first..=last`, as far as they belong to the chunk.
+    fn intersection(self, first: u32, last: u32) -> std::ops::RangeInclusive<u32> {
+        first.max(self.first)..=last.min(self.first + self.len - 1)
+    }
+}
+
+/// The probes that a set records for each of its tasks. Indexes of machines that the record does
+/// not name are ignored.
+fn recorded_probes(set: &ProbeSet, machines: &[MachineIndex], proven: bool) -> Vec<Probe> {
+    let named = set.machines.iter().filter_map(|index| machines.get(*index as usize));
+    named.map(|&machine| Probe { machine, version: 0, unproven: !proven }).collect()
+}
--- /dev/null
+++ b/crates/core/src/recovery/reconciliation.rs
@@ -0,0 +1,35 @@
+//! Reconciliation of the leader's memory with machines that have not sent a heartbeat: they are
+//! asked for one.
+
+use quartzgate_wire::from_cbor;
+use quartzgate_wire::msg::Heartbeat;
+
+use crate::controller::{Controller, InFlight};
+use crate::fleet::machines::is_plausible;
+use crate::ids::MachineIndex;
+use crate::{Outcome, Peer};
+
+impl Controller {
+    /// Asks a machine whose address is known for a heartbeat.
+    pub(crate) fn inspect(&mut self, ix: MachineIndex) {
+        let Some(machine) = self.machines.get_mut(ix) else { return };
+        let Some(addr) = machine.addr else { return };
+        machine.probed_ms = self.context.now.steady_ms;
+        let pending = InFlight::Inspect { machine: ix, epoch: self.epoch() };
+        let timeout_ms = self.context.config.worker_timeout_ms();
+        self.call(Peer::Worker(addr), "GET", "/inspect".into(), Vec::new(), timeout_ms, pending);
+    }
+
+    /// The machine has answered. The answer counts only if it is that machine's: addresses are
+    /// reused.
+    pub(crate) fn on_inspect(&mut self, ix: MachineIndex, outcome: Outcome) {
+        let Outcome::Answer(response) = outcome else { return };
+        let Some(machine) = self.machines.get(ix) else { return };
+        let Ok(heartbeat) = from_cbor::<Heartbeat>(&response.body) else { return };
+        let of_machine = is_plausible(&heartbeat) && heartbeat.machine == machine.name;
+        if response.status == 200 && of_machine {
+            self.observe_reply(ix, heartbeat);
+            self.machines_to_command.insert(ix);
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/recovery/recorded_jobs.rs
@@ -0,0 +1,162 @@
+//! Jobs that are recorded and not in the leader's memory: accepted by another controller without
+//! the leader, or by an indeterminate write of the leader itself.
+
+use std::collections::BTreeMap;
+
+use quartzgate_wire::from_cbor;
+use quartzgate_wire::msg::KeyValueList;
+
+use super::placements::PartialPlacements;
+use super::LIST_LIMIT;
+use crate::controller::{Controller, InFlight};
+use crate::ids::JobIndex;
+use crate::jobs::JobState;
+use crate::storage::records::{
+    decode, job_key, parse_placement_key, placement_key, read_placement, JobRecord, RecordedStatus,
+    PLACEMENT_PREFIX,
+};
+use crate::Outcome;
+
+/// Jobs whose records are to be read because they may have been accepted.
+#[derive(Default)]
+pub(crate) struct RecordedJobReads {
+    /// Reads that failed.
+    to_retry: Vec<String>,
+    /// Submissions whose writes are indeterminate, and until when each is looked for, by the
+    /// monotonic clock.
+    indeterminate_submissions: BTreeMap<String, u64>,
+}
+
+impl Controller {
+    /// Adds a job to memory that is recorded as live. Its placements are read before any task of
+    /// it starts. Returns `None` if the job has ended or can't be added.
+    pub(crate) fn adopt(
+        &mut self,
+        id: &str,
+        mut record: JobRecord,
+        revision: u64,
+    ) -> Option<JobIndex> {
+        if !self.leads() {
+            return None;
+        }
+        if let Some(ix) = self.jobs.find(id) {
+            return Some(ix);
+        }
+        // The record may have been read before a terminal state that is known by now.
+        if record.status != RecordedStatus::Live || self.terminal_jobs.get(id).is_some() {
+            return None;
+        }
+        // Without a record of its own the job is in a batch record, all of whose jobs are in memory
+        // or being recorded.
+        if revision == 0 {
+            return None;
+        }
+        let inline_placement = record.share.take();
+        let ix = self.insert_recorded(record, revision)?;
+        tracing::info!(job = %id, "a recorded job is added to memory");
+        if let Some(job) = self.jobs.get_mut(ix) {
+            (job.state, job.busy) = (JobState::Recording, true);
+        }
+        self.link(ix);
+        // Placements, if there are any, were written by this leader, which started nothing.
+        if let Some(piece) = inline_placement {
+            self.load_inline(ix, &piece, revision);
+        }
+        self.read_placements(ix);
+        Some(ix)
+    }
+
+    fn read_placements(&mut self, ix: JobIndex) {
+        let Some(job) = self.jobs.get(ix) else { return };
+        let target = format!("/keys?starts={PLACEMENT_PREFIX}{}/&most={LIST_LIMIT}", job.id);
+        let pending = InFlight::Adopt { job: ix, epoch: self.epoch() };
+        self.call_store("GET", target, Vec::new(), pending);
+    }
+
+    /// The placements of an added job have been read. If that failed, the job is forgotten, and
+    /// found again by its next status query or retry.
+    pub(crate) fn on_adopt(&mut self, ix: JobIndex, outcome: Outcome) {
+        let list = match outcome {
+            Outcome::Answer(r) if r.status == 200 => from_cbor::<KeyValueList>(&r.body).ok(),
+            _ => None,
+        };
+        let Some(list) = list else { return self.drop_job(ix) };
+        self.note_store_answer();
+        let mut placements = PartialPlacements::default();
+        for pair in list.pairs {
+            let Some((_, chunk)) = parse_placement_key(&pair.path) else { continue };
+            let piece = read_placement(&pair.path, &pair.value, pair.revision);
+            if !piece.is_some_and(|piece| placements.add(chunk, piece)) {
+                return self.on_unreadable_placement(ix, &pair.path);
+            }
+        }
+        let (complete, partial) = placements.split_complete();
+        if let Some(chunk) = partial.into_chunks().next() {
+            let key = self.jobs.get(ix).map(|job| placement_key(&job.id, chunk));
+            return self.on_unreadable_placement(ix, &key.unwrap_or_default());
+        }
+        self.load_chunks(ix, complete);
+        if let Some(job) = self.jobs.get_mut(ix) {
+            job.busy = false;
+        }
+        self.set_job_state(ix, JobState::Live);
+        self.record_writer.touch_job(ix);
+        self.placement_due = true;
+    }
+
+    /// The record of a job has been read that may have been accepted without the leader's
+    /// knowledge.
+    pub(crate) fn on_handoff_job_read(&mut self, job: String, outcome: Outcome) {
+        let Ok(pair) = self.read_outcome(outcome) else {
+            return self.recorded_job_reads.to_retry.push(job);
+        };
+        let Some(pair) = pair else { return };
+        match decode::<JobRecord>(&pair.value) {
+            Some(record) => drop(self.adopt(&job, record, pair.revision)),
+            None => {
+                tracing::error!(job = %job, "the job's record can't be decoded; it is not run")
+            }
+        }
+    }
+
+    /// The write that accepts a job is indeterminate. If it has been or will be executed, other
+    /// controllers may answer that the job is accepted, and it has to run. So its record is looked
+    /// for until the lease bound has passed.
+    pub(crate) fn track_indeterminate_submission(&mut self, job: String) {
+        let until_ms = self.context.now.steady_ms + self.context.config.lease_bound_ms();
+        let submissions = &mut self.recorded_job_reads.indeterminate_submissions;
+        if submissions.len() < self.context.config.max_indeterminate_submissions() {
+            submissions.insert(job, until_ms);
+        }
+    }
+
+    /// Reads the records of indeterminate submissions, as far as the rate limit allows.
+    fn read_indeterminate_submissions(&mut self) {
+        let now = self.context.now.steady_ms;
+        let (jobs, terminal_jobs) = (&self.jobs, &self.terminal_jobs);
+        let submissions = &mut self.recorded_job_reads.indeterminate_submissions;
+        submissions.retain(|job, until_ms| {
+            now < *until_ms && jobs.find(job).is_none() && terminal_jobs.get(job).is_none()
+        });
+        for job in submissions.keys().cloned().collect::<Vec<_>>() {
+            if !self.may_read_for_status() {
+                return;
+            }
+            self.read_recorded_job(job);
+        }
+    }
+
+    /// Periodic work: reads indeterminate submissions, and repeats the reads that failed.
+    pub(crate) fn retry_handoff_reads(&mut self) {
+        self.read_indeterminate_submissions();
+        for job in std::mem::take(&mut self.recorded_job_reads.to_retry) {
+            self.read_recorded_job(job);
+        }
+    }
+
+    fn read_recorded_job(&mut self, job: String) {
+        let target = format!("/keys/{}", job_key(&job));
+        let pending = InFlight::InboxRead { job, epoch: self.epoch() };
+        self.call_store("GET", target, Vec::new(), pending);
+    }
+}
