--- a/crates/core/src/storage/live_record_reads.rs
+++ b/crates/core/src/storage/live_record_reads.rs
@@ -1,7 +1,7 @@
 //! Reads of live jobs' records, to learn of aborts that were recorded without the leader.
 //!
-//! Every live job's record is read again well within the lease bound. It is a second way beside
-//! the handoff queue, whose entries can be lost.
+//! Every live job's record is read again well within the lease bound. This does not depend on the
+//! handoff queue, by which the leader usually learns of them.
 
 use crate::controller::{Controller, InFlight};
 use crate::ids::JobIndex;
--- a/crates/core/src/storage/placement_records.rs
+++ b/crates/core/src/storage/placement_records.rs
@@ -36,6 +36,7 @@
 
 /// A chunk's placement, ready to be written over the one that is recorded.
 pub(crate) struct PlacementWrite {
+    /// Where the placement is once the write has been executed.
     pub placed: RecordLocation,
     /// Number of keys of the recorded placement, and their revision.
     recorded_pieces: u32,
--- a/crates/core/src/storage/record_writer.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -2,7 +2,7 @@
 //! transaction is guarded, so that one that is applied late can do no harm.
 //!
 //! The record writer knows which records memory is ahead of. [`Controller::flush`] composes one
-//! transaction at a time from them, in this order:
+//! transaction at a time from them (`flush.rs`), in this order:
 //!
 //! 1. terminal states of jobs, and completed chunks that are folded into their job's record
 //!    (`terminal_states.rs`);
@@ -17,6 +17,7 @@
 //! revision that memory knows, and the transaction by the epoch record's; a record whose write is
 //! indeterminate is read before it is written again.
 
+mod flush;
 mod outcomes;
 mod placements;
 mod rereads;
@@ -25,31 +26,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use quartzgate_overload::FairQueue;
-use quartzgate_wire::msg::{Change, Guard, Transaction, TransactionAnswer};
+use quartzgate_wire::from_cbor;
+use quartzgate_wire::msg::TransactionAnswer;
 use quartzgate_wire::settings::StateLimits;
-use quartzgate_wire::{from_cbor, to_cbor};
 
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
 use crate::ids::JobIndex;
 use crate::jobs::JobState;
 use crate::storage::placement_records::RecordLocation;
 use crate::storage::rate_limiter::RateLimiter;
-use crate::storage::records::EPOCH_KEY;
 use crate::Outcome;
 
-use placements::BEST_EFFORT_RESERVE;
+use flush::Draft;
 
 /// Fraction of the store's write rate that one controller may use: the others write little while
 /// one leads, and what exceeds the limit is refused and retried.
 const WRITE_RATE_FRACTION: f64 = 0.95;
-/// Fraction of a second's writes that flushes leave to acceptances and aborts, which come first.
-const FLUSH_RESERVE: f64 = 0.4;
-/// Fraction of a second's writes that deletions of unused keys leave to everything else.
-const CLEANUP_RESERVE: f64 = 0.6;
-/// A flush is considered once in this fraction of the write batch delay.
-const CHECKS_PER_BATCH: u64 = 10;
-/// Bytes of records after which a transaction takes no more of them.
-const MAX_TRANSACTION_BYTES: usize = 60 * 1024;
 
 /// One record in a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -242,45 +234,6 @@
     }
 }
 
-/// A transaction that is being composed, and the records in it.
-struct Draft {
-    transaction: Transaction,
-    items: Vec<FlushItem>,
-    /// Estimated size of the records.
-    bytes: usize,
-}
-
-impl Draft {
-    /// An empty transaction that takes effect only in this epoch.
-    fn new(epoch_revision: u64) -> Self {
-        let epoch_guard = Guard { path: EPOCH_KEY.into(), revision: epoch_revision };
-        let transaction = Transaction { guards: vec![epoch_guard], ..Transaction::default() };
-        Draft { transaction, items: Vec::new(), bytes: 0 }
-    }
-
-    /// Changes in the transaction so far.
-    fn changes(&self) -> usize {
-        self.transaction.apply.len()
-    }
-}
-
-/// Limits on the changes of one transaction.
-#[derive(Clone, Copy)]
-struct ChangeLimits {
-    /// Changes that the rate limit and the store allow now.
-    available: usize,
-    /// Changes that the store allows in any transaction.
-    max_per_transaction: usize,
-}
-
-impl ChangeLimits {
-    /// Whether the rate limit is what bounds the transaction. A transaction that is full otherwise
-    /// is followed by the next one at once.
-    fn is_rate_limited(&self) -> bool {
-        self.available < self.max_per_transaction
-    }
-}
-
 impl Controller {
     /// A chunk's record lags behind memory.
     pub(crate) fn mark_dirty(&mut self, job: JobIndex, chunk: u32) {
@@ -301,129 +254,6 @@
         self.mark_dirty(job, chunk);
     }
 
-    /// Writes records that memory is ahead of, as far as the limits allow.
-    pub(crate) fn flush(&mut self) {
-        if !self.is_flush_due() {
-            return;
-        }
-        let now = self.context.now.steady_ms;
-        let max_per_transaction = self.limits().txn_ops;
-        let available = self.record_writer.writes.room(now, FLUSH_RESERVE) as usize;
-        let limits =
-            ChangeLimits { available: available.min(max_per_transaction), max_per_transaction };
-        if limits.available == 0 {
-            let left = self.record_writer.completions_left || self.any_placement_waits();
-            return self.update_write_supply(left);
-        }
-        let mut draft = Draft::new(self.membership.epoch_revision);
-        self.gather_records(limits, &mut draft);
-        self.gather_best_effort_terminal_states(limits, &mut draft);
-        self.gather_deletions(limits, &mut draft);
-        self.send_flush(draft);
-    }
-
-    /// Whether to compose a transaction now. A batch fills for a while first, unless tasks could
-    /// start or other jobs wait for a terminal state.
-    fn is_flush_due(&mut self) -> bool {
-        let now = self.context.now.steady_ms;
-        let batch_ms = self.context.config.write_batch_ms();
-        let writer = &mut self.record_writer;
-        if writer.flush_in_flight
-            || !writer.has_unwritten()
-            || now < writer.last_check_ms + batch_ms / CHECKS_PER_BATCH
-        {
-            return false;
-        }
-        writer.last_check_ms = now;
-        let batch_complete = writer.dirty_since_ms.is_none_or(|since| now >= since + batch_ms);
-        let expedited = std::mem::take(&mut writer.expedited);
-        batch_complete
-            || expedited
-            || self.record_writer.dirty_chunks.iter().any(|key| self.blocks_starts(*key))
-    }
-
-    /// Whether placements wait to be recorded, other than those of teams without a quota.
-    fn any_placement_waits(&self) -> bool {
-        self.record_writer.dirty_chunks.iter().any(|key| self.blocks_starts_with_quota(*key))
-    }
-
-    /// Terminal states and placements. When both wait for changes, each gets half of them; what
-    /// placements leave goes to terminal states again.
-    fn gather_records(&mut self, limits: ChangeLimits, draft: &mut Draft) {
-        let for_completions = match self.any_placement_waits() {
-            true => self.record_writer.half_for_completions(limits.available),
-            false => limits.available,
-        };
-        let mut completions_left = self.gather_terminal_states(false, for_completions, draft);
-        let placements_left = self.gather_placements(limits, draft);
-        if for_completions < limits.available {
-            completions_left = self.gather_terminal_states(false, limits.available, draft);
-        }
-        let completions_left = completions_left && limits.is_rate_limited();
-        self.record_writer.completions_left = completions_left;
-        self.update_write_supply(placements_left || completions_left);
-    }
-
-    /// Terminal states of jobs of teams without a quota use spare changes only, as their
-    /// placements do.
-    fn gather_best_effort_terminal_states(&mut self, limits: ChangeLimits, draft: &mut Draft) {
-        let now = self.context.now.steady_ms;
-        let spare = self.record_writer.writes.room(now, BEST_EFFORT_RESERVE) as usize;
-        self.gather_terminal_states(true, limits.available.min(spare), draft);
-    }
-
-    /// Deletions of unused keys use changes that nothing else needs.
-    fn gather_deletions(&mut self, limits: ChangeLimits, draft: &mut Draft) {
-        let now = self.context.now.steady_ms;
-        let deletions: Vec<(String, u64)> =
-            self.record_writer.deletions.iter().map(|(p, r)| (p.clone(), *r)).collect();
-        for (path, revision) in deletions {
-            let spare = self.record_writer.writes.room(now, CLEANUP_RESERVE) as usize;
-            if self.record_writer.must_send_alone(draft)
-                || draft.changes() >= limits.available.min(spare)
-            {
-                break;
-            }
-            if revision > 0 {
-                draft.transaction.guards.push(Guard { path: path.clone(), revision });
-            }
-            draft.transaction.apply.push(Change::Delete { delete: path.clone() });
-            self.record_writer.note(Purpose::Cleanup, 1);
-            self.record_writer.deletions.remove(&path);
-            draft.items.push(FlushItem::Deletion { path, revision });
-        }
-    }
-
-    /// Sends the transaction, if there is anything in it.
-    fn send_flush(&mut self, draft: Draft) {
-        let now = self.context.now.steady_ms;
-        let writer = &mut self.record_writer;
-        if draft.items.is_empty() {
-            // What remains is not urgent, or waits for something in flight.
-            writer.dirty_since_ms = (!writer.dirty_chunks.is_empty()).then_some(now);
-            return;
-        }
-        let dirty = !writer.dirty_chunks.is_empty() || !writer.dirty_jobs.is_empty();
-        writer.dirty_since_ms = dirty.then_some(now);
-        writer.writes.force(now, draft.changes() as f64);
-        writer.flush_in_flight = true;
-        writer.single_record_flushes = writer.single_record_flushes.saturating_sub(1);
-        let body = to_cbor(&draft.transaction);
-        let pending = InFlight::Flush { items: draft.items, sent_ms: now, epoch: self.epoch() };
-        self.call_store("POST", "/multi".into(), body, pending);
-    }
-
-    /// What can't be written now is not retried for the duration of a lease, so that it does not
-    /// hold up other records. Memory goes on; the record may be smaller by then.
-    fn defer_write(&mut self, ix: JobIndex, chunk: Option<u32>) {
-        let until = self.context.now.steady_ms + self.context.config.lease_ms();
-        let Some(job) = self.jobs.get_mut(ix) else { return };
-        match chunk.and_then(|c| job.chunks.get_mut(&c)) {
-            Some(c) => c.deferred_until_ms = until,
-            None => job.deferred_until_ms = until,
-        }
-    }
-
     /// A task of an aborted job that is still on its machine after half its time: the
     /// machine can't be told, and goes back to the cloud with all that is on it.
     pub(crate) fn fence_aborted_tasks(&mut self) {
--- a/crates/core/src/storage/record_writer/placements.rs
+++ b/crates/core/src/storage/record_writer/placements.rs
@@ -4,7 +4,8 @@
 
 use quartzgate_wire::msg::Priority;
 
-use super::{ChangeLimits, Draft, FlushItem, Purpose, MAX_TRANSACTION_BYTES};
+use super::flush::{ChangeLimits, Draft, MAX_TRANSACTION_BYTES};
+use super::{FlushItem, Purpose};
 use crate::controller::Controller;
 use crate::ids::JobIndex;
 use crate::jobs::{Chunk, Job, JobState};
--- a/crates/core/src/storage/record_writer/terminal_states.rs
+++ b/crates/core/src/storage/record_writer/terminal_states.rs
@@ -5,7 +5,8 @@
 use quartzgate_feature_gates::Feature;
 use quartzgate_wire::msg::{Change, Guard, JobKind};
 
-use super::{Draft, FlushItem, Purpose, CLEANUP_RESERVE};
+use super::flush::{Draft, CLEANUP_RESERVE};
+use super::{FlushItem, Purpose};
 use crate::controller::Controller;
 use crate::ids::JobIndex;
 use crate::jobs::{Chunk, Job, JobState};
--- a/crates/core/src/storage/records/epoch.rs
+++ b/crates/core/src/storage/records/epoch.rs
@@ -6,7 +6,7 @@
 /// a superseded leader can write nothing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EpochRecord {
-    /// Rises by one with each election.
+    /// Rises with each election.
     pub epoch: u64,
     /// Node name of the leader.
     pub leader: String,
