--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -2,7 +2,6 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use quartzgate_feature_gates::ActivationRecord;
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{Heartbeat, JobSpec, MachineType};
 use rand::rngs::SmallRng;
@@ -16,7 +15,6 @@
 use crate::ids::{JobIndex, MachineIndex, TaskKey};
 use crate::jobs::dependencies::DependencyGraph;
 use crate::jobs::Jobs;
-use crate::latency::LatencySpan;
 use crate::lease_proxy::mailbox::Mailbox;
 use crate::lease_proxy::LeaseProxy;
 use crate::membership::stall::ProcessStall;
@@ -24,11 +22,12 @@
 use crate::placement::candidates::SearchBudget;
 use crate::placement::dispatch::DemandRatios;
 use crate::placement::gangs::GangHold;
-use crate::recovery::{RecordedJobReads, Recovery};
+use crate::recovery::{RecordedJobReads, Recovery, RecoveryCall};
+use crate::storage::calls::StorageCall;
 use crate::storage::feature_state::FeatureState;
 use crate::storage::job_batches::{BatchLookup, JobBatches};
 use crate::storage::placement_records::RecordLocation;
-use crate::storage::record_writer::{FlushItem, RecordWriter};
+use crate::storage::record_writer::RecordWriter;
 use crate::storage::records::RecordedStatus;
 use crate::{Action, Event, LoadState, Now, Outcome, Peer, RequestId};
 
@@ -43,18 +42,13 @@
     MailboxRecord { ids: Vec<u64> },
     HandedOn { sibling: usize, id: u64 },
     OrdersRelayed { request: RequestId },
-    ReadAgain { job: String, epoch: u64 },
     ControlRead { sent_ms: u64 },
     ControlWatch { sent_ms: u64 },
     Elect { epoch: u64 },
     InboxWatch { sent_ms: u64, epoch: u64 },
     InboxRead { job: String, epoch: u64 },
     InboxList { rev: Option<u64>, epoch: u64 },
-    Recovery { epoch: u64 },
     Orders { machine: MachineIndex, fencing_token: u64, starts: Vec<(TaskKey, u64)> },
-    Inspect { machine: MachineIndex, epoch: u64 },
-    Flush { items: Vec<FlushItem>, sent_ms: u64, epoch: u64 },
-    Restamp { item: FlushItem, epoch: u64 },
     Accept { request: RequestId, job: JobIndex, placed: RecordLocation, epoch: u64 },
     AcceptAlone { request: RequestId, id: String, cancelled: bool },
     AbortWrite { request: Option<RequestId>, job: JobIndex, placed: RecordLocation, epoch: u64 },
@@ -63,9 +57,6 @@
     Known { request: RequestId, job: String, refusal: Option<(u16, String)> },
     ChainRead { job: String, epoch: u64 },
     WalkRead { request: RequestId, job: String },
-    FormatRead,
-    MembersRead,
-    Step { record: ActivationRecord, epoch: u64 },
     Poll { request: RequestId, id: String },
     AloneRead { request: RequestId, spec: Box<JobSpec>, cancelled: bool },
     LookFirst(BatchLookup),
@@ -80,7 +71,6 @@
     Beat { sibling: usize },
     Told,
     Relay { request: RequestId, report: Box<Heartbeat> },
-    Adopt { job: JobIndex, epoch: u64 },
     Types,
     List { since: Option<String> },
     Hire { kind: String, zone: u16, spot: bool, wanted: u32, name: String, epoch: u64 },
@@ -142,6 +132,8 @@
 pub struct Controller {
     pub(crate) context: Context,
     calls: CallTable<InFlight>,
+    pub(crate) storage_calls: CallTable<StorageCall>,
+    pub(crate) recovery_calls: CallTable<RecoveryCall>,
     pub(crate) membership: Membership,
     pub(crate) terminal_jobs: TerminalJobs,
     pub(crate) dependency_graph: DependencyGraph,
@@ -210,6 +202,8 @@
         Controller {
             context: Context::new(cfg, rng),
             calls: CallTable::default(),
+            storage_calls: CallTable::default(),
+            recovery_calls: CallTable::default(),
             membership,
             terminal_jobs,
             dependency_graph: DependencyGraph::default(),
@@ -275,6 +269,10 @@
             Event::Outcome { call, outcome } => {
                 if let Some(pending) = self.calls.take(call) {
                     self.on_outcome(pending, outcome);
+                } else if let Some(call) = self.storage_calls.take(call) {
+                    self.on_storage_outcome(call, outcome);
+                } else if let Some(call) = self.recovery_calls.take(call) {
+                    self.on_recovery_outcome(call, outcome);
                 }
             }
         }
@@ -382,11 +380,6 @@
                 self.on_known(request, job, refusal, outcome)
             }
             InFlight::WalkRead { request, job } => self.on_walk_read(request, job, outcome),
-            InFlight::FormatRead => self.on_format_read(outcome),
-            InFlight::MembersRead => self.on_members_read(outcome),
-            InFlight::Step { record, epoch } => {
-                self.on_step((epoch == current).then_some(record), outcome)
-            }
             InFlight::Compare { compared, epoch } => self.on_compare(compared, epoch, outcome),
             InFlight::Poll { request, id } => self.on_status_read(request, id, outcome),
             InFlight::AloneRead { request, spec, cancelled } => {
@@ -418,25 +411,17 @@
                 }
             }
             // What follows concerns a memory that is gone if the epoch has changed.
-            InFlight::Recovery { epoch }
-            | InFlight::InboxWatch { epoch, .. }
+            InFlight::InboxWatch { epoch, .. }
             | InFlight::PageWrite { epoch, .. }
             | InFlight::PageRead { epoch, .. }
             | InFlight::InboxRead { epoch, .. }
             | InFlight::InboxList { epoch, .. }
-            | InFlight::ReadAgain { epoch, .. }
             | InFlight::ChainRead { epoch, .. }
-            | InFlight::Inspect { epoch, .. }
-            | InFlight::Flush { epoch, .. }
-            | InFlight::Restamp { epoch, .. }
-            | InFlight::Adopt { epoch, .. }
             | InFlight::Hire { epoch, .. }
             | InFlight::Return { epoch, .. }
                 if epoch != current => {}
-            InFlight::Recovery { .. } => self.on_recovery_list(outcome),
             InFlight::InboxWatch { sent_ms, .. } => self.on_handoff_watch(sent_ms, outcome),
             InFlight::ChainRead { job, .. } => self.on_dependency_read(job, outcome),
-            InFlight::ReadAgain { job, .. } => self.on_live_record_read(job, outcome),
             InFlight::PageWrite { number, .. } => self.on_batch_written(number, outcome),
             InFlight::PageRead { number, .. } => self.on_batch_read(number, outcome),
             InFlight::InboxRead { job, .. } => self.on_handoff_job_read(job, outcome),
@@ -446,15 +431,6 @@
                     self.on_orders_outcome(machine, fencing_token, starts, outcome)
                 }
             }
-            InFlight::Inspect { machine, .. } => self.on_inspect(machine, outcome),
-            InFlight::Flush { items, sent_ms, .. } => {
-                self.context
-                    .latencies
-                    .note(LatencySpan::Write, self.context.now.steady_ms.saturating_sub(sent_ms));
-                self.on_flush(items, outcome)
-            }
-            InFlight::Restamp { item, .. } => self.on_record_reread(item, outcome),
-            InFlight::Adopt { job, .. } => self.on_adopt(job, outcome),
             InFlight::List { since } => self.on_list(since, outcome),
             InFlight::Hire { kind, zone, spot, wanted, name, .. } => {
                 self.on_provisioned(kind, zone, spot, wanted, name, outcome)
--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -9,6 +9,7 @@
 //! stops its own job and no other, and is never overwritten; a task may be on every machine that
 //! its placement names, unless this leader wrote the placement itself.
 
+mod calls;
 mod placements;
 mod reconciliation;
 mod recorded_jobs;
@@ -19,7 +20,7 @@
 use quartzgate_wire::from_cbor;
 use quartzgate_wire::msg::{KeyValue, KeyValueList};
 
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
 use crate::fleet::fault_attribution::JobHealth;
 use crate::fleet::machines::MachineState;
 use crate::ids::JobIndex;
@@ -32,6 +33,7 @@
 };
 use crate::{Outcome, Peer};
 
+pub(crate) use calls::RecoveryCall;
 use placements::PartialPlacements;
 pub(crate) use recorded_jobs::RecordedJobReads;
 
@@ -122,9 +124,9 @@
         if let Some(last_key) = &self.recovery.last_key {
             target.push_str(&format!("&since={last_key}"));
         }
-        let pending = InFlight::Recovery { epoch: self.epoch() };
+        let call = RecoveryCall::RecordList { epoch: self.epoch() };
         let timeout_ms = LIST_TIMEOUT_FACTOR * self.context.config.store_timeout_ms();
-        self.call(Peer::State, "GET", target, Vec::new(), timeout_ms, pending);
+        self.get_for_recovery(Peer::State, target, timeout_ms, call);
     }
 
     /// Repeats a read that failed.
@@ -138,7 +140,7 @@
     }
 
     /// A list of records has been read: loads them, and requests the next list.
-    pub(crate) fn on_recovery_list(&mut self, outcome: Outcome) {
+    fn on_recovery_list(&mut self, outcome: Outcome) {
         if self.membership.role != Role::Recovering {
             return;
         }
--- a/crates/core/src/recovery/reconciliation.rs
+++ b/crates/core/src/recovery/reconciliation.rs
@@ -4,7 +4,8 @@
 use quartzgate_wire::from_cbor;
 use quartzgate_wire::msg::Heartbeat;
 
-use crate::controller::{Controller, InFlight};
+use super::RecoveryCall;
+use crate::controller::Controller;
 use crate::fleet::machines::is_plausible;
 use crate::ids::MachineIndex;
 use crate::{Outcome, Peer};
@@ -15,14 +16,14 @@
         let Some(machine) = self.machines.get_mut(ix) else { return };
         let Some(addr) = machine.addr else { return };
         machine.probed_ms = self.context.now.steady_ms;
-        let pending = InFlight::Inspect { machine: ix, epoch: self.epoch() };
+        let call = RecoveryCall::Inspect { machine: ix, epoch: self.epoch() };
         let timeout_ms = self.context.config.worker_timeout_ms();
-        self.call(Peer::Worker(addr), "GET", "/inspect".into(), Vec::new(), timeout_ms, pending);
+        self.get_for_recovery(Peer::Worker(addr), "/inspect".into(), timeout_ms, call);
     }
 
     /// The machine has answered. The answer counts only if it is that machine's: addresses are
     /// reused.
-    pub(crate) fn on_inspect(&mut self, ix: MachineIndex, outcome: Outcome) {
+    pub(super) fn on_inspect(&mut self, ix: MachineIndex, outcome: Outcome) {
         let Outcome::Answer(response) = outcome else { return };
         let Some(machine) = self.machines.get(ix) else { return };
         let Ok(heartbeat) = from_cbor::<Heartbeat>(&response.body) else { return };
--- a/crates/core/src/recovery/recorded_jobs.rs
+++ b/crates/core/src/recovery/recorded_jobs.rs
@@ -7,7 +7,7 @@
 use quartzgate_wire::msg::KeyValueList;
 
 use super::placements::PartialPlacements;
-use super::LIST_LIMIT;
+use super::{RecoveryCall, LIST_LIMIT};
 use crate::controller::{Controller, InFlight};
 use crate::ids::JobIndex;
 use crate::jobs::JobState;
@@ -15,7 +15,7 @@
     decode, job_key, parse_placement_key, placement_key, read_placement, JobRecord, RecordedStatus,
     PLACEMENT_PREFIX,
 };
-use crate::Outcome;
+use crate::{Outcome, Peer};
 
 /// Jobs whose records are to be read because they may have been accepted.
 #[derive(Default)]
@@ -69,13 +69,14 @@
     fn read_placements(&mut self, ix: JobIndex) {
         let Some(job) = self.jobs.get(ix) else { return };
         let target = format!("/keys?starts={PLACEMENT_PREFIX}{}/&most={LIST_LIMIT}", job.id);
-        let pending = InFlight::Adopt { job: ix, epoch: self.epoch() };
-        self.call_store("GET", target, Vec::new(), pending);
+        let call = RecoveryCall::PlacementsRead { job: ix, epoch: self.epoch() };
+        let timeout_ms = self.context.config.store_timeout_ms();
+        self.get_for_recovery(Peer::State, target, timeout_ms, call);
     }
 
     /// The placements of an added job have been read. If that failed, the job is forgotten, and
     /// found again by its next status query or retry.
-    pub(crate) fn on_adopt(&mut self, ix: JobIndex, outcome: Outcome) {
+    pub(super) fn on_adopt(&mut self, ix: JobIndex, outcome: Outcome) {
         let list = match outcome {
             Outcome::Answer(r) if r.status == 200 => from_cbor::<KeyValueList>(&r.body).ok(),
             _ => None,
--- /dev/null
+++ b/crates/core/src/storage/calls.rs
@@ -0,0 +1,66 @@
+//! Calls of the storage modules to the key-value store, and the routing of their outcomes.
+
+use quartzgate_feature_gates::ActivationRecord;
+
+use crate::controller::Controller;
+use crate::latency::LatencySpan;
+use crate::storage::record_writer::FlushItem;
+use crate::Outcome;
+
+/// What a call is for. Calls that concern the leader's memory name its epoch: their outcomes count
+/// only in that epoch.
+#[derive(Debug)]
+pub(crate) enum StorageCall {
+    /// A transaction of the record writer.
+    Flush { items: Vec<FlushItem>, sent_ms: u64, epoch: u64 },
+    /// A read of a record whose revision is uncertain.
+    RecordReread { item: FlushItem, epoch: u64 },
+    /// A periodic read of a live job's record.
+    LiveRecordRead { job: String, epoch: u64 },
+    /// A read of the active formats and the controllers' capabilities.
+    FormatKeysRead,
+    /// A read of the membership keys.
+    MembersRead,
+    /// A write of this controller's capabilities. The next read shows its outcome.
+    CapabilitiesWrite,
+    /// The activation of a step.
+    StepWrite { record: ActivationRecord, epoch: u64 },
+}
+
+impl Controller {
+    /// Calls the key-value store; the outcome goes to [`Controller::on_storage_outcome`].
+    pub(super) fn call_from_storage(
+        &mut self,
+        method: &'static str,
+        target: String,
+        body: Vec<u8>,
+        call: StorageCall,
+    ) {
+        let id = self.context.call_store(method, target, body);
+        self.storage_calls.insert(id, call);
+    }
+
+    /// Routes the outcome of a call to the module that made it.
+    pub(crate) fn on_storage_outcome(&mut self, call: StorageCall, outcome: Outcome) {
+        let current = self.epoch();
+        match call {
+            StorageCall::FormatKeysRead => self.on_format_read(outcome),
+            StorageCall::MembersRead => self.on_members_read(outcome),
+            StorageCall::CapabilitiesWrite => {}
+            StorageCall::StepWrite { record, epoch } => {
+                self.on_step((epoch == current).then_some(record), outcome)
+            }
+            StorageCall::Flush { epoch, .. }
+            | StorageCall::RecordReread { epoch, .. }
+            | StorageCall::LiveRecordRead { epoch, .. }
+                if epoch != current => {}
+            StorageCall::Flush { items, sent_ms, .. } => {
+                let latency_ms = self.context.now.steady_ms.saturating_sub(sent_ms);
+                self.context.latencies.note(LatencySpan::Write, latency_ms);
+                self.on_flush(items, outcome)
+            }
+            StorageCall::RecordReread { item, .. } => self.on_record_reread(item, outcome),
+            StorageCall::LiveRecordRead { job, .. } => self.on_live_record_read(job, outcome),
+        }
+    }
+}
--- a/crates/core/src/storage/feature_state.rs
+++ b/crates/core/src/storage/feature_state.rs
@@ -20,7 +20,8 @@
 use quartzgate_wire::{from_cbor, to_cbor};
 
 use crate::config::Config;
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
+use crate::storage::calls::StorageCall;
 use crate::storage::records::{
     decode, encode, member_key, EPOCH_KEY, FORMAT_KEY, FORMAT_NODE_PREFIX, MEMBER_PREFIX,
 };
@@ -148,12 +149,12 @@
         self.feature_state.call_in_flight = true;
         self.feature_state.next_read_ms = now + interval_ms;
         let target = format!("/keys?starts={FORMAT_KEY}");
-        self.call_store("GET", target, Vec::new(), InFlight::FormatRead);
+        self.call_from_storage("GET", target, Vec::new(), StorageCall::FormatKeysRead);
     }
 
     /// The formats' keys have been read; the membership keys are read after them, because
     /// capabilities count for the run of a controller in which they were published.
-    pub(crate) fn on_format_read(&mut self, outcome: Outcome) {
+    pub(super) fn on_format_read(&mut self, outcome: Outcome) {
         self.feature_state.call_in_flight = false;
         let Some(list) = self.listed(outcome) else { return };
         self.see_format(&list.pairs);
@@ -168,13 +169,13 @@
         if gates.must_publish_capabilities(node, None) || !gates.is_complete() {
             self.feature_state.call_in_flight = true;
             let target = format!("/keys?starts={MEMBER_PREFIX}");
-            self.call_store("GET", target, Vec::new(), InFlight::MembersRead);
+            self.call_from_storage("GET", target, Vec::new(), StorageCall::MembersRead);
         }
     }
 
     /// The membership keys have been read: publishes this controller's capabilities, or its
     /// membership if its write was refused or lost; the leader activates a step if it can.
-    pub(crate) fn on_members_read(&mut self, outcome: Outcome) {
+    pub(super) fn on_members_read(&mut self, outcome: Outcome) {
         self.feature_state.call_in_flight = false;
         let Some(list) = self.listed(outcome) else { return };
         let members: BTreeMap<String, u64> =
@@ -222,12 +223,15 @@
         // A late write of an earlier run must not replace that of this one.
         let guards = vec![Guard { path: member_key(node), revision: membership_revision }];
         // The next read shows whether it was written, and repeats it if not.
-        self.write_format_keys(Transaction { guards, apply: vec![set] }, InFlight::MemberKey);
+        self.write_format_keys(
+            Transaction { guards, apply: vec![set] },
+            StorageCall::CapabilitiesWrite,
+        );
     }
 
-    fn write_format_keys(&mut self, transaction: Transaction, pending: InFlight) {
+    fn write_format_keys(&mut self, transaction: Transaction, call: StorageCall) {
         self.record_writer.writes.force(self.context.now.steady_ms, 1.0);
-        self.call_store("POST", "/multi".into(), to_cbor(&transaction), pending);
+        self.call_from_storage("POST", "/multi".into(), to_cbor(&transaction), call);
     }
 
     /// Activates the next step if every controller supports it; otherwise logs what blocks it.
@@ -277,14 +281,14 @@
         let value = encode(&planned.record);
         let apply = vec![Change::Set { set: FORMAT_KEY.into(), value, lease_id: None }];
         tracing::info!(step = %planned.step, "all controllers support this step: activating it");
-        let pending = InFlight::Step { record: planned.record, epoch: self.epoch() };
+        let call = StorageCall::StepWrite { record: planned.record, epoch: self.epoch() };
         self.feature_state.call_in_flight = true;
-        self.write_format_keys(Transaction { guards, apply }, pending);
+        self.write_format_keys(Transaction { guards, apply }, call);
     }
 
     /// The write of a step has ended; `record` is `None` if the epoch has changed since. Outcomes
     /// other than success show in the next read, which follows at once.
-    pub(crate) fn on_step(&mut self, record: Option<ActivationRecord>, outcome: Outcome) {
+    pub(super) fn on_step(&mut self, record: Option<ActivationRecord>, outcome: Outcome) {
         self.feature_state.call_in_flight = false;
         self.feature_state.next_read_ms = 0;
         let (Outcome::Answer(response), Some(record)) = (outcome, record) else { return };
--- a/crates/core/src/storage/live_record_reads.rs
+++ b/crates/core/src/storage/live_record_reads.rs
@@ -3,9 +3,10 @@
 //! Every live job's record is read again well within the lease bound. This does not depend on the
 //! handoff queue, by which the leader usually learns of them.
 
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
 use crate::ids::JobIndex;
 use crate::jobs::JobState;
+use crate::storage::calls::StorageCall;
 use crate::storage::records::{decode, job_key, JobRecord, RecordedStatus};
 use crate::Outcome;
 
@@ -28,8 +29,8 @@
                 job.read_ms = now;
             }
             let target = format!("/keys/{}", job_key(&job));
-            let pending = InFlight::ReadAgain { job, epoch: self.epoch() };
-            self.call_store("GET", target, Vec::new(), pending);
+            let call = StorageCall::LiveRecordRead { job, epoch: self.epoch() };
+            self.call_from_storage("GET", target, Vec::new(), call);
         }
     }
 
@@ -47,7 +48,7 @@
     }
 
     /// A live job's record has been read; a failed read is repeated when the job is due again.
-    pub(crate) fn on_live_record_read(&mut self, job: String, outcome: Outcome) {
+    pub(super) fn on_live_record_read(&mut self, job: String, outcome: Outcome) {
         if let Ok(Some(pair)) = self.read_outcome(outcome) {
             let status = decode::<JobRecord>(&pair.value).map(|record| record.status);
             if status == Some(RecordedStatus::Aborted) {
--- a/crates/core/src/storage/mod.rs
+++ b/crates/core/src/storage/mod.rs
@@ -3,8 +3,9 @@
 //! `records` defines the formats, `record_writer` writes them, `placement_records` and
 //! `job_batches` compose the two kinds of records that depend on the store's limits,
 //! `live_record_reads` finds changes that others have recorded, `feature_state` follows which
-//! formats and features are active, and `rate_limiter` keeps within the store's rate limits.
+//! formats and features are active, `calls` routes the outcomes of calls, and `rate_limiter` keeps within the store's rate limits.
 
+pub(crate) mod calls;
 pub(crate) mod feature_state;
 pub(crate) mod job_batches;
 mod job_removal;
--- a/crates/core/src/storage/record_writer/flush.rs
+++ b/crates/core/src/storage/record_writer/flush.rs
@@ -5,8 +5,9 @@
 
 use super::placements::BEST_EFFORT_RESERVE;
 use super::{FlushItem, Purpose};
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
 use crate::ids::JobIndex;
+use crate::storage::calls::StorageCall;
 use crate::storage::records::EPOCH_KEY;
 
 /// Fraction of a second's writes that flushes leave to acceptances and aborts, which come first.
@@ -166,8 +167,8 @@
         writer.flush_in_flight = true;
         writer.single_record_flushes = writer.single_record_flushes.saturating_sub(1);
         let body = to_cbor(&draft.transaction);
-        let pending = InFlight::Flush { items: draft.items, sent_ms: now, epoch: self.epoch() };
-        self.call_store("POST", "/multi".into(), body, pending);
+        let call = StorageCall::Flush { items: draft.items, sent_ms: now, epoch: self.epoch() };
+        self.call_from_storage("POST", "/multi".into(), body, call);
     }
 
     /// What can't be written now is not retried for the duration of a lease, so that it does not
--- a/crates/core/src/storage/record_writer/outcomes.rs
+++ b/crates/core/src/storage/record_writer/outcomes.rs
@@ -11,7 +11,7 @@
 impl Controller {
     /// A flush has ended. If its outcome is indeterminate, its records are read again before
     /// anything else is written to them.
-    pub(crate) fn on_flush(&mut self, items: Vec<FlushItem>, outcome: Outcome) {
+    pub(in crate::storage) fn on_flush(&mut self, items: Vec<FlushItem>, outcome: Outcome) {
         self.record_writer.flush_in_flight = false;
         let (status, answer) = write_outcome(&outcome);
         match (status, answer) {
--- a/crates/core/src/storage/record_writer/rereads.rs
+++ b/crates/core/src/storage/record_writer/rereads.rs
@@ -7,9 +7,10 @@
 use quartzgate_wire::msg::KeyValue;
 
 use super::FlushItem;
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
 use crate::ids::JobIndex;
 use crate::jobs::JobState;
+use crate::storage::calls::StorageCall;
 use crate::storage::placement_records::RecordLocation;
 use crate::storage::records::{
     decode, job_key, placement_key, read_placement, JobRecord, RecordedStatus,
@@ -62,12 +63,12 @@
             FlushItem::Deletion { .. } => None,
         };
         let Some(path) = path else { return };
-        let pending = InFlight::Restamp { item, epoch: self.epoch() };
-        self.call_store("GET", format!("/keys/{path}"), Vec::new(), pending);
+        let call = StorageCall::RecordReread { item, epoch: self.epoch() };
+        self.call_from_storage("GET", format!("/keys/{path}"), Vec::new(), call);
     }
 
     /// A reread has ended. If it failed, it is retried with the next periodic work.
-    pub(crate) fn on_record_reread(&mut self, item: FlushItem, outcome: Outcome) {
+    pub(in crate::storage) fn on_record_reread(&mut self, item: FlushItem, outcome: Outcome) {
         let Ok(pair) = self.read_outcome(outcome) else {
             return self.record_writer.reads_to_retry.push(item);
         };
