--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -444,7 +444,7 @@
         }
         let view = Guard {
             path: crate::storage::records::EPOCH_KEY.into(),
-            revision: self.membership.epoch_revision,
+            revision: self.membership.epoch_revision(),
         };
         let (mut guards, mut apply) = (vec![view], Vec::new());
         let placed = share.as_ref().map_or(RecordLocation::default(), |s| s.placed);
@@ -665,7 +665,7 @@
         let record = self.own_record(job);
         let view = Guard {
             path: crate::storage::records::EPOCH_KEY.into(),
-            revision: self.membership.epoch_revision,
+            revision: self.membership.epoch_revision(),
         };
         let (mut guards, mut apply) = (vec![view], Vec::new());
         // A record that says where its tasks may be goes on saying so.
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -35,8 +35,6 @@
 /// What a call of ours was for.
 #[derive(Debug)]
 pub(crate) enum InFlight {
-    LeaseNew { sent_ms: u64 },
-    LeaseRenew { sent_ms: u64 },
     MemberKey,
     KeepClaim { epoch: u64, lease_id: u64 },
     KeepRead { job: String, sent_ms: u64 },
@@ -44,12 +42,7 @@
     HandedOn { sibling: usize, id: u64 },
     OrdersRelayed { request: RequestId },
     ReadAgain { job: String, epoch: u64 },
-    ControlRead { sent_ms: u64 },
-    ControlWatch { sent_ms: u64 },
-    Elect { epoch: u64 },
-    InboxWatch { sent_ms: u64, epoch: u64 },
     InboxRead { job: String, epoch: u64 },
-    InboxList { rev: Option<u64>, epoch: u64 },
     Recovery { epoch: u64 },
     Orders { machine: MachineIndex, fencing_token: u64, starts: Vec<(TaskKey, u64)> },
     Inspect { machine: MachineIndex, epoch: u64 },
@@ -77,7 +70,6 @@
     PageRead { number: u64, epoch: u64 },
     Compare { compared: ValidatedRead, epoch: u64 },
     Forward { request: RequestId, sibling: usize, work: Box<UserRequest> },
-    Beat { sibling: usize },
     Told,
     Relay { request: RequestId, report: Box<Heartbeat> },
     Adopt { job: JobIndex, epoch: u64 },
@@ -210,7 +202,7 @@
         let search_budget = SearchBudget::new(cfg.platform.params.limits.cpu_share);
         let terminal_jobs = TerminalJobs::new(cfg.max_terminal_jobs());
         let lease_proxy = LeaseProxy::new(&cfg);
-        let stall = ProcessStall::new(&cfg);
+        let stall = ProcessStall::default();
         Controller {
             context: Context::new(cfg, rng),
             calls: CallTable::default(),
@@ -281,6 +273,8 @@
             Event::Outcome { call, outcome } => {
                 if let Some(pending) = self.calls.take(call) {
                     self.on_outcome(pending, outcome);
+                } else if let Some(call) = self.membership.take_call(call) {
+                    self.on_membership_outcome(call, outcome);
                 }
             }
         }
@@ -366,8 +360,6 @@
     pub(crate) fn on_outcome(&mut self, pending: InFlight, outcome: Outcome) {
         let current = self.epoch();
         match pending {
-            InFlight::LeaseNew { sent_ms } => self.on_lease_new(sent_ms, outcome),
-            InFlight::LeaseRenew { sent_ms } => self.on_lease_renew(sent_ms, outcome),
             InFlight::MemberKey | InFlight::Told => {}
             InFlight::KeepClaim { epoch, lease_id } => {
                 self.on_proxy_claim(epoch, lease_id, outcome)
@@ -376,9 +368,6 @@
             InFlight::MailboxRecord { ids } => self.on_mailbox_written(ids, outcome),
             InFlight::HandedOn { sibling, id } => self.on_orders_forwarded(sibling, id, outcome),
             InFlight::OrdersRelayed { request } => self.on_orders_relayed(request, outcome),
-            InFlight::ControlRead { sent_ms } => self.on_control_read(sent_ms, outcome),
-            InFlight::ControlWatch { sent_ms } => self.on_control_watch(sent_ms, outcome),
-            InFlight::Elect { epoch } => self.on_elect(epoch, outcome),
             InFlight::AcceptAlone { request, id, cancelled } => {
                 self.on_accept_alone(request, id, cancelled, outcome)
             }
@@ -407,7 +396,6 @@
                 self.on_forwarded(request, sibling, *work, outcome)
             }
             InFlight::Relay { request, report } => self.on_relayed(request, *report, outcome),
-            InFlight::Beat { sibling } => self.on_peer_heartbeat(sibling, outcome),
             InFlight::Types => self.on_types(outcome),
             InFlight::Accept { request, job, placed, epoch } => {
                 if epoch == current {
@@ -425,11 +413,9 @@
             }
             // What follows concerns a memory that is gone if the epoch has changed.
             InFlight::Recovery { epoch }
-            | InFlight::InboxWatch { epoch, .. }
             | InFlight::PageWrite { epoch, .. }
             | InFlight::PageRead { epoch, .. }
             | InFlight::InboxRead { epoch, .. }
-            | InFlight::InboxList { epoch, .. }
             | InFlight::ReadAgain { epoch, .. }
             | InFlight::ChainRead { epoch, .. }
             | InFlight::Inspect { epoch, .. }
@@ -440,13 +426,11 @@
             | InFlight::Return { epoch, .. }
                 if epoch != current => {}
             InFlight::Recovery { .. } => self.on_recovery_list(outcome),
-            InFlight::InboxWatch { sent_ms, .. } => self.on_handoff_watch(sent_ms, outcome),
             InFlight::ChainRead { job, .. } => self.on_dependency_read(job, outcome),
             InFlight::ReadAgain { job, .. } => self.on_read_again(job, outcome),
             InFlight::PageWrite { number, .. } => self.on_batch_written(number, outcome),
             InFlight::PageRead { number, .. } => self.on_batch_read(number, outcome),
             InFlight::InboxRead { job, .. } => self.on_handoff_job_read(job, outcome),
-            InFlight::InboxList { rev, .. } => self.on_handoff_list(rev, outcome),
             InFlight::Orders { machine, fencing_token, starts } => {
                 if crate::ids::epoch_of(fencing_token) == current {
                     self.on_orders_outcome(machine, fencing_token, starts, outcome)
@@ -502,7 +486,7 @@
 
     /// Another controller has taken over: everything that the leader kept goes.
     pub(crate) fn step_down(&mut self) {
-        if !matches!(self.membership.role, Role::Follower) {
+        if !matches!(self.membership.role(), Role::Follower) {
             tracing::info!(epoch = self.epoch(), "no longer leading");
         }
         self.set_role(Role::Follower);
@@ -555,14 +539,14 @@
     /// Whether a read for a user may be made now.
     pub(crate) fn may_read_for_request(&mut self) -> bool {
         let now = self.context.now.steady_ms;
-        self.membership.reads.take(now, 1.0, 0.1)
+        self.membership.store_reads().take(now, 1.0, 0.1)
     }
 
     /// The same for a question, which can be asked again: it leaves some for what is submitted
     /// or cancelled.
     pub(crate) fn may_read_for_status(&mut self) -> bool {
         let now = self.context.now.steady_ms;
-        self.membership.reads.take(now, 1.0, 0.3)
+        self.membership.store_reads().take(now, 1.0, 0.3)
     }
 
     /// The state service asked for a pause.
@@ -571,7 +555,7 @@
         let pause = self.context.rng.random_range(100..300);
         let now = self.context.now.steady_ms;
         if status == 429 {
-            self.membership.reads.close(now, pause);
+            self.membership.store_reads().close(now, pause);
         }
         self.record_writer.writes.close(now, pause);
     }
@@ -582,11 +566,11 @@
     pub(crate) fn fit_rate_limits(&mut self) {
         let limits = self.limits().clone();
         let controllers = self.context.config.platform.siblings.len() + 1;
-        let reads = match self.membership.role {
+        let reads = match self.membership.role() {
             Role::Recovering | Role::Leader => leader_share(limits.rps),
             _ => follower_share(limits.rps, controllers),
         };
-        self.membership.reads.set_rate(reads);
+        self.membership.store_reads().set_rate(reads);
         self.record_writer.writes.set_rate(RecordWriter::write_rate(&limits));
         self.admission.set_rate(RecordWriter::write_rate(&limits));
     }
--- a/crates/core/src/fleet/machines.rs
+++ b/crates/core/src/fleet/machines.rs
@@ -431,7 +431,7 @@
         let unread =
             |job: &str| self.jobs.find(job).is_none() && self.terminal_jobs.get(job).is_none();
         let mut running = report.tasks.iter().filter(|t| t.status != TaskStatus::Exited);
-        self.membership.role == Role::Recovering
+        self.membership.role() == Role::Recovering
             && running.any(|t| parse_task(&t.task).is_some_and(|(job, _)| unread(job)))
     }
 
@@ -1034,7 +1034,7 @@
         for (ix, m) in self.machines.iter() {
             let since = m.last_heard_ms.max(m.since_ms).max(self.epoch_began_ms);
             // Through a pause it was we who heard nothing.
-            let since = since.max(self.stall.resumed_ms);
+            let since = since.max(self.stall.resumed_ms());
             let holds = !m.tasks.is_empty() || !m.unproven.is_empty();
             let unlisted = self.unlisted(m);
             // An earlier owner knew it, and the cloud has it no more.
@@ -1060,7 +1060,7 @@
             }
         }
         odd += silent.iter().filter(|(_, _, unlisted)| !unlisted).count();
-        let many = odd * 12 > heard + 12 || !self.membership.keepers.is_empty();
+        let many = odd * 12 > heard + 12 || self.membership.has_proxy_claims();
         for (ix, holds, unlisted) in silent {
             let Some(m) = self.machines.get(ix) else { continue };
             if holds && (unlisted || !many) {
--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -261,7 +261,7 @@
             .take(UNKNOWN_READS)
             .collect();
         for id in due {
-            if !self.membership.reads.take(now, 1.0, 0.25) {
+            if !self.membership.store_reads().take(now, 1.0, 0.25) {
                 return;
             }
             self.dependency_graph.unknown.insert(id.clone(), now.max(1));
--- a/crates/core/src/lease_proxy/mailbox.rs
+++ b/crates/core/src/lease_proxy/mailbox.rs
@@ -135,7 +135,7 @@
         let m = self.machines.get(ix)?;
         let at = m.via.filter(|_| m.cut)?;
         let node = &self.context.config.platform.siblings[at].node;
-        self.membership.keepers.contains_key(node).then_some(at)
+        self.membership.has_proxy_claim(node).then_some(at)
     }
 
     /// Hands orders for a machine to the post.
@@ -309,7 +309,7 @@
         if old || self.observed_epoch() != Some(post.epoch) {
             return;
         }
-        if self.membership.role == Role::Follower {
+        if self.membership.role() == Role::Follower {
             let leads = self.leader_index() == Some(at);
             for letter in post.orders.into_iter().filter(|_| leads) {
                 self.forward_orders(at, letter);
--- a/crates/core/src/lease_proxy/mod.rs
+++ b/crates/core/src/lease_proxy/mod.rs
@@ -169,7 +169,7 @@
 
     fn try_serve_by_proxy(&mut self, id: RequestId, report: &Heartbeat) -> Verdict {
         let now = self.context.now.steady_ms;
-        if self.membership.role != Role::Follower || !self.leader_missed() {
+        if self.membership.role() != Role::Follower || !self.leader_missed() {
             return Verdict::No;
         }
         let Some(epoch) = self.proven_epoch() else { return Verdict::No };
@@ -327,11 +327,11 @@
         if let ProxyClaim::Standing { epoch } = self.lease_proxy.claim {
             let unused = now > self.lease_proxy.used_ms + self.context.config.lease_ms();
             let other_view = self.observed_epoch() != Some(epoch);
-            if unused || other_view || self.membership.role != Role::Follower {
+            if unused || other_view || self.membership.role() != Role::Follower {
                 self.set_claim(ProxyClaim::None);
             }
         }
-        let own = self.membership.keepers.get(&self.context.config.platform.node).copied();
+        let own = self.membership.proxy_claim_revision(&self.context.config.platform.node);
         let Some(revision) = own.filter(|_| self.lease_proxy.claim == ProxyClaim::None) else {
             return;
         };
--- /dev/null
+++ b/crates/core/src/membership/epoch_watch.rs
@@ -0,0 +1,379 @@
+//! The watch of the control keys: the epoch record, the leader key, the claims of lease proxies
+//! and the mailboxes.
+//!
+//! All of them share one prefix, so one watch shows every change in the order of its revisions.
+//! The watch proves up to which moment the records are known: a later epoch can't have begun
+//! before `known_ms` without being seen here. An answer proves only what was true when its
+//! request was *sent*, and answers to requests from before a stall are dropped.
+
+use quartzgate_wire::from_cbor;
+use quartzgate_wire::msg::{ChangeEvent, ChangeLog, KeyValueList};
+use rand::Rng;
+
+use super::calls::MembershipCall;
+use super::proxy_claims::ProxyClaims;
+use super::watch::{Revisioned, WatchState};
+use super::Membership;
+use crate::config::Config;
+use crate::context::Context;
+use crate::controller::Controller;
+use crate::storage::records::{
+    decode, EpochRecord, LeaderRecord, EPOCH_KEY, LEADER_KEY, LEASE_PROXY_PREFIX,
+};
+use crate::Outcome;
+
+/// Part of a controller lease's time to live by which controllers stagger their elections.
+const ELECTION_STAGGER: u64 = 50;
+
+/// Progress of the watch, and the records that it has shown.
+#[derive(Debug, Default)]
+pub(super) struct EpochWatch {
+    state: WatchState,
+    /// When the keys are next read or watched.
+    due_ms: u64,
+    /// The store's revision up to which changes have been taken in.
+    revision: u64,
+    /// When the newest read or watch was sent; 0 after a stall.
+    sent_ms: u64,
+    /// The latest moment up to which the control keys are proven to be known.
+    known_ms: u64,
+    epoch: Option<Revisioned<EpochRecord>>,
+    leader: Option<Revisioned<LeaderRecord>>,
+    /// When the present leader was first seen to lead.
+    leader_since_ms: u64,
+    claims: ProxyClaims,
+}
+
+impl EpochWatch {
+    pub fn known_ms(&self) -> u64 {
+        self.known_ms
+    }
+
+    pub fn epoch(&self) -> Option<&Revisioned<EpochRecord>> {
+        self.epoch.as_ref()
+    }
+
+    pub fn leader(&self) -> Option<&Revisioned<LeaderRecord>> {
+        self.leader.as_ref()
+    }
+
+    pub fn leader_since_ms(&self) -> u64 {
+        self.leader_since_ms
+    }
+
+    pub fn claims(&self) -> &ProxyClaims {
+        &self.claims
+    }
+
+    /// The keys have been read, and every change since then has been or will be seen.
+    pub fn is_read(&self) -> bool {
+        matches!(self.state, WatchState::Idle | WatchState::Watching)
+    }
+
+    /// The keys have to be read again.
+    pub fn invalidate(&mut self) {
+        self.state = WatchState::Unread;
+    }
+
+    /// The same, after a pause.
+    pub fn invalidate_until(&mut self, due_ms: u64) {
+        self.invalidate();
+        self.due_ms = due_ms;
+    }
+
+    /// After a stall: the keys are read at once, and answers to earlier requests prove nothing.
+    pub fn restart(&mut self, now_ms: u64) {
+        self.invalidate_until(now_ms);
+        self.sent_ms = 0;
+    }
+
+    /// Takes in the records of an election that this controller has won.
+    pub fn on_elected(&mut self, leader: LeaderRecord, epoch: EpochRecord, revision: u64) {
+        self.leader = Some(Revisioned { record: leader, revision });
+        self.epoch = Some(Revisioned { record: epoch, revision });
+    }
+
+    /// This controller gives up the leader key.
+    pub fn clear_leader(&mut self) {
+        self.leader = None;
+    }
+
+    /// The watch can go on from this revision, without a pause.
+    fn advance(&mut self, revision: u64, sent_ms: u64) {
+        self.revision = revision;
+        self.known_ms = self.known_ms.max(sent_ms);
+        self.state = WatchState::Idle;
+        self.due_ms = 0;
+    }
+}
+
+/// A claim of a lease proxy, as the control keys show it.
+struct ProxyClaimKey {
+    node: String,
+    revision: u64,
+}
+
+/// All control keys at one revision.
+#[derive(Default)]
+struct ControlSnapshot {
+    epoch: Option<Revisioned<EpochRecord>>,
+    leader: Option<Revisioned<LeaderRecord>>,
+    claims: Vec<ProxyClaimKey>,
+}
+
+impl ControlSnapshot {
+    /// Nothing if the epoch record can't be read: it is then unknown who may lead.
+    fn read(list: &KeyValueList) -> Option<Self> {
+        let mut snapshot = ControlSnapshot::default();
+        for pair in &list.pairs {
+            let revision = pair.revision;
+            match pair.path.as_str() {
+                LEADER_KEY => {
+                    let record = decode::<LeaderRecord>(&pair.value);
+                    snapshot.leader = record.map(|record| Revisioned { record, revision });
+                }
+                EPOCH_KEY => match decode::<EpochRecord>(&pair.value) {
+                    Some(record) => snapshot.epoch = Some(Revisioned { record, revision }),
+                    None => {
+                        tracing::error!("epoch record unreadable; not leading");
+                        return None;
+                    }
+                },
+                path => {
+                    let node = path.strip_prefix(LEASE_PROXY_PREFIX);
+                    let claim = node.map(|node| ProxyClaimKey { node: node.to_string(), revision });
+                    snapshot.claims.extend(claim);
+                }
+            }
+        }
+        Some(snapshot)
+    }
+
+    fn has_claim(&self, node: &str) -> bool {
+        self.claims.iter().any(|claim| claim.node == node)
+    }
+}
+
+impl Membership {
+    /// Reads or watches the control keys when that is due.
+    pub(super) fn tick_epoch_watch(&mut self, context: &mut Context) {
+        if context.now.steady_ms < self.epoch_watch.due_ms {
+            return;
+        }
+        match self.epoch_watch.state {
+            WatchState::Unread => self.read_control_keys(context),
+            WatchState::Idle => self.watch_control_keys(context),
+            WatchState::Reading | WatchState::Watching => {}
+        }
+    }
+
+    fn read_control_keys(&mut self, context: &mut Context) {
+        let now = context.now.steady_ms;
+        self.epoch_watch.state = WatchState::Reading;
+        self.epoch_watch.sent_ms = now;
+        let target = format!("/keys?starts={EPOCH_KEY}");
+        let call = MembershipCall::ReadControlKeys { sent_ms: now };
+        self.call_store(context, "GET", target, Vec::new(), call);
+    }
+
+    fn watch_control_keys(&mut self, context: &mut Context) {
+        let now = context.now.steady_ms;
+        self.epoch_watch.state = WatchState::Watching;
+        self.epoch_watch.sent_ms = now;
+        let call = MembershipCall::WatchControlKeys { sent_ms: now };
+        self.watch_store(context, EPOCH_KEY, self.epoch_watch.revision, call);
+    }
+
+    /// Takes in a full read but for its epoch and leader records, which the controller acts on.
+    fn observe_control_keys(
+        &mut self,
+        context: &Context,
+        sent_ms: u64,
+        outcome: Outcome,
+    ) -> Option<ControlSnapshot> {
+        let now = context.now.steady_ms;
+        // Another read or watch was sent since, after a stall.
+        if self.epoch_watch.sent_ms != sent_ms {
+            return None;
+        }
+        self.epoch_watch.invalidate_until(retry_ms(&context.config, now));
+        let Outcome::Answer(response) = outcome else { return None };
+        if response.status != 200 {
+            return None;
+        }
+        let list = from_cbor::<KeyValueList>(&response.body).ok()?;
+        self.note_store_answer(now);
+        let snapshot = ControlSnapshot::read(&list)?;
+        self.replace_proxy_claims(&snapshot, now);
+        self.epoch_watch.advance(list.store_revision, sent_ms);
+        Some(snapshot)
+    }
+
+    fn replace_proxy_claims(&mut self, snapshot: &ControlSnapshot, now_ms: u64) {
+        self.epoch_watch.claims.on_reread(now_ms);
+        for node in self.epoch_watch.claims.nodes() {
+            if !snapshot.has_claim(&node) {
+                self.observe_proxy_claim(&node, None, now_ms);
+            }
+        }
+        for claim in &snapshot.claims {
+            self.observe_proxy_claim(&claim.node, Some(claim.revision), now_ms);
+        }
+    }
+
+    fn observe_proxy_claim(&mut self, node: &str, revision: Option<u64>, now_ms: u64) {
+        let changed = self.epoch_watch.claims.observe(node, revision, now_ms);
+        if changed && self.is_leader() {
+            let claimed = revision.is_some();
+            tracing::info!(node, claimed, "lease proxy claim changed");
+        }
+    }
+
+    /// Takes in how a watch ended; gives the changes that it has shown.
+    fn observe_control_changes(
+        &mut self,
+        context: &Context,
+        sent_ms: u64,
+        outcome: Outcome,
+    ) -> Option<ChangeLog> {
+        let now = context.now.steady_ms;
+        let superseded = self.epoch_watch.sent_ms != sent_ms;
+        if self.epoch_watch.state != WatchState::Watching || superseded {
+            return None;
+        }
+        // The watch goes on from the revision where it was, so that no change is missed.
+        self.epoch_watch.state = WatchState::Idle;
+        self.epoch_watch.due_ms = now.max(sent_ms + context.config.lease_renewal_ms());
+        let Outcome::Answer(response) = outcome else { return None };
+        match response.status {
+            200 => {}
+            // The store no longer has the changes since that revision.
+            410 => {
+                self.note_store_answer(now);
+                self.epoch_watch.invalidate();
+                return None;
+            }
+            _ => {
+                self.epoch_watch.due_ms = retry_ms(&context.config, now);
+                return None;
+            }
+        }
+        let changes = from_cbor::<ChangeLog>(&response.body).ok()?;
+        self.note_store_answer(now);
+        self.epoch_watch.advance(changes.store_revision, sent_ms);
+        self.advance_proven_contact();
+        Some(changes)
+    }
+
+    fn observe_leader(&mut self, context: &mut Context, leader: Option<Revisioned<LeaderRecord>>) {
+        let now = context.now.steady_ms;
+        if !same_leadership(leader.as_ref(), self.epoch_watch.leader()) {
+            self.epoch_watch.leader_since_ms = now;
+            match &leader {
+                Some(Revisioned { record, .. }) => {
+                    tracing::info!(leader = %record.node, epoch = record.epoch, "leader observed")
+                }
+                None => tracing::info!("leader key absent"),
+            }
+        }
+        if leader.is_none() {
+            let delay_ms = election_delay_ms(context);
+            self.election.postpone_until(now + delay_ms);
+        }
+        self.epoch_watch.leader = leader;
+    }
+}
+
+/// When a read or watch that failed is tried again.
+fn retry_ms(config: &Config, now_ms: u64) -> u64 {
+    now_ms + config.lease_renewal_ms() / 2
+}
+
+fn same_leadership(
+    left: Option<&Revisioned<LeaderRecord>>,
+    right: Option<&Revisioned<LeaderRecord>>,
+) -> bool {
+    let identity = |leader: &Revisioned<LeaderRecord>| {
+        let record = &leader.record;
+        (record.node.clone(), record.epoch)
+    };
+    left.map(identity) == right.map(identity)
+}
+
+/// How long this controller waits before it stands for election. Controllers are staggered by
+/// the order of their names, so that two of them rarely ask at the same time.
+fn election_delay_ms(context: &mut Context) -> u64 {
+    let platform = &context.config.platform;
+    let earlier = platform.siblings.iter().filter(|sibling| sibling.node < platform.node);
+    let turn = earlier.count() as u64;
+    let step_ms = context.config.controller_lease_ttl_ms() / ELECTION_STAGGER;
+    turn * step_ms + context.rng.random_range(0..step_ms.max(1))
+}
+
+impl Controller {
+    pub(super) fn on_control_keys_read(&mut self, sent_ms: u64, outcome: Outcome) {
+        let snapshot = self.membership.observe_control_keys(&self.context, sent_ms, outcome);
+        let Some(snapshot) = snapshot else { return };
+        self.observe_epoch(snapshot.epoch);
+        self.membership.observe_leader(&mut self.context, snapshot.leader);
+        self.verify_leadership();
+        self.membership.watch_control_keys(&mut self.context);
+    }
+
+    pub(super) fn on_control_keys_changed(&mut self, sent_ms: u64, outcome: Outcome) {
+        let changes = self.membership.observe_control_changes(&self.context, sent_ms, outcome);
+        let Some(changes) = changes else { return };
+        for change in changes.log {
+            self.observe_control_change(change);
+        }
+        self.membership.watch_control_keys(&mut self.context);
+    }
+
+    fn observe_control_change(&mut self, change: ChangeEvent) {
+        let now = self.context.now.steady_ms;
+        if let Some(path) = &change.set {
+            let Some(value) = &change.value else { return };
+            self.observe_control_record(path, value, change.revision);
+            return;
+        }
+        let Some(path) = &change.delete else { return };
+        if path == LEADER_KEY {
+            self.membership.observe_leader(&mut self.context, None);
+        } else if let Some(node) = path.strip_prefix(LEASE_PROXY_PREFIX) {
+            self.membership.observe_proxy_claim(node, None, now);
+        }
+    }
+
+    fn observe_control_record(
+        &mut self,
+        path: &str,
+        value: &ciborium::value::Value,
+        revision: u64,
+    ) {
+        let now = self.context.now.steady_ms;
+        if path == LEADER_KEY {
+            let record = decode::<LeaderRecord>(value);
+            let leader = record.map(|record| Revisioned { record, revision });
+            self.membership.observe_leader(&mut self.context, leader);
+        } else if path == EPOCH_KEY {
+            if let Some(record) = decode::<EpochRecord>(value) {
+                self.observe_epoch(Some(Revisioned { record, revision }));
+            }
+        } else if let Some(node) = path.strip_prefix(LEASE_PROXY_PREFIX) {
+            self.membership.observe_proxy_claim(node, Some(revision), now);
+        } else {
+            self.on_mailbox_record(path, value);
+        }
+    }
+
+    fn observe_epoch(&mut self, epoch: Option<Revisioned<EpochRecord>>) {
+        if let Some(Revisioned { record, .. }) = &epoch {
+            if self.membership.is_superseded_by(record.epoch) {
+                let epoch = record.epoch;
+                tracing::info!(epoch, leader = %record.leader, "superseded: later epoch recorded");
+                self.step_down();
+            }
+        }
+        self.membership.epoch_watch.epoch = epoch;
+    }
+}
--- /dev/null
+++ b/crates/core/src/membership/handoff_watch.rs
@@ -0,0 +1,168 @@
+//! The leader's watch of the handoff queue: submissions and aborts that followers record in the
+//! store when they can't reach the leader.
+//!
+//! Together with the watch of the control keys it proves how far the leader knows the records:
+//! others change them only through the queue, or after a later epoch has begun.
+
+use quartzgate_wire::from_cbor;
+use quartzgate_wire::msg::{ChangeLog, KeyValueList};
+
+use super::calls::MembershipCall;
+use super::watch::WatchState;
+use super::Membership;
+use crate::context::Context;
+use crate::controller::Controller;
+use crate::storage::records::HANDOFF_PREFIX;
+use crate::Outcome;
+
+/// Entries that are read at a time when the changes since the last watch are gone.
+const LIST_PAGE_ENTRIES: usize = 1000;
+
+/// Progress of the watch.
+#[derive(Debug, Default)]
+pub(super) struct HandoffWatch {
+    state: WatchState,
+    /// When the next watch may start.
+    due_ms: u64,
+    /// The store's revision up to which the queue has been taken in.
+    revision: u64,
+    /// The latest moment up to which the queue is proven to be known.
+    known_ms: u64,
+}
+
+impl HandoffWatch {
+    pub fn known_ms(&self) -> u64 {
+        self.known_ms
+    }
+
+    /// The queue has to be read again, by a recovery.
+    pub fn invalidate(&mut self) {
+        self.state = WatchState::Unread;
+    }
+
+    fn is_due(&self, now_ms: u64) -> bool {
+        self.state == WatchState::Idle && now_ms >= self.due_ms
+    }
+
+    /// The queue has been taken in up to this revision; a watch may go on from there.
+    fn resume_from(&mut self, revision: u64) {
+        self.revision = revision;
+        self.state = WatchState::Idle;
+    }
+}
+
+impl Membership {
+    /// Starts the watch anew after it has failed.
+    pub(super) fn tick_handoff_watch(&mut self, context: &mut Context) {
+        if self.is_leader() && self.handoff_watch.is_due(context.now.steady_ms) {
+            self.watch_handoff_queue(context);
+        }
+    }
+
+    /// The queue has been read up to a revision; the watch starts there at the next tick.
+    pub fn watch_handoff_from(&mut self, revision: u64) {
+        self.handoff_watch.resume_from(revision);
+        self.handoff_watch.due_ms = 0;
+    }
+
+    pub(super) fn watch_handoff_queue(&mut self, context: &mut Context) {
+        self.handoff_watch.state = WatchState::Watching;
+        let epoch = self.election.epoch();
+        let call = MembershipCall::WatchHandoffQueue { sent_ms: context.now.steady_ms, epoch };
+        self.watch_store(context, HANDOFF_PREFIX, self.handoff_watch.revision, call);
+    }
+
+    /// Lists the queue from after a key on, one page at a time.
+    fn list_handoff_queue(
+        &mut self,
+        context: &mut Context,
+        after: Option<String>,
+        list_revision: Option<u64>,
+    ) {
+        self.handoff_watch.state = WatchState::Reading;
+        let since = after.map_or(String::new(), |key| format!("&since={key}"));
+        let target = format!("/keys?starts={HANDOFF_PREFIX}&most={LIST_PAGE_ENTRIES}{since}");
+        let epoch = self.election.epoch();
+        let call = MembershipCall::ListHandoffQueue { list_revision, epoch };
+        self.call_store(context, "GET", target, Vec::new(), call);
+    }
+
+    /// Takes in how a watch ended; gives the changes that it has shown.
+    fn observe_handoff_changes(
+        &mut self,
+        context: &mut Context,
+        sent_ms: u64,
+        outcome: Outcome,
+    ) -> Option<ChangeLog> {
+        let now = context.now.steady_ms;
+        self.handoff_watch.state = WatchState::Idle;
+        self.handoff_watch.due_ms = now + context.config.lease_renewal_ms() / 2;
+        let Outcome::Answer(response) = outcome else { return None };
+        match response.status {
+            200 => {}
+            // The store no longer has the changes since that revision.
+            410 => {
+                self.note_store_answer(now);
+                self.list_handoff_queue(context, None, None);
+                return None;
+            }
+            _ => return None,
+        }
+        let changes = from_cbor::<ChangeLog>(&response.body).ok()?;
+        self.note_store_answer(now);
+        self.handoff_watch.revision = changes.store_revision;
+        self.handoff_watch.known_ms = self.handoff_watch.known_ms.max(sent_ms);
+        self.advance_proven_contact();
+        Some(changes)
+    }
+}
+
+impl Controller {
+    /// Starts watching the handoff queue.
+    pub(crate) fn watch_handoff_queue(&mut self) {
+        self.membership.watch_handoff_queue(&mut self.context);
+    }
+
+    /// The handoff queue has been read up to this revision.
+    pub(crate) fn watch_handoff_from(&mut self, revision: u64) {
+        self.membership.watch_handoff_from(revision);
+    }
+
+    pub(super) fn on_handoff_queue_changed(&mut self, sent_ms: u64, outcome: Outcome) {
+        let changes = self.membership.observe_handoff_changes(&mut self.context, sent_ms, outcome);
+        let Some(changes) = changes else { return };
+        for change in changes.log {
+            if let (Some(path), Some(value)) = (change.set, change.value) {
+                self.on_handoff_entry(&path, &value, change.revision);
+            }
+        }
+        self.watch_handoff_queue();
+    }
+
+    /// Takes in a page of the queue. The watch goes on from the revision of the first page, as
+    /// later ones may lack what was added before it.
+    pub(super) fn on_handoff_queue_listed(&mut self, list_revision: Option<u64>, outcome: Outcome) {
+        let list = match outcome {
+            Outcome::Answer(response) if response.status == 200 => {
+                from_cbor::<KeyValueList>(&response.body).ok()
+            }
+            _ => None,
+        };
+        let Some(list) = list else {
+            // The next watch gets 410 again, and the list begins anew.
+            self.membership.handoff_watch.state = WatchState::Idle;
+            return;
+        };
+        self.note_store_answer();
+        let list_revision = list_revision.unwrap_or(list.store_revision);
+        let last = list.pairs.last().map(|pair| pair.path.clone()).filter(|_| list.more);
+        for pair in list.pairs {
+            self.on_handoff_entry(&pair.path, &pair.value, pair.revision);
+        }
+        if last.is_some() {
+            let context = &mut self.context;
+            return self.membership.list_handoff_queue(context, last, Some(list_revision));
+        }
+        self.membership.handoff_watch.resume_from(list_revision);
+    }
+}
--- /dev/null
+++ b/crates/core/src/membership/peers.rs
@@ -0,0 +1,203 @@
+//! Heartbeats between controllers.
+//!
+//! Each controller sends every other one a heartbeat that says whether it leads, and in which
+//! epoch, and whether the store answers it. What comes of them serves redirects and forwarding
+//! alone. Who may lead is decided in the store; a heartbeat can only end a leadership, when it
+//! shows a later epoch.
+
+use quartzgate_wire::msg::{MeshMessage, MESH_VERSION};
+use quartzgate_wire::{from_cbor, to_cbor};
+
+use super::calls::MembershipCall;
+use super::Membership;
+use crate::config::Config;
+use crate::context::Context;
+use crate::controller::Controller;
+use crate::storage::records::LeaderRecord;
+use crate::{Outcome, Peer};
+
+/// Heartbeat intervals after which a peer counts as lost.
+const LOST_AFTER_INTERVALS: u64 = 3;
+/// Heartbeat intervals within which a peer must have been heard to be relied on for service.
+const SERVING_WITHIN_INTERVALS: u64 = 2;
+
+/// What is known of one other controller.
+#[derive(Clone, Debug, Default)]
+struct PeerState {
+    last_heard_ms: Option<u64>,
+    /// When the newest heartbeat to it was sent.
+    sent_ms: u64,
+    heartbeat_in_flight: bool,
+    /// Its newest heartbeat says that the store answers it.
+    store_reachable: bool,
+    /// It has been refused, and this was logged, as it speaks another mesh version.
+    refused: bool,
+}
+
+/// The other controllers, by their places in the settings.
+#[derive(Debug)]
+pub(super) struct Peers {
+    states: Vec<PeerState>,
+    /// The leader of the latest epoch that a heartbeat has shown.
+    leader_hint: Option<LeaderRecord>,
+}
+
+impl Peers {
+    pub fn new(count: usize) -> Self {
+        Peers { states: vec![PeerState::default(); count], leader_hint: None }
+    }
+
+    pub fn len(&self) -> usize {
+        self.states.len()
+    }
+
+    pub fn leader_hint(&self) -> Option<&LeaderRecord> {
+        self.leader_hint.as_ref()
+    }
+
+    /// When a peer was last heard, in steady milliseconds.
+    pub fn last_heard_ms(&self, peer: usize) -> Option<u64> {
+        self.states[peer].last_heard_ms
+    }
+
+    /// A peer that has been heard lately.
+    pub fn is_alive(&self, peer: usize, context: &Context) -> bool {
+        self.heard_within(peer, LOST_AFTER_INTERVALS, context)
+    }
+
+    /// A peer that has been heard very lately, and that the store answers.
+    pub fn is_serving(&self, peer: usize, context: &Context) -> bool {
+        self.states[peer].store_reachable
+            && self.heard_within(peer, SERVING_WITHIN_INTERVALS, context)
+    }
+
+    /// The first peer that is alive and that the store answers.
+    pub fn first_with_store(&self, context: &Context) -> Option<usize> {
+        (0..self.len())
+            .find(|&peer| self.is_alive(peer, context) && self.states[peer].store_reachable)
+    }
+
+    pub fn any_alive(&self, context: &Context) -> bool {
+        (0..self.len()).any(|peer| self.is_alive(peer, context))
+    }
+
+    /// After a stall: a heartbeat to every peer is due at once.
+    pub fn restart_heartbeats(&mut self) {
+        let idle = self.states.iter_mut().filter(|state| !state.heartbeat_in_flight);
+        idle.for_each(|state| state.sent_ms = 0);
+    }
+
+    fn heard_within(&self, peer: usize, intervals: u64, context: &Context) -> bool {
+        let limit_ms = intervals * heartbeat_interval_ms(&context.config);
+        let last_heard_ms = self.states[peer].last_heard_ms;
+        last_heard_ms.is_some_and(|heard_ms| context.now.steady_ms < heard_ms + limit_ms)
+    }
+
+    fn heartbeat_due(&self, peer: usize, context: &Context) -> bool {
+        let state = &self.states[peer];
+        let due_ms = state.sent_ms + heartbeat_interval_ms(&context.config);
+        !state.heartbeat_in_flight && context.now.steady_ms >= due_ms
+    }
+
+    fn on_heard(&mut self, peer: usize, store_reachable: bool, now_ms: u64) {
+        self.states[peer].last_heard_ms = Some(now_ms);
+        self.states[peer].store_reachable = store_reachable;
+    }
+
+    /// A peer speaks another mesh version; logged once.
+    fn on_incompatible(&mut self, peer: usize, message: &MeshMessage) {
+        if !std::mem::replace(&mut self.states[peer].refused, true) {
+            let (peer, version) = (&message.from, message.version);
+            tracing::error!(%peer, version, "peer refused: incompatible mesh version");
+        }
+    }
+
+    fn observe_hint(&mut self, message: &MeshMessage) {
+        let known_epoch = self.leader_hint.as_ref().map_or(0, |hint| hint.epoch);
+        if message.epoch > known_epoch {
+            let (epoch, node) = (message.epoch, message.from.clone());
+            self.leader_hint = Some(LeaderRecord { epoch, node, retakes: 0 });
+        }
+    }
+}
+
+/// Time between two heartbeats to the same peer, in milliseconds.
+pub(super) fn heartbeat_interval_ms(config: &Config) -> u64 {
+    config.controller_lease_ttl_ms() / 4
+}
+
+/// The place of a controller among the peers in the settings.
+pub(super) fn peer_index(config: &Config, node: &str) -> Option<usize> {
+    config.platform.siblings.iter().position(|sibling| sibling.node == node)
+}
+
+impl Membership {
+    /// Sends the heartbeats that are due.
+    pub(super) fn tick_heartbeats(&mut self, context: &mut Context) {
+        for peer in 0..self.peers.len() {
+            if self.peers.heartbeat_due(peer, context) {
+                self.send_heartbeat(context, peer);
+            }
+        }
+    }
+
+    /// Sends a heartbeat to every peer now.
+    pub(super) fn send_heartbeats(&mut self, context: &mut Context) {
+        for peer in 0..self.peers.len() {
+            self.send_heartbeat(context, peer);
+        }
+    }
+
+    fn send_heartbeat(&mut self, context: &mut Context, peer: usize) {
+        let state = &mut self.peers.states[peer];
+        state.heartbeat_in_flight = true;
+        state.sent_ms = context.now.steady_ms;
+        let body = to_cbor(&self.mesh_message(context));
+        let timeout_ms = context.config.mesh_timeout_ms();
+        let call = MembershipCall::PeerHeartbeat { peer };
+        let id = context.call(Peer::Sibling(peer), "POST", "/mesh".into(), body, timeout_ms);
+        self.calls.insert(id, call);
+    }
+
+    /// What this controller tells the others about itself.
+    pub(super) fn mesh_message(&self, context: &Context) -> MeshMessage {
+        MeshMessage {
+            version: MESH_VERSION,
+            from: context.config.platform.node.clone(),
+            epoch: self.election.epoch(),
+            store_reachable: self.store_reachable(context),
+            forward: None,
+        }
+    }
+}
+
+impl Controller {
+    pub(super) fn on_peer_heartbeat_answered(&mut self, peer: usize, outcome: Outcome) {
+        self.membership.peers.states[peer].heartbeat_in_flight = false;
+        let Outcome::Answer(response) = outcome else { return };
+        if response.status != 200 {
+            return;
+        }
+        if let Ok(message) = from_cbor::<MeshMessage>(&response.body) {
+            self.observe_peer(&message);
+        }
+    }
+
+    /// Takes in what a peer says about itself; false if it is unknown or incompatible.
+    pub(crate) fn observe_peer(&mut self, message: &MeshMessage) -> bool {
+        let Some(peer) = peer_index(&self.context.config, &message.from) else { return false };
+        let peers = &mut self.membership.peers;
+        if message.version != MESH_VERSION {
+            peers.on_incompatible(peer, message);
+            return false;
+        }
+        peers.on_heard(peer, message.store_reachable, self.context.now.steady_ms);
+        if self.membership.is_superseded_by(message.epoch) {
+            let (peer, epoch) = (&message.from, message.epoch);
+            tracing::info!(%peer, epoch, "superseded: a peer leads a later epoch");
+            self.step_down();
+        }
+        self.membership.peers.observe_hint(message);
+        true
+    }
+}
--- /dev/null
+++ b/crates/core/src/membership/role.rs
@@ -0,0 +1,82 @@
+//! The role of this controller, and what a change of it entails.
+
+use super::Membership;
+use crate::controller::{follower_share, leader_share, Controller};
+use crate::storage::rate_limiter::RateLimiter;
+
+/// Where this controller is between following and leading.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Role {
+    Follower,
+    /// Has asked the store for the leadership of this epoch.
+    Candidate {
+        epoch: u64,
+    },
+    /// Holds the leadership, and reads the records before it decides anything.
+    Recovering,
+    Leader,
+}
+
+impl Role {
+    /// Whether this controller holds the leadership, with or without all records.
+    pub fn holds_leadership(self) -> bool {
+        matches!(self, Role::Recovering | Role::Leader)
+    }
+}
+
+impl Membership {
+    /// The role of this controller at present.
+    pub fn role(&self) -> Role {
+        self.role
+    }
+
+    /// Leads and knows all records.
+    pub fn is_leader(&self) -> bool {
+        self.role == Role::Leader
+    }
+
+    /// This controller holds the leadership, but a later epoch than its own has begun.
+    pub(super) fn is_superseded_by(&self, epoch: u64) -> bool {
+        self.role.holds_leadership() && epoch > self.election.epoch()
+    }
+}
+
+impl Controller {
+    /// The one function that changes this controller's role.
+    pub(crate) fn set_role(&mut self, role: Role) {
+        let old = std::mem::replace(&mut self.membership.role, role);
+        if old == role {
+            return;
+        }
+        match role {
+            Role::Follower => self.enter_follower(old),
+            Role::Candidate { .. } => {}
+            Role::Recovering => self.enter_recovering(),
+            Role::Leader => tracing::info!(
+                epoch = self.epoch(),
+                jobs = self.jobs.len(),
+                took_ms = self.context.now.steady_ms - self.epoch_began_ms,
+                "leader: recovery complete"
+            ),
+        }
+    }
+
+    fn enter_follower(&mut self, old: Role) {
+        if old.holds_leadership() {
+            let rate = follower_share(self.limits().rps, self.membership.controllers());
+            self.membership.election.clear_epoch();
+            self.membership.store_reads = RateLimiter::new(rate);
+            self.clear_leader_state();
+        }
+        self.membership.epoch_watch.invalidate();
+    }
+
+    fn enter_recovering(&mut self) {
+        let rate = leader_share(self.limits().rps);
+        self.clear_leader_state();
+        self.membership.store_reads = RateLimiter::new(rate);
+        self.membership.handoff_watch.invalidate();
+        tracing::info!(epoch = self.epoch(), "leader elected: recovery started");
+        self.start_recovery();
+    }
+}
--- a/crates/core/src/membership/stall.rs
+++ b/crates/core/src/membership/stall.rs
@@ -1,129 +1,96 @@
-//! Pauses: this process stood still while its clocks ran on.
+//! Process stalls: this process did not run for a while, but its clocks did.
 //!
-//! Whatever it knew may be out of date: its lease may have run out, another may lead,
-//! and what it takes for silence was its own. A leader that wakes is in doubt until the
-//! state service has answered something that was sent after it woke; meanwhile it
-//! commands no worker and answers no report. Should the state service answer nobody, it
-//! goes on as one that is cut off: within the horizon, on which all safety rests.
+//! Whatever it knew may be out of date: its lease may have expired, another controller may lead,
+//! and what it takes for the silence of others was its own. After a stall a leader is unverified
+//! until the store has answered a request that was sent after the stall; until then it commands
+//! no worker and answers no heartbeat. If the store answers nothing at all, it goes on like any
+//! leader that is cut off from the store: within the lease bound, on which all safety rests.
 
-use crate::capacity::BoundedList;
-use crate::config::Config;
+use crate::context::Context;
 use crate::controller::Controller;
-use crate::membership::Role;
-use crate::RequestId;
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum StallState {
-    Awake,
-    /// Stood still, and has not heard since whether it still leads.
-    Doubtful,
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum StallState {
+    #[default]
+    Verified,
+    /// Was the leader at the last stall, and does not know since whether it still is.
+    Unverified,
 }
 
+/// The stalls of this process, and whether its leadership has been verified since the last one.
+#[derive(Debug, Default)]
 pub(crate) struct ProcessStall {
-    waking: StallState,
-    /// When it last woke, and how often it has.
-    pub resumed_ms: u64,
-    pub noticed: u64,
-    held: BoundedList<HeldHeartbeat>,
-}
-
-/// A report that can't be answered before more is known: who leads, or what the records say.
-struct HeldHeartbeat {
-    request: RequestId,
-    body: Vec<u8>,
-    /// The sibling that passed it on.
-    relayed_by: Option<usize>,
-    until_ms: u64,
+    state: StallState,
+    resumed_ms: u64,
+    count: u64,
 }
 
 impl ProcessStall {
-    pub fn new(cfg: &Config) -> Self {
-        let held = BoundedList::new(cfg.max_held_heartbeats(), cfg.max_held_bytes());
-        ProcessStall { waking: StallState::Awake, resumed_ms: 0, noticed: 0, held }
+    /// When the process last resumed after a stall, in steady milliseconds; 0 if it never has.
+    pub fn resumed_ms(&self) -> u64 {
+        self.resumed_ms
     }
-}
 
-impl Controller {
-    /// The one function that changes whether this controller doubts what it knows.
-    fn set_stall_state(&mut self, waking: StallState) {
-        if std::mem::replace(&mut self.stall.waking, waking) == waking {
-            return;
-        }
-        if waking == StallState::Awake {
-            self.machines_to_command.extend(self.machines.indexes());
-            self.retry_held_heartbeats();
-        }
+    /// Stalls since the process started.
+    pub fn count(&self) -> u64 {
+        self.count
     }
 
-    /// More time has passed between two events than ever does while this runs.
-    pub(crate) fn on_process_stall(&mut self, gap_ms: u64) {
-        tracing::info!(for_ms = gap_ms, "stood still while the clocks ran on");
-        self.stall.resumed_ms = self.context.now.steady_ms;
-        self.stall.noticed += 1;
-        self.machines.idle_later(gap_ms, self.context.now.steady_ms);
-        self.restart_leases_and_watches();
-        if matches!(self.membership.role, Role::Leader | Role::Recovering) {
-            self.set_stall_state(StallState::Doubtful);
-        }
+    fn is_unverified(&self) -> bool {
+        self.state == StallState::Unverified
     }
 
-    pub(crate) fn leadership_unverified(&self) -> bool {
-        self.stall.waking == StallState::Doubtful
+    fn on_resumed(&mut self, now_ms: u64) {
+        self.resumed_ms = now_ms;
+        self.count += 1;
     }
 
-    pub(crate) fn hold_heartbeat(
-        &mut self,
-        request: RequestId,
-        body: Vec<u8>,
-        relayed_by: Option<usize>,
-    ) {
-        let until_ms = self.context.now.steady_ms + self.context.config.max_heartbeat_hold_ms();
-        let bytes = body.len();
-        let held = HeldHeartbeat { request, body, relayed_by, until_ms };
-        if !self.stall.held.push(held, bytes) {
-            self.redirect(request);
-        }
+    /// When the store should have answered what was sent after the stall, if it is reachable.
+    fn answer_due_ms(&self, context: &Context) -> u64 {
+        self.resumed_ms + 2 * context.config.store_timeout_ms()
     }
+}
 
-    /// A worker that has waited for long enough looks elsewhere, while its lease still has time.
-    /// While the records are read, the others are looked at as the reading gets on.
-    pub(crate) fn tick_held_heartbeats(&mut self) {
-        let now = self.context.now.steady_ms;
-        for (report, bytes) in self.stall.held.take() {
-            let request = report.request;
-            if now >= report.until_ms || !self.stall.held.push(report, bytes) {
-                self.redirect(request);
-            }
+impl Controller {
+    /// The one function that changes whether this controller's leadership is verified.
+    fn set_stall_state(&mut self, state: StallState) {
+        if std::mem::replace(&mut self.stall.state, state) == state {
+            return;
         }
-        if !self.leadership_unverified() && self.membership.role != Role::Recovering {
+        if state == StallState::Verified {
+            self.machines_to_command.extend(self.machines.indexes());
             self.retry_held_heartbeats();
         }
     }
 
-    /// Answers held reports that can be answered now.
-    pub(crate) fn retry_held_heartbeats(&mut self) {
-        for (report, _) in self.stall.held.take() {
-            let held = self.stall.held.len();
-            self.on_heartbeat(report.request, report.body, report.relayed_by);
-            // It waits on for as long as it might at first.
-            if let Some(again) = self.stall.held.get_mut(held) {
-                again.until_ms = report.until_ms;
-            }
+    /// More time has passed between two events than ever does while the process runs.
+    pub(crate) fn on_process_stall(&mut self, gap_ms: u64) {
+        let now = self.context.now.steady_ms;
+        tracing::info!(gap_ms, "process stall detected");
+        self.stall.on_resumed(now);
+        self.machines.idle_later(gap_ms, now);
+        self.membership.restart_after_stall(now);
+        if self.membership.role().holds_leadership() {
+            self.set_stall_state(StallState::Unverified);
         }
     }
 
-    /// Ends the doubt once something sent after waking has been answered, or nothing
-    /// has been for longer than an answer takes.
+    /// Since the last stall it is unknown whether this controller still leads.
+    pub(crate) fn leadership_unverified(&self) -> bool {
+        self.stall.is_unverified()
+    }
+
+    /// Ends the doubt once the store has answered what was sent after the stall, or has answered
+    /// nothing for longer than an answer takes.
     pub(crate) fn verify_leadership(&mut self) {
-        let on_process_stall = self.stall.resumed_ms;
-        let cut_off = self.context.now.steady_ms
-            >= on_process_stall + 2 * self.context.config.store_timeout_ms()
-            && !self.membership.store_answered_since(on_process_stall);
-        let leads = matches!(self.membership.role, Role::Leader | Role::Recovering);
+        let resumed_ms = self.stall.resumed_ms;
+        let overdue = self.context.now.steady_ms >= self.stall.answer_due_ms(&self.context);
+        let cut_off = overdue && !self.membership.store_answered_since(resumed_ms);
+        let leads = self.membership.role().holds_leadership();
         if self.leadership_unverified()
-            && (cut_off || !leads || self.membership.epoch_known_since(on_process_stall))
+            && (cut_off || !leads || self.membership.epoch_known_since(resumed_ms))
         {
-            self.set_stall_state(StallState::Awake);
+            self.set_stall_state(StallState::Verified);
         }
     }
 }
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -48,7 +48,7 @@
         put("jobs_waiting_for_jobs", waits.count() as f64);
         put("chain_links", self.dependency_graph.edges() as f64);
         put("chain_unknown", self.dependency_graph.unknown() as f64);
-        put("pauses_noticed", self.stall.noticed as f64);
+        put("pauses_noticed", self.stall.count() as f64);
         let (mut waiting, mut on, mut failing_everywhere) = (0, 0, 0);
         for (_, j) in self.jobs.iter() {
             waiting += j.waiting;
@@ -102,7 +102,7 @@
         put("wait_longest_s", wait_s);
         put("ratio_highest", self.ratios.highest());
         put("writes_left", self.record_writer.writes.room(now, 0.0));
-        put("reads_left", self.membership.reads.room(now, 0.0));
+        put("reads_left", self.membership.store_reads().room(now, 0.0));
         for (purpose, name) in Purpose::ALL {
             put(&format!("writes.{name}"), self.record_writer.spent(purpose) as f64);
         }
--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -91,7 +91,7 @@
 
     pub(crate) fn tick_recovery(&mut self) {
         let now = self.context.now.steady_ms;
-        if self.membership.role == Role::Recovering
+        if self.membership.role() == Role::Recovering
             && self.recovery.retry_ms.is_some_and(|r| now >= r)
         {
             self.recovery.retry_ms = None;
@@ -100,7 +100,7 @@
     }
 
     pub(crate) fn on_recovery_list(&mut self, outcome: Outcome) {
-        if self.membership.role != Role::Recovering {
+        if self.membership.role() != Role::Recovering {
             return;
         }
         let sent = self.context.now.steady_ms;
--- a/crates/core/src/storage/feature_state.rs
+++ b/crates/core/src/storage/feature_state.rs
@@ -225,7 +225,7 @@
     fn take_step(&mut self, due: PlannedActivation) {
         let mut guards = vec![
             Guard { path: FORMAT_KEY.into(), revision: self.feature_state.gates.revision() },
-            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision },
+            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision() },
         ];
         guards.extend(due.guards.into_iter().map(|g| match g {
             ActivationGuard::Membership { node, revision } => {
--- a/crates/core/src/storage/job_batches/mod.rs
+++ b/crates/core/src/storage/job_batches/mod.rs
@@ -364,7 +364,7 @@
         let new = page.revision == 0;
         let path = batch_key(number);
         let mut guards = vec![
-            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision },
+            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision() },
             Guard { path: path.clone(), revision: page.revision },
         ];
         if new {
@@ -708,11 +708,11 @@
     fn ask_whether_absent(&mut self, mut look: BatchLookup) {
         look.last = self.job_batches.last;
         let guards = vec![
-            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision },
+            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision() },
             Guard { path: job_key(&look.job), revision: 0 },
         ];
         let body = to_cbor(&Transaction { guards, apply: Vec::new() });
-        self.membership.reads.force(self.context.now.steady_ms, 1.0);
+        self.membership.store_reads().force(self.context.now.steady_ms, 1.0);
         let pending = InFlight::LookAbsent { look, epoch: self.epoch() };
         self.call_store("POST", "/multi".into(), body, pending);
     }
@@ -779,7 +779,7 @@
     }
 
     fn call_for_batches(&mut self, target: String, pending: InFlight) {
-        self.membership.reads.force(self.context.now.steady_ms, 1.0);
+        self.membership.store_reads().force(self.context.now.steady_ms, 1.0);
         let timeout = 3 * self.context.config.store_timeout_ms();
         self.call(crate::Peer::State, "GET", target, Vec::new(), timeout, pending);
     }
@@ -867,7 +867,7 @@
 
     fn look_again(&mut self, look: BatchLookup) {
         let target = format!("/keys/{}", job_key(&look.job));
-        self.membership.reads.force(self.context.now.steady_ms, 1.0);
+        self.membership.store_reads().force(self.context.now.steady_ms, 1.0);
         self.call_store("GET", target, Vec::new(), InFlight::LookLast(look));
     }
 
--- a/crates/core/src/storage/record_writer.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -266,7 +266,8 @@
             return self.update_write_supply(left);
         }
         let mut txn = Transaction::default();
-        txn.guards.push(Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision });
+        txn.guards
+            .push(Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision() });
         let mut items = Vec::new();
         let mut bytes = 0;
         // Ends and deals that wait for one another's changes get half of them each.
@@ -951,7 +952,7 @@
         due.sort_unstable();
         for (_, ix) in due {
             let Some(job) = self.jobs.get(ix).map(|j| j.id.clone()) else { continue };
-            if !self.membership.reads.take(now, 1.0, 0.5) {
+            if !self.membership.store_reads().take(now, 1.0, 0.5) {
                 return;
             }
             if let Some(j) = self.jobs.get_mut(ix) {
@@ -977,7 +978,7 @@
     pub(crate) fn fence_aborted_tasks(&mut self) {
         let now = self.context.now.steady_ms;
         // A keeper stops what is cancelled among the machines that we don't hear.
-        if !self.membership.keepers.is_empty() {
+        if self.membership.has_proxy_claims() {
             return;
         }
         let patience = self.context.config.lease_bound_ms() / 2;
