--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -36,10 +36,7 @@
 #[derive(Debug)]
 pub(crate) enum InFlight {
     MemberKey,
-    KeepClaim { epoch: u64, lease_id: u64 },
-    KeepRead { job: String, sent_ms: u64 },
-    MailboxRecord { ids: Vec<u64> },
-    HandedOn { sibling: usize, id: u64 },
+    ProxiedJobRead { job: String, sent_ms: u64 },
     OrdersRelayed { request: RequestId },
     ReadAgain { job: String, epoch: u64 },
     InboxRead { job: String, epoch: u64 },
@@ -275,6 +272,8 @@
                     self.on_outcome(pending, outcome);
                 } else if let Some(call) = self.membership.take_call(call) {
                     self.on_membership_outcome(call, outcome);
+                } else if let Some(call) = self.lease_proxy.take_call(call) {
+                    self.on_lease_proxy_outcome(call, outcome);
                 }
             }
         }
@@ -361,12 +360,9 @@
         let current = self.epoch();
         match pending {
             InFlight::MemberKey | InFlight::Told => {}
-            InFlight::KeepClaim { epoch, lease_id } => {
-                self.on_proxy_claim(epoch, lease_id, outcome)
+            InFlight::ProxiedJobRead { job, sent_ms } => {
+                self.on_proxied_job_read(job, sent_ms, outcome)
             }
-            InFlight::KeepRead { job, sent_ms } => self.on_proxy_job_read(job, sent_ms, outcome),
-            InFlight::MailboxRecord { ids } => self.on_mailbox_written(ids, outcome),
-            InFlight::HandedOn { sibling, id } => self.on_orders_forwarded(sibling, id, outcome),
             InFlight::OrdersRelayed { request } => self.on_orders_relayed(request, outcome),
             InFlight::AcceptAlone { request, id, cancelled } => {
                 self.on_accept_alone(request, id, cancelled, outcome)
--- /dev/null
+++ b/crates/core/src/lease_proxy/mailbox/sending.rs
@@ -0,0 +1,174 @@
+//! Mailing: what goes into the outboxes, and the writes of mailbox records.
+
+use quartzgate_wire::msg::{Change, Guard, Heartbeat, OrdersRequest, Transaction};
+use quartzgate_wire::to_cbor;
+
+use super::outbox::OutboxBatch;
+use super::records::MailboxRecord;
+use super::{Mailbox, MailedOrders};
+use crate::controller::Controller;
+use crate::ids::{MachineIndex, TaskKey};
+use crate::lease_proxy::LeaseProxyCall;
+use crate::storage::records::{encode, mailbox_key, EPOCH_KEY};
+use crate::Outcome;
+
+/// Part of the largest value that a mailbox record may fill.
+const RECORD_FILL: f64 = 0.9;
+/// Pauses between two writes, in write batches: a little gathers for each record.
+const BATCHES_PER_WRITE: u64 = 3;
+
+/// Under what a mailbox record is written.
+struct WriteConditions {
+    lease_id: u64,
+    epoch: u64,
+    epoch_revision: u64,
+}
+
+impl Mailbox {
+    /// Takes out what fits into the next record for a peer.
+    fn take_batch(&mut self, peer: usize, room: usize, now_ms: u64) -> Option<OutboxBatch> {
+        let batch = self.outboxes.get_mut(&peer)?.take_batch(room);
+        for heartbeat in &batch.heartbeats {
+            self.note_mailed_heartbeat(heartbeat, now_ms);
+        }
+        if self.outboxes.get(&peer).is_some_and(|outbox| outbox.is_empty()) {
+            self.outboxes.remove(&peer);
+        }
+        Some(batch)
+    }
+
+    fn on_write_sent(&mut self, due_ms: u64) {
+        self.write_in_flight = true;
+        self.due_ms = due_ms;
+    }
+}
+
+impl Controller {
+    /// How long the mailbox may take to bring orders and their reply.
+    pub(super) fn mailbox_timeout_ms(&self) -> u64 {
+        self.context.config.max_heartbeat_hold_ms()
+    }
+
+    /// The lease proxy through which a machine can be commanded, if it can't be reached directly.
+    pub(crate) fn mailbox_route(&self, machine: MachineIndex) -> Option<usize> {
+        let machine = self.machines.get(machine)?;
+        let peer = machine.via.filter(|_| machine.cut)?;
+        let node = &self.context.config.platform.siblings[peer].node;
+        self.membership.has_proxy_claim(node).then_some(peer)
+    }
+
+    /// Mails orders for a machine to its lease proxy.
+    pub(crate) fn mail_orders(
+        &mut self,
+        peer: usize,
+        machine: MachineIndex,
+        addr: String,
+        orders: OrdersRequest,
+        starts: Vec<(TaskKey, u64)>,
+    ) {
+        let deadline_ms = self.context.now.steady_ms + self.mailbox_timeout_ms();
+        let id = self.mailbox.next_order_id(self.epoch());
+        let fencing_token = orders.fencing_token;
+        let mailed = MailedOrders { machine, fencing_token, starts, deadline_ms };
+        self.mailbox.add_orders(peer, id, addr, orders, mailed);
+    }
+
+    /// Mails what is new in the heartbeat of a proxied worker to the leader.
+    pub(crate) fn mail_heartbeat(&mut self, heartbeat: &Heartbeat) {
+        let Some(leader) = self.leader_index() else { return };
+        self.mailbox.add_heartbeat(leader, heartbeat, &self.context);
+    }
+
+    /// Empties the mailbox: what is in it belongs to another epoch.
+    pub(crate) fn clear_mailbox(&mut self) {
+        self.mailbox.clear();
+    }
+
+    /// Gives up on orders without a reply, and writes the next record when that is due.
+    pub(crate) fn tick_mailbox(&mut self) {
+        let now = self.context.now.steady_ms;
+        for id in self.mailbox.overdue_orders(now) {
+            self.finish_mailed_orders(id, Outcome::Lost);
+        }
+        if self.mailbox.write_in_flight || now < self.mailbox.due_ms || !self.store_reachable() {
+            return;
+        }
+        let Some(peer) = self.mailbox.next_peer() else { return };
+        let Some(conditions) = self.mailbox_write_conditions() else { return };
+        if self.record_writer.writes.take(now, 1.0, 0.0) {
+            self.write_mailbox(peer, conditions);
+        }
+    }
+
+    fn mailbox_write_conditions(&self) -> Option<WriteConditions> {
+        Some(WriteConditions {
+            lease_id: self.controller_lease_id()?,
+            epoch: self.observed_epoch()?,
+            epoch_revision: self.observed_epoch_revision()?,
+        })
+    }
+
+    fn write_mailbox(&mut self, peer: usize, conditions: WriteConditions) {
+        let now = self.context.now;
+        let room = (self.value_most() as f64 * RECORD_FILL) as usize;
+        self.drop_oversize(peer, room);
+        let Some(batch) = self.mailbox.take_batch(peer, room, now.steady_ms) else { return };
+        let order_ids = batch.orders.iter().map(|envelope| envelope.id).collect();
+        let record = MailboxRecord {
+            epoch: conditions.epoch,
+            written_at_ms: now.wall_ms,
+            orders: batch.orders,
+            replies: batch.replies,
+            heartbeats: batch.heartbeats,
+        };
+        let platform = &self.context.config.platform;
+        let key = mailbox_key(&platform.siblings[peer].node, &platform.node);
+        let lease_id = Some(conditions.lease_id);
+        let body = to_cbor(&Transaction {
+            guards: vec![Guard { path: EPOCH_KEY.into(), revision: conditions.epoch_revision }],
+            apply: vec![Change::Set { set: key, value: encode(&record), lease_id }],
+        });
+        let pause_ms = BATCHES_PER_WRITE * self.context.config.write_batch_ms();
+        self.mailbox.on_write_sent(now.steady_ms + pause_ms);
+        let call = LeaseProxyCall::WriteMailbox { order_ids };
+        self.lease_proxy.write_store(&mut self.context, body, call);
+    }
+
+    /// Drops what no record can hold; orders among it count as not sent.
+    fn drop_oversize(&mut self, peer: usize, room: usize) {
+        let Some(outbox) = self.mailbox.outboxes.get_mut(&peer) else { return };
+        for id in outbox.drop_oversize(room) {
+            tracing::info!(id, "orders too large for a mailbox record: not sent");
+            self.finish_mailed_orders(id, Outcome::NotSent);
+        }
+    }
+
+    /// Takes in how the write of a record ended.
+    pub(in crate::lease_proxy) fn on_mailbox_written(
+        &mut self,
+        order_ids: Vec<u64>,
+        outcome: Outcome,
+    ) {
+        self.mailbox.write_in_flight = false;
+        let Outcome::Answer(response) = outcome else {
+            // Indeterminate: replies or the timeout will show what became of the orders.
+            return self.mailbox.forget_mailed_heartbeats();
+        };
+        if response.status == 200 {
+            return self.note_store_answer();
+        }
+        // Refused, so that nobody has read it.
+        self.mailbox.forget_mailed_heartbeats();
+        for id in order_ids {
+            self.finish_mailed_orders(id, Outcome::NotSent);
+        }
+    }
+
+    /// Mailed orders have ended: the machine's state follows.
+    pub(super) fn finish_mailed_orders(&mut self, id: u64, outcome: Outcome) {
+        if let Some(mailed) = self.mailbox.finish_orders(id) {
+            let MailedOrders { machine, fencing_token, starts, .. } = mailed;
+            self.on_orders_outcome(machine, fencing_token, starts, outcome);
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/lease_proxy/proxied_workers.rs
@@ -0,0 +1,39 @@
+//! Workers whose heartbeats come to this controller although it does not lead, and detection of
+//! duplicates among these.
+
+use std::collections::BTreeMap;
+
+use quartzgate_reachability::{DuplicateDetector, Freshness, MessageNumber};
+use quartzgate_wire::msg::Heartbeat;
+
+use crate::capacity::forget_oldest;
+use crate::context::Context;
+
+/// The newest messages of one worker, and when the last one came.
+#[derive(Clone, Copy, Debug, Default)]
+struct WorkerMessages {
+    duplicates: DuplicateDetector,
+    last_heard_ms: u64,
+}
+
+/// Bounded: workers that were heard longest ago are forgotten.
+#[derive(Debug, Default)]
+pub(super) struct ProxiedWorkers {
+    messages: BTreeMap<String, WorkerMessages>,
+}
+
+impl ProxiedWorkers {
+    /// Takes in that a heartbeat has come, and whether it has come before.
+    pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, context: &Context) -> Freshness {
+        if !self.messages.contains_key(&heartbeat.machine) {
+            let max_workers = context.config.max_proxied_workers();
+            forget_oldest(&mut self.messages, max_workers, |messages| messages.last_heard_ms);
+        }
+        let messages = self.messages.entry(heartbeat.machine.clone()).or_default();
+        messages.last_heard_ms = context.now.steady_ms;
+        messages.duplicates.record_heartbeat(MessageNumber {
+            agent_epoch: heartbeat.agent_epoch,
+            sequence: heartbeat.seq,
+        })
+    }
+}
