--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -34,20 +34,10 @@
 /// What a call of ours was for.
 #[derive(Debug)]
 pub(crate) enum InFlight {
-    LeaseNew { sent_ms: u64 },
-    LeaseRenew { sent_ms: u64 },
     MemberKey,
-    KeepClaim { epoch: u64, lease_id: u64 },
-    KeepRead { job: String, sent_ms: u64 },
-    MailboxRecord { ids: Vec<u64> },
-    HandedOn { sibling: usize, id: u64 },
+    ProxiedJobRead { job: String, sent_ms: u64 },
     OrdersRelayed { request: RequestId },
-    ControlRead { sent_ms: u64 },
-    ControlWatch { sent_ms: u64 },
-    Elect { epoch: u64 },
-    InboxWatch { sent_ms: u64, epoch: u64 },
     InboxRead { job: String, epoch: u64 },
-    InboxList { rev: Option<u64>, epoch: u64 },
     Orders { machine: MachineIndex, fencing_token: u64, starts: Vec<(TaskKey, u64)> },
     Accept { request: RequestId, job: JobIndex, placed: RecordLocation, epoch: u64 },
     AcceptAlone { request: RequestId, id: String, cancelled: bool },
@@ -68,7 +58,6 @@
     PageRead { number: u64, epoch: u64 },
     Compare { compared: ValidatedRead, epoch: u64 },
     Forward { request: RequestId, sibling: usize, work: Box<UserRequest> },
-    Beat { sibling: usize },
     Told,
     Relay { request: RequestId, report: Box<Heartbeat> },
     Types,
@@ -198,7 +187,7 @@
         let search_budget = SearchBudget::new(cfg.platform.params.limits.cpu_share);
         let terminal_jobs = TerminalJobs::new(cfg.max_terminal_jobs());
         let lease_proxy = LeaseProxy::new(&cfg);
-        let stall = ProcessStall::new(&cfg);
+        let stall = ProcessStall::default();
         Controller {
             context: Context::new(cfg, rng),
             calls: CallTable::default(),
@@ -273,6 +262,10 @@
                     self.on_storage_outcome(call, outcome);
                 } else if let Some(call) = self.recovery_calls.take(call) {
                     self.on_recovery_outcome(call, outcome);
+                } else if let Some(call) = self.membership.take_call(call) {
+                    self.on_membership_outcome(call, outcome);
+                } else if let Some(call) = self.lease_proxy.take_call(call) {
+                    self.on_lease_proxy_outcome(call, outcome);
                 }
             }
         }
@@ -358,19 +351,11 @@
     pub(crate) fn on_outcome(&mut self, pending: InFlight, outcome: Outcome) {
         let current = self.epoch();
         match pending {
-            InFlight::LeaseNew { sent_ms } => self.on_lease_new(sent_ms, outcome),
-            InFlight::LeaseRenew { sent_ms } => self.on_lease_renew(sent_ms, outcome),
             InFlight::MemberKey | InFlight::Told => {}
-            InFlight::KeepClaim { epoch, lease_id } => {
-                self.on_proxy_claim(epoch, lease_id, outcome)
+            InFlight::ProxiedJobRead { job, sent_ms } => {
+                self.on_proxied_job_read(job, sent_ms, outcome)
             }
-            InFlight::KeepRead { job, sent_ms } => self.on_proxy_job_read(job, sent_ms, outcome),
-            InFlight::MailboxRecord { ids } => self.on_mailbox_written(ids, outcome),
-            InFlight::HandedOn { sibling, id } => self.on_orders_forwarded(sibling, id, outcome),
             InFlight::OrdersRelayed { request } => self.on_orders_relayed(request, outcome),
-            InFlight::ControlRead { sent_ms } => self.on_control_read(sent_ms, outcome),
-            InFlight::ControlWatch { sent_ms } => self.on_control_watch(sent_ms, outcome),
-            InFlight::Elect { epoch } => self.on_elect(epoch, outcome),
             InFlight::AcceptAlone { request, id, cancelled } => {
                 self.on_accept_alone(request, id, cancelled, outcome)
             }
@@ -394,7 +379,6 @@
                 self.on_forwarded(request, sibling, *work, outcome)
             }
             InFlight::Relay { request, report } => self.on_relayed(request, *report, outcome),
-            InFlight::Beat { sibling } => self.on_peer_heartbeat(sibling, outcome),
             InFlight::Types => self.on_types(outcome),
             InFlight::Accept { request, job, placed, epoch } => {
                 if epoch == current {
@@ -411,21 +395,17 @@
                 }
             }
             // What follows concerns a memory that is gone if the epoch has changed.
-            InFlight::InboxWatch { epoch, .. }
-            | InFlight::PageWrite { epoch, .. }
+            InFlight::PageWrite { epoch, .. }
             | InFlight::PageRead { epoch, .. }
             | InFlight::InboxRead { epoch, .. }
-            | InFlight::InboxList { epoch, .. }
             | InFlight::ChainRead { epoch, .. }
             | InFlight::Hire { epoch, .. }
             | InFlight::Return { epoch, .. }
                 if epoch != current => {}
-            InFlight::InboxWatch { sent_ms, .. } => self.on_handoff_watch(sent_ms, outcome),
             InFlight::ChainRead { job, .. } => self.on_dependency_read(job, outcome),
             InFlight::PageWrite { number, .. } => self.on_batch_written(number, outcome),
             InFlight::PageRead { number, .. } => self.on_batch_read(number, outcome),
             InFlight::InboxRead { job, .. } => self.on_handoff_job_read(job, outcome),
-            InFlight::InboxList { rev, .. } => self.on_handoff_list(rev, outcome),
             InFlight::Orders { machine, fencing_token, starts } => {
                 if crate::ids::epoch_of(fencing_token) == current {
                     self.on_orders_outcome(machine, fencing_token, starts, outcome)
@@ -472,7 +452,7 @@
 
     /// Another controller has taken over: everything that the leader kept goes.
     pub(crate) fn step_down(&mut self) {
-        if !matches!(self.membership.role, Role::Follower) {
+        if !matches!(self.membership.role(), Role::Follower) {
             tracing::info!(epoch = self.epoch(), "no longer leading");
         }
         self.set_role(Role::Follower);
@@ -523,14 +503,14 @@
     /// Whether a read for a user may be made now.
     pub(crate) fn may_read_for_request(&mut self) -> bool {
         let now = self.context.now.steady_ms;
-        self.membership.reads.take(now, 1.0, 0.1)
+        self.membership.store_reads().take(now, 1.0, 0.1)
     }
 
     /// The same for a question, which can be asked again: it leaves some for what is submitted
     /// or cancelled.
     pub(crate) fn may_read_for_status(&mut self) -> bool {
         let now = self.context.now.steady_ms;
-        self.membership.reads.take(now, 1.0, 0.3)
+        self.membership.store_reads().take(now, 1.0, 0.3)
     }
 
     /// The state service asked for a pause.
@@ -539,7 +519,7 @@
         let pause = self.context.rng.random_range(100..300);
         let now = self.context.now.steady_ms;
         if status == 429 {
-            self.membership.reads.close(now, pause);
+            self.membership.store_reads().close(now, pause);
         }
         self.record_writer.writes.close(now, pause);
     }
@@ -550,11 +530,11 @@
     pub(crate) fn fit_rate_limits(&mut self) {
         let limits = self.limits().clone();
         let controllers = self.context.config.platform.siblings.len() + 1;
-        let reads = match self.membership.role {
+        let reads = match self.membership.role() {
             Role::Recovering | Role::Leader => leader_share(limits.rps),
             _ => follower_share(limits.rps, controllers),
         };
-        self.membership.reads.set_rate(reads);
+        self.membership.store_reads().set_rate(reads);
         self.record_writer.writes.set_rate(RecordWriter::write_rate(&limits));
         self.admission.set_rate(RecordWriter::write_rate(&limits));
     }
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -78,7 +78,7 @@
         metrics.set_flag("leads", self.leads());
         metrics.set("load", self.load as u8);
         metrics.set_flag("in_doubt", self.leadership_unverified());
-        metrics.set_count("pauses_noticed", self.stall.noticed);
+        metrics.set_count("pauses_noticed", self.stall.count());
     }
 
     fn feature_metrics(&self, metrics: &mut Metrics) {
@@ -177,7 +177,7 @@
     fn storage_metrics(&mut self, metrics: &mut Metrics) {
         let now_ms = self.context.now.steady_ms;
         metrics.set("writes_left", self.record_writer.writes.room(now_ms, 0.0));
-        metrics.set("reads_left", self.membership.reads.room(now_ms, 0.0));
+        metrics.set("reads_left", self.membership.store_reads().room(now_ms, 0.0));
         for (purpose, name) in Purpose::ALL {
             metrics.set_count(format!("writes.{name}"), self.record_writer.spent(purpose));
         }
--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -133,7 +133,7 @@
     pub(crate) fn tick_recovery(&mut self) {
         let now = self.context.now.steady_ms;
         let retry_due = self.recovery.retry_ms.is_some_and(|retry_ms| now >= retry_ms);
-        if self.membership.role == Role::Recovering && retry_due {
+        if self.membership.role() == Role::Recovering && retry_due {
             self.recovery.retry_ms = None;
             self.request_recovery_list();
         }
@@ -141,7 +141,7 @@
 
     /// A list of records has been read: loads them, and requests the next list.
     fn on_recovery_list(&mut self, outcome: Outcome) {
-        if self.membership.role != Role::Recovering {
+        if self.membership.role() != Role::Recovering {
             return;
         }
         let list = match outcome {
--- a/crates/core/src/storage/feature_state.rs
+++ b/crates/core/src/storage/feature_state.rs
@@ -268,7 +268,7 @@
     fn activate(&mut self, planned: PlannedActivation) {
         let mut guards = vec![
             Guard { path: FORMAT_KEY.into(), revision: self.feature_state.gates.revision() },
-            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision },
+            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision() },
         ];
         guards.extend(planned.guards.into_iter().map(|guard| match guard {
             ActivationGuard::Membership { node, revision } => {
--- a/crates/core/src/storage/live_record_reads.rs
+++ b/crates/core/src/storage/live_record_reads.rs
@@ -22,7 +22,7 @@
         let now = self.context.now.steady_ms;
         for ix in self.live_jobs_due_for_read() {
             let Some(job) = self.jobs.get(ix).map(|job| job.id.clone()) else { continue };
-            if !self.membership.reads.take(now, 1.0, READ_RESERVE) {
+            if !self.membership.store_reads().take(now, 1.0, READ_RESERVE) {
                 return;
             }
             if let Some(job) = self.jobs.get_mut(ix) {
--- a/crates/core/src/storage/record_writer.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -259,7 +259,7 @@
     pub(crate) fn fence_aborted_tasks(&mut self) {
         let now = self.context.now.steady_ms;
         // A keeper stops what is cancelled among the machines that we don't hear.
-        if !self.membership.keepers.is_empty() {
+        if self.membership.has_proxy_claims() {
             return;
         }
         let patience = self.context.config.lease_bound_ms() / 2;
--- a/crates/core/src/storage/record_writer/flush.rs
+++ b/crates/core/src/storage/record_writer/flush.rs
@@ -73,7 +73,7 @@
             let left = self.record_writer.completions_left || self.any_placement_waits();
             return self.update_write_supply(left);
         }
-        let mut draft = Draft::new(self.membership.epoch_revision);
+        let mut draft = Draft::new(self.membership.epoch_revision());
         self.gather_records(limits, &mut draft);
         self.gather_best_effort_terminal_states(limits, &mut draft);
         self.gather_deletions(limits, &mut draft);
