--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -4,7 +4,7 @@
 
 use quartzgate_feature_gates::ActivationRecord;
 use quartzgate_wire::http::Response;
-use quartzgate_wire::msg::{Heartbeat, JobSpec, MachineType};
+use quartzgate_wire::msg::{JobSpec, MachineType};
 use rand::rngs::SmallRng;
 
 use crate::api::admission::AdmissionControl;
@@ -13,7 +13,8 @@
 use crate::context::{CallTable, Context};
 use crate::fleet::machines::{Machines, Resources};
 use crate::fleet::provisioning::Provisioner;
-use crate::ids::{JobIndex, MachineIndex, TaskKey};
+use crate::fleet::{FleetCall, OutOfZoneWorkers};
+use crate::ids::{JobIndex, MachineIndex};
 use crate::jobs::dependencies::DependencyGraph;
 use crate::jobs::Jobs;
 use crate::latency::LatencySpan;
@@ -42,7 +43,6 @@
     KeepRead { job: String, sent_ms: u64 },
     MailboxRecord { ids: Vec<u64> },
     HandedOn { sibling: usize, id: u64 },
-    OrdersRelayed { request: RequestId },
     ReadAgain { job: String, epoch: u64 },
     ControlRead { sent_ms: u64 },
     ControlWatch { sent_ms: u64 },
@@ -51,7 +51,6 @@
     InboxRead { job: String, epoch: u64 },
     InboxList { rev: Option<u64>, epoch: u64 },
     Recovery { epoch: u64 },
-    Orders { machine: MachineIndex, fencing_token: u64, starts: Vec<(TaskKey, u64)> },
     Inspect { machine: MachineIndex, epoch: u64 },
     Flush { items: Vec<FlushItem>, sent_ms: u64, epoch: u64 },
     Restamp { item: FlushItem, epoch: u64 },
@@ -79,12 +78,8 @@
     Forward { request: RequestId, sibling: usize, work: Box<UserRequest> },
     Beat { sibling: usize },
     Told,
-    Relay { request: RequestId, report: Box<Heartbeat> },
     Adopt { job: JobIndex, epoch: u64 },
     Types,
-    List { since: Option<String> },
-    Hire { kind: String, zone: u16, spot: bool, wanted: u32, name: String, epoch: u64 },
-    Return { machines: Vec<MachineIndex>, epoch: u64 },
 }
 
 /// A user's request, parsed.
@@ -142,6 +137,7 @@
 pub struct Controller {
     pub(crate) context: Context,
     calls: CallTable<InFlight>,
+    pub(crate) fleet_calls: CallTable<FleetCall>,
     pub(crate) membership: Membership,
     pub(crate) terminal_jobs: TerminalJobs,
     pub(crate) dependency_graph: DependencyGraph,
@@ -151,9 +147,7 @@
     pub(crate) job_batches: JobBatches,
     pub(crate) batch_reads_to_retry: Vec<u64>,
     pub(crate) mailbox: Mailbox,
-    /// Workers of other zones: since when they report here, and when they were last sent
-    /// to the leader.
-    pub(crate) out_of_zone_workers: BTreeMap<String, (u64, u64)>,
+    pub(crate) out_of_zone_workers: OutOfZoneWorkers,
     pub(crate) stall: ProcessStall,
     pub(crate) types: Vec<MachineType>,
     pub(crate) types_at_ms: Option<u64>,
@@ -214,6 +208,7 @@
         Controller {
             context: Context::new(cfg, rng),
             calls: CallTable::default(),
+            fleet_calls: CallTable::default(),
             membership,
             terminal_jobs,
             dependency_graph: DependencyGraph::default(),
@@ -223,7 +218,7 @@
             job_batches: JobBatches::default(),
             batch_reads_to_retry: Vec::new(),
             mailbox: Mailbox::default(),
-            out_of_zone_workers: BTreeMap::new(),
+            out_of_zone_workers: OutOfZoneWorkers::default(),
             stall,
             types: Vec::new(),
             types_at_ms: None,
@@ -281,6 +276,8 @@
             Event::Outcome { call, outcome } => {
                 if let Some(pending) = self.calls.take(call) {
                     self.on_outcome(pending, outcome);
+                } else if let Some(purpose) = self.fleet_calls.take(call) {
+                    self.on_fleet_outcome(purpose, outcome);
                 }
             }
         }
@@ -375,7 +372,6 @@
             InFlight::KeepRead { job, sent_ms } => self.on_proxy_job_read(job, sent_ms, outcome),
             InFlight::MailboxRecord { ids } => self.on_mailbox_written(ids, outcome),
             InFlight::HandedOn { sibling, id } => self.on_orders_forwarded(sibling, id, outcome),
-            InFlight::OrdersRelayed { request } => self.on_orders_relayed(request, outcome),
             InFlight::ControlRead { sent_ms } => self.on_control_read(sent_ms, outcome),
             InFlight::ControlWatch { sent_ms } => self.on_control_watch(sent_ms, outcome),
             InFlight::Elect { epoch } => self.on_elect(epoch, outcome),
@@ -406,7 +402,6 @@
             InFlight::Forward { request, sibling, work } => {
                 self.on_forwarded(request, sibling, *work, outcome)
             }
-            InFlight::Relay { request, report } => self.on_relayed(request, *report, outcome),
             InFlight::Beat { sibling } => self.on_peer_heartbeat(sibling, outcome),
             InFlight::Types => self.on_types(outcome),
             InFlight::Accept { request, job, placed, epoch } => {
@@ -436,8 +431,6 @@
             | InFlight::Flush { epoch, .. }
             | InFlight::Restamp { epoch, .. }
             | InFlight::Adopt { epoch, .. }
-            | InFlight::Hire { epoch, .. }
-            | InFlight::Return { epoch, .. }
                 if epoch != current => {}
             InFlight::Recovery { .. } => self.on_recovery_list(outcome),
             InFlight::InboxWatch { sent_ms, .. } => self.on_handoff_watch(sent_ms, outcome),
@@ -447,11 +440,6 @@
             InFlight::PageRead { number, .. } => self.on_batch_read(number, outcome),
             InFlight::InboxRead { job, .. } => self.on_handoff_job_read(job, outcome),
             InFlight::InboxList { rev, .. } => self.on_handoff_list(rev, outcome),
-            InFlight::Orders { machine, fencing_token, starts } => {
-                if crate::ids::epoch_of(fencing_token) == current {
-                    self.on_orders_outcome(machine, fencing_token, starts, outcome)
-                }
-            }
             InFlight::Inspect { machine, .. } => self.on_inspect(machine, outcome),
             InFlight::Flush { items, sent_ms, .. } => {
                 self.context
@@ -461,11 +449,6 @@
             }
             InFlight::Restamp { item, .. } => self.on_record_reread(item, outcome),
             InFlight::Adopt { job, .. } => self.on_adopt(job, outcome),
-            InFlight::List { since } => self.on_list(since, outcome),
-            InFlight::Hire { kind, zone, spot, wanted, name, .. } => {
-                self.on_provisioned(kind, zone, spot, wanted, name, outcome)
-            }
-            InFlight::Return { machines, .. } => self.on_released(machines, outcome),
         }
     }
 
--- /dev/null
+++ b/crates/core/src/fleet/commands.rs
@@ -0,0 +1,281 @@
+//! Commands to workers: when they are sent, by which route, and what their outcomes mean.
+//!
+//! One call to a machine is under way at a time. Each carries the machine's fencing token, and
+//! an agent refuses any other. Invariant: after a call whose outcome is unknown the token rises
+//! before anything else is sent, so that the call can't take effect later.
+
+use std::net::SocketAddr;
+
+use quartzgate_reachability::CommandRoute;
+use quartzgate_wire::http::Response;
+use quartzgate_wire::msg::{Forward, Heartbeat, Order, OrdersRequest};
+use quartzgate_wire::{from_cbor, to_cbor};
+
+use super::calls::FleetCall;
+use super::heartbeats::is_plausible;
+use super::machine::{Machine, MachineState};
+use crate::controller::Controller;
+use crate::ids::{task_name, MachineIndex, TaskKey};
+use crate::jobs::{JobState, TaskState};
+use crate::lease_proxy::mailbox::Envelope;
+use crate::{Outcome, Peer, RequestId};
+
+/// How commands reach a machine.
+enum Route {
+    /// A call to its address.
+    Direct,
+    /// By the controller, named by its index, that relays the machine's heartbeats.
+    Relay(usize),
+    /// By the key-value store and the lease proxy with this index.
+    Mailbox(usize),
+}
+
+/// A command that is ready to be sent, and the starts it holds (task and attempt number).
+struct Command {
+    addr: SocketAddr,
+    request: OrdersRequest,
+    starts: Vec<(TaskKey, u64)>,
+}
+
+impl Machine {
+    /// Whether no command may be sent, as one is under way or the machine is on its way out.
+    fn refuses_commands(&self) -> bool {
+        self.command_in_flight
+            || matches!(
+                self.state,
+                MachineState::LeaseExpired | MachineState::Terminated | MachineState::Returning
+            )
+    }
+
+    /// Whether a command is due without any order in it: to hand over the fencing token, or to
+    /// try whether commands reach a machine that seems one-way unreachable.
+    fn needs_empty_command(&self) -> bool {
+        self.acknowledged_token < self.fencing_token || self.reachability.is_one_way_unreachable()
+    }
+
+    /// Notes whether the machine was reached directly.
+    fn update_direct_contact(&mut self, answered: bool, now_ms: u64, lease_ms: u64) {
+        // One that is reached by others only is tried directly once a lease.
+        let retry_due = now_ms > self.unreachable_since_ms + lease_ms;
+        let reached_by_others =
+            self.cut && !retry_due && (self.via.is_some() || self.relayed_by.is_some());
+        let unreachable = !answered || reached_by_others;
+        if unreachable && (!self.cut || retry_due) {
+            self.unreachable_since_ms = now_ms;
+        }
+        self.cut = unreachable;
+    }
+}
+
+impl Controller {
+    /// Sends a machine its pending starts and reconciling orders, if a command is due.
+    pub(crate) fn send_orders(&mut self, index: MachineIndex) {
+        if !self.may_command_workers() {
+            return;
+        }
+        let Some(command) = self.prepare_command(index) else { return };
+        if let Some(machine) = self.machines.get_mut(index) {
+            machine.command_in_flight = true;
+        }
+        match self.command_route(index) {
+            Route::Mailbox(proxy) => {
+                let addr = command.addr.to_string();
+                self.mail_orders(proxy, index, addr, command.request, command.starts)
+            }
+            Route::Relay(sibling) => self.send_relayed(index, sibling, command),
+            Route::Direct => self.send_directly(index, command),
+        }
+    }
+
+    /// Takes the pending starts of a machine into a command; none if no command is due.
+    fn prepare_command(&mut self, index: MachineIndex) -> Option<Command> {
+        let mut orders = self.reconciling_orders(index);
+        let now_ms = self.context.now.steady_ms;
+        let machine = self.machines.get_mut(index)?;
+        let addr = machine.addr?;
+        if machine.refuses_commands() {
+            return None;
+        }
+        let starts = std::mem::take(&mut machine.pending_starts);
+        let may_send = machine.reachability.may_send_command(now_ms) || !starts.is_empty();
+        let nothing_due = starts.is_empty() && orders.is_empty() && !machine.needs_empty_command();
+        if nothing_due || !may_send {
+            return None;
+        }
+        let (fencing_token, agent_epoch) = (machine.fencing_token, machine.agent_epoch);
+        for (key, attempt) in &starts {
+            orders.extend(self.start_order(index, *key, *attempt));
+        }
+        let request = OrdersRequest { fencing_token, agent_epoch, orders };
+        Some(Command { addr, request, starts })
+    }
+
+    /// The order for a start that was bound to the machine, unless the task has been aborted or
+    /// moved since.
+    fn start_order(&mut self, index: MachineIndex, key: TaskKey, attempt: u64) -> Option<Order> {
+        let job = self.jobs.get(key.job)?;
+        let state = job.task(key.task).map(|task| task.state);
+        let starting = state == Some(TaskState::Starting { machine: index, attempt });
+        if job.state == JobState::Live && starting {
+            return Some(Order::Start { task: task_name(&job.id, key.task), attempt });
+        }
+        if state.is_some_and(|state| state.machine() == Some((index, attempt))) {
+            self.return_to_queue(key);
+        }
+        None
+    }
+
+    fn send_directly(&mut self, index: MachineIndex, command: Command) {
+        let timeout_ms = self.context.config.worker_timeout_ms();
+        let (peer, body) = (Peer::Worker(command.addr), to_cbor(&command.request));
+        let fencing_token = command.request.fencing_token;
+        let purpose = FleetCall::Command { machine: index, fencing_token, starts: command.starts };
+        self.call_for_fleet(peer, "POST", "/orders".into(), body, timeout_ms, purpose)
+    }
+
+    fn send_relayed(&mut self, index: MachineIndex, sibling: usize, command: Command) {
+        let fencing_token = command.request.fencing_token;
+        let envelope = Envelope { id: 0, addr: command.addr.to_string(), orders: command.request };
+        let mut message = self.mesh_message();
+        let (method, path) = ("POST".to_string(), "/orders".to_string());
+        message.forward = Some(Forward { method, path, body: to_cbor(&envelope) });
+        let timeout_ms =
+            self.context.config.worker_timeout_ms() + self.context.config.mesh_timeout_ms();
+        let purpose = FleetCall::Command { machine: index, fencing_token, starts: command.starts };
+        let (peer, body) = (Peer::Sibling(sibling), to_cbor(&message));
+        self.call_for_fleet(peer, "POST", "/mesh".into(), body, timeout_ms, purpose)
+    }
+
+    /// A machine that can't be reached directly is commanded by the route of its heartbeats.
+    fn command_route(&self, index: MachineIndex) -> Route {
+        let unreachable = self.machines.get(index).filter(|machine| machine.cut);
+        let relay = unreachable
+            .and_then(|machine| machine.relayed_by)
+            .filter(|sibling| self.sibling_alive(*sibling));
+        match (relay, self.mailbox_route(index)) {
+            (Some(sibling), _) => Route::Relay(sibling),
+            (None, Some(proxy)) => Route::Mailbox(proxy),
+            (None, None) => Route::Direct,
+        }
+    }
+
+    /// Relays a command of the leader to a worker that the leader can't reach.
+    pub(crate) fn relay_orders(&mut self, id: RequestId, from: usize, body: &[u8]) {
+        let envelope =
+            from_cbor::<Envelope>(body).ok().filter(|_| self.leader_index() == Some(from));
+        let addr = envelope.as_ref().and_then(|envelope| envelope.addr.parse().ok());
+        let (Some(envelope), Some(addr)) = (envelope, addr) else {
+            return self.answer_error(id, 400, "no orders of the leader's");
+        };
+        let timeout_ms = self.context.config.worker_timeout_ms();
+        let (peer, body) = (Peer::Worker(addr), to_cbor(&envelope.orders));
+        let purpose = FleetCall::RelayCommand { request: id };
+        self.call_for_fleet(peer, "POST", "/orders".into(), body, timeout_ms, purpose);
+    }
+
+    /// The worker's answer to a relayed command, or none, goes back to the leader.
+    pub(super) fn on_orders_relayed(&mut self, id: RequestId, outcome: Outcome) {
+        match outcome {
+            Outcome::Answer(response) => {
+                self.answer(id, Response::new(response.status, response.body))
+            }
+            _ => self.answer_error(id, 504, "no answer from the worker"),
+        }
+    }
+
+    /// A command with this token and these starts has ended, by whichever route it was sent.
+    pub(crate) fn on_orders_outcome(
+        &mut self,
+        index: MachineIndex,
+        fencing_token: u64,
+        starts: Vec<(TaskKey, u64)>,
+        outcome: Outcome,
+    ) {
+        if !self.record_command_outcome(index, &outcome) {
+            return;
+        }
+        match outcome {
+            Outcome::Answer(response) if is_command_answer(&response) => {
+                self.on_command_answer(index, fencing_token, &response)
+            }
+            Outcome::NotSent => self.on_command_not_sent(index, starts),
+            _ => self.fence_unknown_command(index, fencing_token),
+        }
+        self.machines_to_dispatch.insert(index);
+        let starts_wait =
+            self.machines.get(index).is_some_and(|machine| !machine.pending_starts.is_empty());
+        if starts_wait {
+            self.machines_to_command.insert(index);
+        }
+    }
+
+    /// Notes what the outcome says about the machine's reachability; false if it is unknown.
+    fn record_command_outcome(&mut self, index: MachineIndex, outcome: &Outcome) -> bool {
+        let (now_ms, timing) = (self.context.now.steady_ms, self.reachability_timing());
+        let lease_ms = self.context.config.lease_ms();
+        let route = match self.mailbox_route(index) {
+            Some(_) => CommandRoute::Relayed,
+            None => CommandRoute::Direct,
+        };
+        let Some(machine) = self.machines.get_mut(index) else { return false };
+        machine.command_in_flight = false;
+        let was_unreachable = machine.reachability.is_one_way_unreachable();
+        match outcome {
+            // An answer to a call is no duplicate: the machine is alive now.
+            Outcome::Answer(response) if is_command_answer(response) => {
+                machine.last_heard_ms = now_ms;
+                machine.reachability.on_command_answered(now_ms)
+            }
+            Outcome::NotSent => {}
+            _ => machine.reachability.on_command_unanswered(now_ms, route, &timing),
+        }
+        self.on_reachability_changed(index, was_unreachable);
+        let Some(machine) = self.machines.get_mut(index) else { return false };
+        let answered = matches!(outcome, Outcome::Answer(_));
+        machine.update_direct_contact(answered, now_ms, lease_ms);
+        true
+    }
+
+    /// The agent has answered, with its status; an answer that can't be read tells nothing.
+    fn on_command_answer(&mut self, index: MachineIndex, fencing_token: u64, response: &Response) {
+        let Some(machine) = self.machines.get(index) else { return };
+        match from_cbor::<Heartbeat>(&response.body) {
+            Ok(heartbeat) if is_plausible(&heartbeat) && heartbeat.machine == machine.name => {
+                self.observe_heartbeat(index, heartbeat)
+            }
+            _ => self.fence_unknown_command(index, fencing_token),
+        }
+    }
+
+    /// Nothing reached the machine: its starts go back to the queue, and no other is sent for
+    /// one interval.
+    fn on_command_not_sent(&mut self, index: MachineIndex, starts: Vec<(TaskKey, u64)>) {
+        for (key, attempt) in starts {
+            let starting = TaskState::Starting { machine: index, attempt };
+            if self.jobs.task(key).is_some_and(|task| task.state == starting) {
+                self.return_to_queue(key);
+            }
+        }
+        let interval_ms = self.context.config.heartbeat_interval_ms();
+        if let Some(machine) = self.machines.get_mut(index) {
+            machine.no_starts_until_ms = self.context.now.steady_ms + interval_ms;
+        }
+    }
+
+    /// The outcome of a command with this token is unknown: with a higher one it can't take
+    /// effect any more. Nothing is started for one interval, by when the machine has reported.
+    fn fence_unknown_command(&mut self, index: MachineIndex, fencing_token: u64) {
+        let epoch = self.epoch();
+        let interval_ms = self.context.config.heartbeat_interval_ms();
+        let Some(machine) = self.machines.get_mut(index) else { return };
+        if machine.fencing_token == fencing_token {
+            machine.advance_fencing_token(epoch);
+        }
+        machine.no_starts_until_ms = self.context.now.steady_ms + interval_ms;
+    }
+}
+
+/// 200 and 409 carry the agent's status: 409 refuses a fencing token or an agent epoch.
+fn is_command_answer(response: &Response) -> bool {
+    matches!(response.status, 200 | 409)
+}
--- a/crates/core/src/fleet/fault_attribution.rs
+++ b/crates/core/src/fleet/fault_attribution.rs
@@ -1,9 +1,12 @@
-//! Whom a failure blames: the machine, or the job.
+//! Fault attribution: whether a failed task counts against its machine or against its job.
 //!
-//! A faulty machine fails what runs elsewhere; a job that was submitted with a mistake
-//! fails wherever it is tried. A job that has failed on several machines and succeeded
-//! on none is taken for mistaken: its failures blame no machine, and it is tried one
-//! task at a time, after ever longer pauses, until it succeeds or its user cancels it.
+//! A faulty machine fails tasks that run well elsewhere; a faulty job fails wherever it is tried.
+//! A job that has failed on several machines and succeeded on none counts as failing everywhere:
+//! its failures count against no machine, and it is tried one task at a time, after ever longer
+//! pauses, until it succeeds or is aborted. A machine on which different jobs fail is
+//! quarantined.
+//!
+//! This module alone changes `Job::health` and `Machine::quarantined`.
 
 use crate::controller::Controller;
 use crate::ids::{JobIndex, MachineIndex, TaskKey};
@@ -12,7 +15,7 @@
 /// What is known of whether a job can run at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobHealth {
-    /// Nothing of it has run well yet.
+    /// No task of it has run well yet.
     Untried,
     /// It has run well somewhere.
     Proven,
@@ -20,27 +23,33 @@
     FailingEverywhere,
 }
 
-/// Machines on which a job must fail, without success on any, to be taken for mistaken.
-const MISTAKEN_ON: usize = 3;
-/// Jobs that must fail on a machine for it to be taken for faulty. Those of which nothing
-/// is known yet count as well. They may turn out to be mistaken, and so the machine takes
-/// no more work at once, but is emptied only after two report rounds.
-const FAULTY: usize = 2;
-/// A pause between trials is at most this power of two of report rounds.
-const PAUSE_MOST: u32 = 5;
+/// Machines on which a job must fail, without success on any, to count as failing everywhere.
+const MACHINES_TO_BLAME_JOB: usize = 3;
+/// Jobs that must fail on a machine for its quarantine. Jobs of unknown health count as well.
+/// They may turn out to be faulty themselves, so the machine gets no more work at once, but is
+/// drained only after [`EVICT_AFTER_INTERVALS`].
+const JOBS_TO_BLAME_MACHINE: usize = 2;
+/// Heartbeat intervals from a machine's quarantine until it is drained.
+const EVICT_AFTER_INTERVALS: u64 = 2;
+/// The pause between trials of a job is at most two to this power, in heartbeat intervals.
+const MAX_TRIAL_PAUSE_EXPONENT: u32 = 5;
+/// The back-off of a failed task is at most two to this power, in quarter heartbeat intervals.
+const MAX_BACK_OFF_EXPONENT: u32 = 6;
 
 impl Job {
+    /// Whether the job fails wherever it is tried.
     pub fn failing_everywhere(&self) -> bool {
         self.health == JobHealth::FailingEverywhere
     }
 
-    /// Its turn to be tried, if it is taken for mistaken.
+    /// Whether a task may be started now: a job that fails everywhere is tried one task at a
+    /// time, after a pause.
     pub fn may_try(&self, now_ms: u64) -> bool {
         !self.failing_everywhere() || self.bound == 0 && now_ms >= self.trial_ms
     }
 
-    /// How many of these tasks ask for room: of a mistaken job's one, when nothing of
-    /// it is being tried.
+    /// For how many of these tasks resources are wanted: for one if the job fails everywhere,
+    /// and for none while that one is being tried.
     pub fn asking(&self, tasks: u32) -> u32 {
         match self.failing_everywhere() {
             true => tasks.min(u32::from(self.bound == 0)),
@@ -50,112 +59,116 @@
 }
 
 impl Controller {
-    /// The one function that changes what is thought of a job.
-    pub(crate) fn set_job_health(&mut self, ix: JobIndex, health: JobHealth) {
-        let now = self.context.now.steady_ms;
-        let first = now + self.context.config.heartbeat_interval_ms();
-        let Some(job) = self.jobs.get_mut(ix) else { return };
+    /// The one function that changes a job's health.
+    pub(crate) fn set_job_health(&mut self, index: JobIndex, health: JobHealth) {
+        let interval_ms = self.context.config.heartbeat_interval_ms();
+        let first_trial_ms = self.context.now.steady_ms + interval_ms;
+        let Some(job) = self.jobs.get_mut(index) else { return };
         if job.health == health {
             return;
         }
-        let old = std::mem::replace(&mut job.health, health);
+        let old_health = std::mem::replace(&mut job.health, health);
         match health {
             JobHealth::FailingEverywhere => {
-                (job.trials, job.trial_ms) = (0, first);
-                tracing::info!(job = %job.id, machines = job.errors_on.len(),
-                    "taken for mistaken: it fails wherever it is tried");
+                (job.trials, job.trial_ms) = (0, first_trial_ms);
+                tracing::info!(
+                    job = %job.id, machines = job.errors_on.len(),
+                    "job fails on every machine"
+                );
             }
-            JobHealth::Proven if old == JobHealth::FailingEverywhere => {
-                tracing::info!(job = %job.id, "no longer taken for mistaken: it has run well");
+            JobHealth::Proven if old_health == JobHealth::FailingEverywhere => {
+                tracing::info!(job = %job.id, "job no longer fails on every machine");
             }
             _ => {}
         }
-        self.attribute_failures_to_machines(ix, health == JobHealth::Proven);
+        self.attribute_failures_to_machines(index, health == JobHealth::Proven);
     }
 
-    /// Counts a job's failures against the machines where it failed, or no longer does.
-    fn attribute_failures_to_machines(&mut self, ix: JobIndex, guilty: bool) {
-        let Some(job) = self.jobs.get(ix) else { return };
-        for machine in job.errors_on.clone() {
-            if let Some(m) = self.machines.get_mut(machine) {
-                match guilty {
-                    true => m.failures.insert(ix),
-                    false => m.failures.remove(&ix),
+    /// Counts a job's failures against the machines where it failed, or takes them back.
+    fn attribute_failures_to_machines(&mut self, job_index: JobIndex, count: bool) {
+        let Some(job) = self.jobs.get(job_index) else { return };
+        for machine_index in job.errors_on.clone() {
+            if let Some(machine) = self.machines.get_mut(machine_index) {
+                match count {
+                    true => machine.failures.insert(job_index),
+                    false => machine.failures.remove(&job_index),
                 };
             }
-            self.update_quarantine(machine);
+            self.update_quarantine(machine_index);
         }
     }
 
     /// A task has failed on a machine.
-    pub(crate) fn task_failed(&mut self, ix: MachineIndex, key: TaskKey) {
+    pub(super) fn task_failed(&mut self, index: MachineIndex, key: TaskKey) {
         self.back_off(key);
-        let (now, round) =
-            (self.context.now.steady_ms, self.context.config.heartbeat_interval_ms());
+        let now_ms = self.context.now.steady_ms;
+        let interval_ms = self.context.config.heartbeat_interval_ms();
         let Some(job) = self.jobs.get_mut(key.job) else { return };
-        if !job.errors_on.contains(&ix) {
-            job.errors_on.push(ix);
+        if !job.errors_on.contains(&index) {
+            job.errors_on.push(index);
         }
-        let health = job.health;
-        let spread = job.errors_on.len() >= MISTAKEN_ON;
-        tracing::debug!(machine = ?ix, job = %job.id, task = key.task, "task failed");
-        match health {
+        let failed_on_many = job.errors_on.len() >= MACHINES_TO_BLAME_JOB;
+        tracing::debug!(machine = ?index, job = %job.id, task = key.task, "task failed");
+        match job.health {
             JobHealth::FailingEverywhere => {
-                job.trial_ms = now + (round << job.trials.min(PAUSE_MOST))
+                let pause_ms = interval_ms << job.trials.min(MAX_TRIAL_PAUSE_EXPONENT);
+                job.trial_ms = now_ms + pause_ms;
             }
-            JobHealth::Untried if spread => {
+            JobHealth::Untried if failed_on_many => {
                 self.set_job_health(key.job, JobHealth::FailingEverywhere)
             }
             _ => {
-                if let Some(m) = self.machines.get_mut(ix) {
-                    m.failures.insert(key.job);
+                if let Some(machine) = self.machines.get_mut(index) {
+                    machine.failures.insert(key.job);
                 }
-                self.update_quarantine(ix);
+                self.update_quarantine(index);
             }
         }
     }
 
-    /// A task has completed on a machine: what failed here before was not its fault.
-    pub(crate) fn clear_machine_failures(&mut self, ix: MachineIndex) {
-        if let Some(m) = self.machines.get_mut(ix).filter(|m| !m.quarantined) {
-            m.failures.clear();
+    /// A task has completed on a machine: earlier failures there were not the machine's fault.
+    pub(super) fn clear_machine_failures(&mut self, index: MachineIndex) {
+        if let Some(machine) = self.machines.get_mut(index).filter(|machine| !machine.quarantined) {
+            machine.failures.clear();
         }
     }
 
-    /// A job is over: what failed of it without a verdict blames nobody.
-    pub(crate) fn clear_unattributed_failures(&mut self, ix: JobIndex) {
-        if self.jobs.get(ix).is_some_and(|j| j.health == JobHealth::Untried) {
-            self.attribute_failures_to_machines(ix, false);
+    /// A job is over while its health is unknown: its failures count against no machine.
+    pub(crate) fn clear_unattributed_failures(&mut self, index: JobIndex) {
+        if self.jobs.get(index).is_some_and(|job| job.health == JobHealth::Untried) {
+            self.attribute_failures_to_machines(index, false);
         }
     }
 
-    /// The one function that quarantines a machine, or takes it back.
-    fn update_quarantine(&mut self, ix: MachineIndex) {
-        let Some(m) = self.machines.get_mut(ix) else { return };
-        let faulty = m.failures.len() >= FAULTY;
-        if m.quarantined == faulty {
+    /// The one function that quarantines a machine or ends its quarantine.
+    fn update_quarantine(&mut self, index: MachineIndex) {
+        let interval_ms = self.context.config.heartbeat_interval_ms();
+        let Some(machine) = self.machines.get_mut(index) else { return };
+        let failing_jobs = machine.failures.len();
+        let faulty = failing_jobs >= JOBS_TO_BLAME_MACHINE;
+        if machine.quarantined == faulty {
             return;
         }
-        m.quarantined = faulty;
-        m.empty_from_ms =
-            self.context.now.steady_ms + 2 * self.context.config.heartbeat_interval_ms();
-        let jobs = m.failures.len();
+        machine.quarantined = faulty;
+        machine.evict_from_ms = self.context.now.steady_ms + EVICT_AFTER_INTERVALS * interval_ms;
         if faulty {
-            tracing::info!(machine = %m.name, jobs, "quarantined: different jobs fail here");
-            self.requeue_probes(ix);
+            tracing::info!(machine = %machine.name, failing_jobs, "machine quarantined");
+            self.requeue_probes(index);
         } else {
-            tracing::info!(machine = %m.name, "no longer quarantined: the jobs were at fault");
-            self.machines_to_dispatch.insert(ix);
+            tracing::info!(machine = %machine.name, "machine no longer quarantined");
+            self.machines_to_dispatch.insert(index);
             self.supply_changed = true;
         }
     }
 
-    /// A failed start or task waits longer every time.
-    pub(crate) fn back_off(&mut self, key: TaskKey) {
-        let (now, step) = (self.context.now.steady_ms, self.context.config.heartbeat_interval_ms());
-        if let Some(t) = self.jobs.task_mut(key) {
-            t.failures += 1;
-            t.not_before_ms = now + (step << t.failures.min(6)) / 4;
+    /// A task that has failed waits longer each time before it is started again.
+    pub(super) fn back_off(&mut self, key: TaskKey) {
+        let now_ms = self.context.now.steady_ms;
+        let interval_ms = self.context.config.heartbeat_interval_ms();
+        if let Some(task) = self.jobs.task_mut(key) {
+            task.failures += 1;
+            let exponent = task.failures.min(MAX_BACK_OFF_EXPONENT);
+            task.not_before_ms = now_ms + (interval_ms << exponent) / 4;
         }
     }
 }
--- /dev/null
+++ b/crates/core/src/fleet/heartbeat_relay.rs
@@ -0,0 +1,66 @@
+//! A follower relays workers' heartbeats to the leader, or redirects the workers to it.
+
+use quartzgate_wire::http::Response;
+use quartzgate_wire::msg::{Forward, Heartbeat, Redirect};
+use quartzgate_wire::to_cbor;
+
+use super::calls::FleetCall;
+use crate::controller::Controller;
+use crate::{Outcome, Peer, RequestId};
+
+impl Controller {
+    /// Whether a heartbeat is relayed rather than its worker redirected: always if the worker is
+    /// of this zone, else by the rules for workers of other zones.
+    pub(super) fn should_relay(&mut self, heartbeat: &Heartbeat) -> bool {
+        if heartbeat.zone == self.context.config.platform.zone {
+            return true;
+        }
+        let (now_ms, lease_ms) = (self.context.now.steady_ms, self.context.config.lease_ms());
+        let max_workers = self.context.config.max_out_of_zone_workers();
+        self.out_of_zone_workers.should_relay(&heartbeat.machine, now_ms, lease_ms, max_workers)
+    }
+
+    /// Relays a heartbeat to the leader; false if the leader can't be reached.
+    pub(super) fn relay_heartbeat(
+        &mut self,
+        id: RequestId,
+        heartbeat: &Heartbeat,
+        body: Vec<u8>,
+    ) -> bool {
+        let Some(leader) = self.leader_sibling().filter(|_| !self.leader_missed()) else {
+            return false;
+        };
+        let mut message = self.mesh_message();
+        let (method, path) = ("POST".to_string(), "/checkin".to_string());
+        message.forward = Some(Forward { method, path, body });
+        let timeout_ms = self.context.config.mesh_timeout_ms();
+        let purpose =
+            FleetCall::RelayHeartbeat { request: id, heartbeat: Box::new(heartbeat.clone()) };
+        let (peer, body) = (Peer::Sibling(leader), to_cbor(&message));
+        self.call_for_fleet(peer, "POST", "/mesh".into(), body, timeout_ms, purpose);
+        true
+    }
+
+    /// The leader's answer to a relayed heartbeat, or none.
+    pub(crate) fn on_relayed(&mut self, id: RequestId, heartbeat: Heartbeat, outcome: Outcome) {
+        match outcome {
+            Outcome::Answer(response) if response.status == 200 => {
+                self.answer(id, Response::new(200, response.body));
+            }
+            Outcome::Answer(_) => self.redirect(id),
+            _ => {
+                if !self.serve_by_proxy(id, &heartbeat) {
+                    self.redirect(id)
+                }
+            }
+        }
+    }
+
+    /// Redirects a worker to the leader. A leader that this controller has no contact with is
+    /// not named: the worker tries all controllers itself.
+    pub(crate) fn redirect(&mut self, id: RequestId) {
+        self.let_go += 1;
+        let leader = self.leader_sibling().and(self.known_leader());
+        self.answer(id, Response::new(421, to_cbor(&Redirect { leader })));
+    }
+}
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -1,5 +1,34 @@
-//! Machines: their heartbeats, fencing, fault attribution and provisioning.
+//! The fleet: machines and their states, heartbeats, commands and fencing, fault attribution,
+//! and provisioning.
+//!
+//! Only the leader keeps a [`Machine`] for each worker. It changes by heartbeats, by outcomes of
+//! commands and by the cloud's list; tasks that a machine loses return to the queue. Two
+//! invariants are guarded here: a command whose outcome is unknown can't take effect later
+//! (`commands`), and a task is given up only when it is proven that it runs nowhere
+//! (`reconciliation`, `silent_machines`).
 
+mod calls;
+mod commands;
 pub(crate) mod fault_attribution;
-pub(crate) mod machines;
+mod heartbeat_relay;
+mod heartbeats;
+mod machine;
+mod machine_states;
+mod machine_table;
+mod out_of_zone_workers;
 pub(crate) mod provisioning;
+mod reconciliation;
+mod reconciling_orders;
+mod resources;
+mod silent_machines;
+
+pub(crate) use calls::FleetCall;
+pub(crate) use out_of_zone_workers::OutOfZoneWorkers;
+
+/// The types of machines, for the modules that place work on them.
+pub(crate) mod machines {
+    pub(crate) use super::heartbeats::is_plausible;
+    pub(crate) use super::machine::{Machine, MachineState};
+    pub(crate) use super::machine_table::Machines;
+    pub(crate) use super::resources::Resources;
+}
--- /dev/null
+++ b/crates/core/src/fleet/provisioning/demand.rs
@@ -0,0 +1,281 @@
+//! Unmet demand: tasks that wait and fit on no machine, neither up nor expected.
+
+use std::cmp::Reverse;
+
+use quartzgate_wire::msg::{JobKind, JobSpec, Priority};
+
+use super::capacity_pool::{CapacityPool, MachineGroup};
+use crate::controller::Controller;
+use crate::fleet::resources::Resources;
+use crate::jobs::{Job, JobState, TaskState};
+
+/// Least CPU need that a team's limit is divided by.
+const MIN_TASK_CPUS: f64 = 1e-9;
+
+/// Tasks of one job that no machine has capacity for.
+pub(super) struct UnmetDemand {
+    /// The job, with the zone in which its tasks are wanted.
+    pub spec: JobSpec,
+    /// How many of its tasks.
+    pub tasks: u32,
+}
+
+/// Capacity that is kept free for production tasks.
+pub(super) struct WarmCapacity {
+    /// What the largest production task needs.
+    pub need: Resources,
+    /// For how many such tasks capacity is kept.
+    pub tasks: u32,
+}
+
+/// Free capacity summed up over one zone, or over all.
+type ZoneChoice = Option<u16>;
+
+impl Controller {
+    /// Demand that exceeds the free and the expected capacity, most urgent jobs first.
+    pub(super) fn unmet_demand(&self) -> Vec<UnmetDemand> {
+        let mut pool = self.capacity_pool();
+        let mut unmet = Vec::new();
+        let mut claimed_cpus: Vec<f64> = vec![0.0; self.teams.len()];
+        for job in self.live_jobs_by_priority() {
+            if job.spec.shape == JobKind::Gang {
+                if !job.failing_everywhere() {
+                    unmet.extend(self.unmet_gang(job, &mut pool));
+                }
+                continue;
+            }
+            let wanted = self.wanted_tasks(job, &mut claimed_cpus[job.team]);
+            if job.spec.spread {
+                unmet.extend(self.unmet_spread(job, wanted, &mut pool));
+                continue;
+            }
+            let eligible = |group: &MachineGroup| self.is_eligible(&job.spec, group);
+            let tasks = pool.place(&job.resources(), wanted, eligible);
+            if tasks > 0 {
+                unmet.push(UnmetDemand { spec: job.spec.clone(), tasks });
+            }
+        }
+        unmet.extend(self.unmet_warm_capacity(&pool));
+        unmet
+    }
+
+    fn live_jobs_by_priority(&self) -> impl Iterator<Item = &Job> {
+        let mut jobs: Vec<_> =
+            self.jobs.iter().filter(|(_, job)| job.state == JobState::Live).collect();
+        jobs.sort_by_key(|(index, job)| (Reverse(job.priority), *index));
+        jobs.into_iter().map(|(_, job)| job)
+    }
+
+    /// Free capacity of the fleet and of the machines that are expected.
+    fn capacity_pool(&self) -> CapacityPool {
+        let mut pool = CapacityPool::default();
+        for (_, machine) in self.machines.iter().filter(|(_, machine)| machine.usable()) {
+            // Every other priority may preempt the lowest.
+            let mut free = self.free_resources(machine);
+            free.add(&machine.low(), 1.0);
+            pool.add(MachineGroup::new(&machine.kind, machine.zone, machine.spot, &free), 1);
+        }
+        let mut add_empty = |kind: &str, zone, spot, machines| {
+            if let Some(capacity) = self.capacity_of(kind) {
+                pool.add(MachineGroup::new(kind, zone, spot, &capacity), machines);
+            }
+        };
+        for expected in self.provisioner.expected.values() {
+            add_empty(&expected.kind, expected.zone, expected.spot, 1);
+        }
+        for (offer, machines) in &self.provisioner.requested {
+            add_empty(&offer.kind, Some(offer.zone), offer.spot, *machines);
+        }
+        pool
+    }
+
+    /// Whether tasks of a job may run on machines of a group.
+    fn is_eligible(&self, spec: &JobSpec, group: &MachineGroup) -> bool {
+        let capacity = self.capacity_of(&group.kind);
+        !capacity.is_some_and(|capacity| self.wastes_scarce_gpus(spec, &capacity))
+            && self.allows(spec, &group.kind, group.zone, group.spot)
+    }
+
+    /// Machines with GPUs are neither provisioned nor counted on for work that needs none while
+    /// GPUs are scarce.
+    pub(super) fn wastes_scarce_gpus(&self, spec: &JobSpec, capacity: &Resources) -> bool {
+        capacity.gpus > 0.0 && spec.gpus <= 0.0 && self.ratios.gpus_scarce()
+    }
+
+    /// Tasks of a job that wait and may run, within its team's limit. The CPUs of those that are
+    /// not placed yet are added to what the team's jobs claim.
+    fn wanted_tasks(&self, job: &Job, claimed_cpus: &mut f64) -> u32 {
+        let waiting =
+            job.tasks().filter(|(_, task)| task.state == TaskState::Waiting).count() as u32;
+        let unplaced = unplaced_tasks(job).min(self.tasks_within_limit(job, *claimed_cpus));
+        *claimed_cpus += f64::from(unplaced) * job.spec.cpus;
+        let wanted = job.asking(waiting + unplaced);
+        // Best-effort jobs use spare capacity: none is provisioned while some of their tasks run.
+        match self.is_best_effort(job) {
+            true => wanted.min(u32::from(job.bound == 0)),
+            false => wanted,
+        }
+    }
+
+    /// How many more tasks of a job its team's limit allows.
+    fn tasks_within_limit(&self, job: &Job, claimed_cpus: f64) -> u32 {
+        let max_cpus = self.context.config.platform.params.teams[job.team].cpus_max;
+        if max_cpus <= 0.0 {
+            return u32::MAX;
+        }
+        let cpus_left = max_cpus - self.teams[job.team].reserved.cpus - claimed_cpus;
+        (cpus_left / job.spec.cpus.max(MIN_TASK_CPUS)).max(0.0) as u32
+    }
+
+    /// Demand of a job that is spread over zones: none takes more than half of its tasks.
+    fn unmet_spread(&self, job: &Job, wanted: u32, pool: &mut CapacityPool) -> Vec<UnmetDemand> {
+        let zones = &self.context.config.platform.params.zones;
+        let need = job.resources();
+        let max_per_zone = job.spec.tasks.div_ceil(2);
+        let mut tasks_in_zone = placed_tasks_by_zone(job, zones.len());
+        let mut unmet_in_zone = vec![0u32; zones.len()];
+        for _ in 0..wanted {
+            if let Some(group) = self.least_used_zone_group(job, &tasks_in_zone, pool) {
+                pool.occupy(&group, 1, &need, 1);
+                tasks_in_zone[group.zone.unwrap_or(0) as usize] += 1;
+                continue;
+            }
+            let open_zones = (0..zones.len()).filter(|zone| {
+                tasks_in_zone[*zone] < max_per_zone && allows_zone(&job.spec, &zones[*zone])
+            });
+            if let Some(zone) = open_zones.min_by_key(|zone| tasks_in_zone[*zone]) {
+                tasks_in_zone[zone] += 1;
+                unmet_in_zone[zone] += 1;
+            }
+        }
+        let unmet = unmet_in_zone.into_iter().enumerate().filter(|(_, tasks)| *tasks > 0);
+        unmet
+            .map(|(zone, tasks)| UnmetDemand { spec: in_zone(&job.spec, &zones[zone]), tasks })
+            .collect()
+    }
+
+    /// A group with capacity for a task of a spread job, in the zone with fewest of its tasks.
+    fn least_used_zone_group(
+        &self,
+        job: &Job,
+        tasks_in_zone: &[u32],
+        pool: &CapacityPool,
+    ) -> Option<MachineGroup> {
+        let need = job.resources();
+        let max_per_zone = job.spec.tasks.div_ceil(2);
+        let has_capacity = |group: &&MachineGroup| {
+            group.zone.is_some_and(|zone| tasks_in_zone[zone as usize] < max_per_zone)
+                && self.is_eligible(&job.spec, group)
+                && group.free().fits(&need)
+        };
+        let tasks_there =
+            |group: &&MachineGroup| group.zone.map_or(0, |zone| tasks_in_zone[zone as usize]);
+        pool.groups().filter(has_capacity).min_by_key(tasks_there).cloned()
+    }
+
+    /// Demand of a gang: what its tasks lack when all start together, in one zone if they must
+    /// be in the same.
+    fn unmet_gang(&self, job: &Job, pool: &mut CapacityPool) -> Option<UnmetDemand> {
+        if job.on > 0 || job.tasks().any(|(_, task)| task.state.machine().is_some()) {
+            return None;
+        }
+        let need = job.resources();
+        let zones = &self.context.config.platform.params.zones;
+        let choices: Vec<ZoneChoice> = match job.spec.together {
+            true => (0..zones.len() as u16).map(Some).collect(),
+            false => vec![None],
+        };
+        let is_allowed = |choice: &ZoneChoice| {
+            choice.is_none_or(|zone| allows_zone(&job.spec, &zones[zone as usize]))
+        };
+        let eligible = |choice: ZoneChoice, group: &MachineGroup| {
+            (choice.is_none() || group.zone == choice) && self.is_eligible(&job.spec, group)
+        };
+        let fitting =
+            |choice: &ZoneChoice| pool.count_fitting(&need, |group| eligible(*choice, group));
+        let choice = choices.into_iter().filter(is_allowed).max_by_key(fitting)?;
+        let tasks = pool.place(&need, job.spec.tasks, |group| eligible(choice, group));
+        let spec = match choice {
+            Some(zone) => in_zone(&job.spec, &zones[zone as usize]),
+            None => job.spec.clone(),
+        };
+        (tasks > 0).then_some(UnmetDemand { spec, tasks })
+    }
+
+    /// What is missing of the capacity that is kept free for production tasks.
+    fn unmet_warm_capacity(&self, pool: &CapacityPool) -> Option<UnmetDemand> {
+        let warm = self.warm_capacity()?;
+        let largest = self.largest_production_job()?;
+        let fitting =
+            pool.count_fitting(&warm.need, |group| self.is_eligible(&largest.spec, group));
+        // Production may preempt work of lower priorities.
+        let preemptible = self.preemptible_by_production();
+        let tasks = warm.tasks.saturating_sub(fitting.saturating_add(preemptible));
+        (tasks > 0).then(|| UnmetDemand { spec: largest.spec.clone(), tasks })
+    }
+
+    /// Tasks on regular machines that production may preempt.
+    fn preemptible_by_production(&self) -> u32 {
+        let below_production = |key: &&crate::ids::TaskKey| {
+            self.jobs.get(key.job).is_some_and(|job| job.priority < Priority::Production)
+        };
+        self.machines
+            .iter()
+            .filter(|(_, machine)| machine.usable() && !machine.spot)
+            .flat_map(|(_, machine)| machine.tasks.keys())
+            .filter(below_production)
+            .count() as u32
+    }
+
+    /// The capacity that is kept free for production: a share of what production runs, reckoned
+    /// in its largest task.
+    pub(super) fn warm_capacity(&self) -> Option<WarmCapacity> {
+        let largest = self.largest_production_job()?;
+        let running: f64 = self.production_jobs().map(|job| f64::from(job.on)).sum();
+        let tasks = (running * self.context.config.operator.warm_share).ceil() as u32;
+        Some(WarmCapacity { need: largest.resources(), tasks })
+    }
+
+    fn largest_production_job(&self) -> Option<&Job> {
+        self.production_jobs().max_by(|a, b| a.spec.cpus.total_cmp(&b.spec.cpus))
+    }
+
+    fn production_jobs(&self) -> impl Iterator<Item = &Job> {
+        self.jobs
+            .iter()
+            .map(|(_, job)| job)
+            .filter(|job| job.state == JobState::Live && job.spec.priority == Priority::Production)
+    }
+}
+
+/// Tasks of a job that have not been placed yet and are not complete.
+fn unplaced_tasks(job: &Job) -> u32 {
+    let placed = job.tasks().filter(|(_, task)| task.state != TaskState::Unplaced).count() as u32;
+    let in_done_chunks: u32 = job
+        .done_chunks
+        .iter()
+        .flat_map(|(first, last)| *first..=*last)
+        .map(|chunk| job.chunk_len(chunk))
+        .sum();
+    job.spec.tasks.saturating_sub(placed + in_done_chunks)
+}
+
+fn placed_tasks_by_zone(job: &Job, zones: usize) -> Vec<u32> {
+    let mut tasks_in_zone = vec![0u32; zones];
+    for (_, task) in job.tasks().filter(|(_, task)| task.state.machine().is_some()) {
+        if let Some(zone) = task.zone {
+            tasks_in_zone[zone as usize] += 1;
+        }
+    }
+    tasks_in_zone
+}
+
+/// Whether a job may run in a zone.
+fn allows_zone(spec: &JobSpec, zone: &String) -> bool {
+    spec.zone.as_ref().is_none_or(|wanted| wanted == zone)
+}
+
+/// The same job, to run in this zone only.
+fn in_zone(spec: &JobSpec, zone: &str) -> JobSpec {
+    JobSpec { zone: Some(zone.to_string()), ..spec.clone() }
+}
--- /dev/null
+++ b/crates/core/src/fleet/reconciling_orders.rs
@@ -0,0 +1,104 @@
+//! Orders that reconcile a machine with the leader's state: which of the tasks that it reports
+//! should stop, and which exited ones it may forget.
+//!
+//! Invariant: a machine forgets a task's end only when that end is recorded, or can't matter.
+
+use quartzgate_wire::msg::{ExitCause, HeartbeatTask, Order, TaskStatus};
+
+use crate::controller::Controller;
+use crate::ids::{parse_task, MachineIndex};
+use crate::jobs::{Job, JobState, TaskState};
+use crate::storage::records::TASKS_PER_CHUNK;
+
+/// A task that saves a checkpoint before it stops is given this many times the checkpoint's
+/// cost.
+const CHECKPOINT_GRACE_FACTOR: f64 = 1.5;
+/// Least cost of a checkpoint that is reckoned with, in seconds.
+const MIN_CHECKPOINT_COST_S: f64 = 1.0;
+/// No grace: the task stops at once.
+const STOP_AT_ONCE_S: f64 = 0.0;
+
+impl Controller {
+    /// The stop and forget orders that follow from a machine's newest heartbeat.
+    pub(super) fn reconciling_orders(&self, index: MachineIndex) -> Vec<Order> {
+        let Some(machine) = self.machines.get(index) else { return Vec::new() };
+        // A forget order must not meet a start of the same attempt that is still on its way.
+        let may_send_forget =
+            !machine.command_in_flight && machine.acknowledged_token >= machine.fencing_token;
+        let mut orders = Vec::new();
+        for reported in &machine.reported_tasks {
+            let (task, attempt) = (reported.task.clone(), reported.attempt);
+            if reported.status == TaskStatus::Exited {
+                if may_send_forget && self.may_forget_task(index, reported) {
+                    orders.push(Order::Forget { task, attempt });
+                }
+            } else if let Some(grace_s) = self.stop_grace_s(index, reported) {
+                orders.push(Order::Stop { task, attempt, grace_s });
+            }
+        }
+        orders
+    }
+
+    /// Whether the machine may forget an exited task.
+    fn may_forget_task(&self, index: MachineIndex, reported: &HeartbeatTask) -> bool {
+        let Some((job_id, number)) = parse_task(&reported.task) else { return true };
+        // During recovery, the job's placement record may not have been read yet.
+        if !self.knows_all_jobs() {
+            return false;
+        }
+        // A job that is not in memory is over: its terminal state is recorded.
+        let Some(job) = self.find_job(job_id) else { return true };
+        let Some(chunk) = job.chunks.get(&(number / TASKS_PER_CHUNK)) else { return true };
+        let Some(task) = job.task(number) else { return true };
+        let completed = reported.cause == Some(ExitCause::Done);
+        match task.state {
+            TaskState::Done { version } => {
+                !completed || chunk.acked >= version || job.state == JobState::Done
+            }
+            state => {
+                let own_attempt = state.machine() == Some((index, reported.attempt));
+                !own_attempt && !completed || job.state == JobState::Aborted
+            }
+        }
+    }
+
+    /// The grace in seconds with which a task that is alive on a machine should stop; none if it
+    /// should go on, or if that can't be decided yet.
+    fn stop_grace_s(&self, index: MachineIndex, reported: &HeartbeatTask) -> Option<f64> {
+        let Some((job_id, number)) = parse_task(&reported.task) else {
+            return Some(STOP_AT_ONCE_S);
+        };
+        let Some(job) = self.find_job(job_id) else {
+            let over = self.knows_all_jobs() || self.terminal_jobs.get(job_id).is_some();
+            return over.then_some(STOP_AT_ONCE_S);
+        };
+        if matches!(job.state, JobState::Unreadable | JobState::Aborting) {
+            return None;
+        }
+        let aborted = matches!(job.state, JobState::Aborted | JobState::Doubtful);
+        // During recovery, the job's placement record may not have been read yet.
+        if !self.knows_all_jobs() && !aborted {
+            return None;
+        }
+        let Some(task) = job.task(number) else { return Some(STOP_AT_ONCE_S) };
+        let own_attempt = task.state.machine() == Some((index, reported.attempt));
+        match task.state {
+            _ if aborted => Some(STOP_AT_ONCE_S),
+            TaskState::Stopping { grace, .. } if own_attempt => match grace {
+                true => Some(checkpoint_grace_s(job)),
+                false => Some(STOP_AT_ONCE_S),
+            },
+            _ if own_attempt => None,
+            _ => Some(STOP_AT_ONCE_S),
+        }
+    }
+
+    fn find_job(&self, job_id: &str) -> Option<&Job> {
+        self.jobs.find(job_id).and_then(|job| self.jobs.get(job))
+    }
+}
+
+/// Time for a task of this job to save a checkpoint.
+fn checkpoint_grace_s(job: &Job) -> f64 {
+    job.spec.checkpoint_cost_s.max(MIN_CHECKPOINT_COST_S) * CHECKPOINT_GRACE_FACTOR
+}
