--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use quartzgate_wire::http::Response;
-use quartzgate_wire::msg::{Heartbeat, JobSpec, MachineType};
+use quartzgate_wire::msg::{JobSpec, MachineType};
 use rand::rngs::SmallRng;
 
 use crate::api::admission::AdmissionControl;
@@ -12,7 +12,8 @@
 use crate::context::{CallTable, Context};
 use crate::fleet::machines::{Machines, Resources};
 use crate::fleet::provisioning::Provisioner;
-use crate::ids::{JobIndex, MachineIndex, TaskKey};
+use crate::fleet::{FleetCall, OutOfZoneWorkers};
+use crate::ids::{JobIndex, MachineIndex};
 use crate::jobs::dependencies::DependencyGraph;
 use crate::jobs::Jobs;
 use crate::lease_proxy::mailbox::Mailbox;
@@ -34,11 +35,8 @@
 /// What a call of ours was for.
 #[derive(Debug)]
 pub(crate) enum InFlight {
-    MemberKey,
     ProxiedJobRead { job: String, sent_ms: u64 },
-    OrdersRelayed { request: RequestId },
     InboxRead { job: String, epoch: u64 },
-    Orders { machine: MachineIndex, fencing_token: u64, starts: Vec<(TaskKey, u64)> },
     Accept { request: RequestId, job: JobIndex, placed: RecordLocation, epoch: u64 },
     AcceptAlone { request: RequestId, id: String, cancelled: bool },
     AbortWrite { request: Option<RequestId>, job: JobIndex, placed: RecordLocation, epoch: u64 },
@@ -59,11 +57,7 @@
     Compare { compared: ValidatedRead, epoch: u64 },
     Forward { request: RequestId, sibling: usize, work: Box<UserRequest> },
     Told,
-    Relay { request: RequestId, report: Box<Heartbeat> },
     Types,
-    List { since: Option<String> },
-    Hire { kind: String, zone: u16, spot: bool, wanted: u32, name: String, epoch: u64 },
-    Return { machines: Vec<MachineIndex>, epoch: u64 },
 }
 
 /// A user's request, parsed.
@@ -123,6 +117,7 @@
     calls: CallTable<InFlight>,
     pub(crate) storage_calls: CallTable<StorageCall>,
     pub(crate) recovery_calls: CallTable<RecoveryCall>,
+    pub(crate) fleet_calls: CallTable<FleetCall>,
     pub(crate) membership: Membership,
     pub(crate) terminal_jobs: TerminalJobs,
     pub(crate) dependency_graph: DependencyGraph,
@@ -132,9 +127,7 @@
     pub(crate) job_batches: JobBatches,
     pub(crate) batch_reads_to_retry: Vec<u64>,
     pub(crate) mailbox: Mailbox,
-    /// Workers of other zones: since when they report here, and when they were last sent
-    /// to the leader.
-    pub(crate) out_of_zone_workers: BTreeMap<String, (u64, u64)>,
+    pub(crate) out_of_zone_workers: OutOfZoneWorkers,
     pub(crate) stall: ProcessStall,
     pub(crate) types: Vec<MachineType>,
     pub(crate) types_at_ms: Option<u64>,
@@ -193,6 +186,7 @@
             calls: CallTable::default(),
             storage_calls: CallTable::default(),
             recovery_calls: CallTable::default(),
+            fleet_calls: CallTable::default(),
             membership,
             terminal_jobs,
             dependency_graph: DependencyGraph::default(),
@@ -202,7 +196,7 @@
             job_batches: JobBatches::default(),
             batch_reads_to_retry: Vec::new(),
             mailbox: Mailbox::default(),
-            out_of_zone_workers: BTreeMap::new(),
+            out_of_zone_workers: OutOfZoneWorkers::default(),
             stall,
             types: Vec::new(),
             types_at_ms: None,
@@ -266,6 +260,8 @@
                     self.on_membership_outcome(call, outcome);
                 } else if let Some(call) = self.lease_proxy.take_call(call) {
                     self.on_lease_proxy_outcome(call, outcome);
+                } else if let Some(purpose) = self.fleet_calls.take(call) {
+                    self.on_fleet_outcome(purpose, outcome);
                 }
             }
         }
@@ -351,11 +347,10 @@
     pub(crate) fn on_outcome(&mut self, pending: InFlight, outcome: Outcome) {
         let current = self.epoch();
         match pending {
-            InFlight::MemberKey | InFlight::Told => {}
+            InFlight::Told => {}
             InFlight::ProxiedJobRead { job, sent_ms } => {
                 self.on_proxied_job_read(job, sent_ms, outcome)
             }
-            InFlight::OrdersRelayed { request } => self.on_orders_relayed(request, outcome),
             InFlight::AcceptAlone { request, id, cancelled } => {
                 self.on_accept_alone(request, id, cancelled, outcome)
             }
@@ -378,7 +373,6 @@
             InFlight::Forward { request, sibling, work } => {
                 self.on_forwarded(request, sibling, *work, outcome)
             }
-            InFlight::Relay { request, report } => self.on_relayed(request, *report, outcome),
             InFlight::Types => self.on_types(outcome),
             InFlight::Accept { request, job, placed, epoch } => {
                 if epoch == current {
@@ -399,23 +393,11 @@
             | InFlight::PageRead { epoch, .. }
             | InFlight::InboxRead { epoch, .. }
             | InFlight::ChainRead { epoch, .. }
-            | InFlight::Hire { epoch, .. }
-            | InFlight::Return { epoch, .. }
                 if epoch != current => {}
             InFlight::ChainRead { job, .. } => self.on_dependency_read(job, outcome),
             InFlight::PageWrite { number, .. } => self.on_batch_written(number, outcome),
             InFlight::PageRead { number, .. } => self.on_batch_read(number, outcome),
             InFlight::InboxRead { job, .. } => self.on_handoff_job_read(job, outcome),
-            InFlight::Orders { machine, fencing_token, starts } => {
-                if crate::ids::epoch_of(fencing_token) == current {
-                    self.on_orders_outcome(machine, fencing_token, starts, outcome)
-                }
-            }
-            InFlight::List { since } => self.on_list(since, outcome),
-            InFlight::Hire { kind, zone, spot, wanted, name, .. } => {
-                self.on_provisioned(kind, zone, spot, wanted, name, outcome)
-            }
-            InFlight::Return { machines, .. } => self.on_released(machines, outcome),
         }
     }
 
