--- a/crates/quartzgate/src/connection.rs
+++ b/crates/quartzgate/src/connection.rs
@@ -20,10 +20,10 @@
 /// Largest capacity that an empty buffer keeps, so that idle connections hold no memory.
 const MAX_EMPTY_CAPACITY: usize = 4 * 1024;
 
-/// Most bytes buffered of a request: a full body, its head and a share of the next one.
-const MAX_REQUEST_BUFFER: usize = http::MAX_BODY + 2 * http::MAX_HEAD;
-/// Most bytes buffered of a response.
-const MAX_RESPONSE_BUFFER: usize = http::MAX_ANSWER + http::MAX_HEAD;
+/// Bytes buffered of a request beyond its body: its head and a part of the next one.
+const REQUEST_BUFFER_MARGIN: usize = 2 * http::MAX_HEAD;
+/// Bytes buffered of a response beyond its body: its head.
+const RESPONSE_BUFFER_MARGIN: usize = http::MAX_HEAD;
 
 /// The address on which an inbound connection was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -108,6 +108,8 @@
     stream: TcpStream,
     direction: Direction,
     state: State,
+    /// Largest body of a message that comes in, in bytes.
+    max_body: usize,
     input: Vec<u8>,
     output: Vec<u8>,
     /// Bytes of `output` that are written already.
@@ -131,23 +133,41 @@
 impl Connection {
     /// A connection that was accepted.
     pub fn inbound(stream: TcpStream, endpoint: Endpoint, now_ms: u64) -> Self {
-        Self::new(stream, Direction::Inbound(endpoint), State::Reading, now_ms)
-    }
-
-    /// A connection that is being opened for a call.
-    pub fn outbound(stream: TcpStream, peer: Peer, call: OutboundRequest, now_ms: u64) -> Self {
-        let state = State::Connecting(call.id);
-        let mut connection = Self::new(stream, Direction::Outbound(peer), state, now_ms);
+        let max_body = match endpoint {
+            Endpoint::Clients => http::MAX_BODY,
+            Endpoint::Mesh => http::MAX_MESH_BODY,
+        };
+        Self::new(stream, Direction::Inbound(endpoint), State::Reading, max_body, now_ms)
+    }
+
+    /// A connection that is being opened for a call, whose response may have a body of so many
+    /// bytes.
+    pub fn outbound(
+        stream: TcpStream,
+        peer: Peer,
+        call: OutboundRequest,
+        max_body: usize,
+        now_ms: u64,
+    ) -> Self {
+        let (direction, state) = (Direction::Outbound(peer), State::Connecting(call.id));
+        let mut connection = Self::new(stream, direction, state, max_body, now_ms);
         connection.output = call.bytes;
         connection.deadline_ms = call.deadline_ms;
         connection
     }
 
-    fn new(stream: TcpStream, direction: Direction, state: State, now_ms: u64) -> Self {
+    fn new(
+        stream: TcpStream,
+        direction: Direction,
+        state: State,
+        max_body: usize,
+        now_ms: u64,
+    ) -> Self {
         Connection {
             stream,
             direction,
             state,
+            max_body,
             input: Vec::new(),
             output: Vec::new(),
             written: 0,
@@ -245,8 +265,8 @@
     /// Reads what has come, up to a bound: the peer can't make us buffer more.
     fn fill(&mut self, buffer: &mut [u8]) -> io::Result<()> {
         let max_input = match self.direction {
-            Direction::Inbound(_) => MAX_REQUEST_BUFFER,
-            Direction::Outbound(_) => MAX_RESPONSE_BUFFER,
+            Direction::Inbound(_) => self.max_body + REQUEST_BUFFER_MARGIN,
+            Direction::Outbound(_) => self.max_body + RESPONSE_BUFFER_MARGIN,
         };
         while self.input.len() <= max_input {
             match self.stream.read(buffer) {
@@ -312,7 +332,8 @@
             }
             return Ok(self.finished_if(self.ended));
         }
-        let Some((request, length)) = http::parse_request(&self.input)? else {
+        let Some((request, length)) = http::parse_request_within(&self.input, self.max_body)?
+        else {
             if !self.ended && self.deadline_ms == NO_DEADLINE {
                 self.deadline_ms = now_ms + MAX_EXCHANGE_MS;
             }
@@ -427,7 +448,7 @@
                 false => ResponseProgress::Incomplete,
             };
         };
-        let (response, length) = match http::parse_response(&self.input) {
+        let (response, length) = match http::parse_response_within(&self.input, self.max_body) {
             Ok(Some(parsed)) => parsed,
             Ok(None) if self.ended => return ResponseProgress::Interrupted,
             Ok(None) => return ResponseProgress::Incomplete,
--- a/crates/quartzgate/src/connections.rs
+++ b/crates/quartzgate/src/connections.rs
@@ -130,6 +130,7 @@
     poll: Poll,
     connections: slab::Slab<Connection>,
     limits: Limits,
+    max_answer_bytes: usize,
     inbound: usize,
     outbound: usize,
     open_by_peer: HashMap<Peer, usize>,
@@ -142,12 +143,14 @@
 }
 
 impl ConnectionTable {
-    /// An empty table for a process that may hold so many sockets.
-    pub fn new(max_sockets: usize) -> io::Result<Self> {
+    /// An empty table for a process that may hold so many sockets, and take responses with bodies
+    /// of so many bytes.
+    pub fn new(max_sockets: usize, max_answer_bytes: usize) -> io::Result<Self> {
         Ok(ConnectionTable {
             poll: Poll::new()?,
             connections: slab::Slab::new(),
             limits: Limits::from_sockets(max_sockets),
+            max_answer_bytes,
             inbound: 0,
             outbound: 0,
             open_by_peer: HashMap::new(),
@@ -331,7 +334,8 @@
         now_ms: u64,
     ) -> io::Result<()> {
         let to = peer.clone();
-        self.insert(stream, |stream| Connection::outbound(stream, to, call, now_ms))?;
+        let max_body = self.max_answer_bytes;
+        self.insert(stream, |stream| Connection::outbound(stream, to, call, max_body, now_ms))?;
         *self.open_by_peer.entry(peer).or_default() += 1;
         self.outbound += 1;
         Ok(())
--- a/crates/quartzgate/tests/unit/event_loop.rs
+++ b/crates/quartzgate/tests/unit/event_loop.rs
@@ -137,3 +137,52 @@
         open.push(worker);
     }
 }
+
+/// Guards a new leader, which commands each machine and asks it for its heartbeat with fewer
+/// sockets than there are machines: all calls wait for their turn, none is refused for a count.
+#[test]
+fn calls_to_every_machine_wait_for_their_turn() {
+    let calls = 2 * quartzgate_core::capacity::MIN_FLEET;
+    let mut event_loop = event_loop(12);
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let worker = listener.local_addr().unwrap();
+    for id in 0..calls {
+        let call = Call { body: vec![0; 256], ..call_to(worker, id) };
+        let now_ms = event_loop.clock.steady_ms();
+        event_loop.outbound.start(&mut event_loop.connections, call, now_ms);
+    }
+    assert_eq!(not_sent(&mut event_loop), 0);
+    event_loop.outbound.expire_waiting(u64::MAX);
+    let refused = not_sent(&mut event_loop);
+    let in_flight = event_loop.connections.outbound();
+    assert!(in_flight > 0);
+    assert_eq!(refused + in_flight, calls);
+}
+
+/// Guards memory: waiting calls are bounded by what their bodies take.
+#[test]
+fn waiting_calls_are_bounded_in_bytes() {
+    const BODY_BYTES: usize = 60 * 1024;
+    let fits = config(12).max_held_bytes() / BODY_BYTES;
+    let mut event_loop = event_loop(12);
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let worker = listener.local_addr().unwrap();
+    for id in 0..2 * fits {
+        let call = Call { body: vec![0; BODY_BYTES], ..call_to(worker, id) };
+        let now_ms = event_loop.clock.steady_ms();
+        event_loop.outbound.start(&mut event_loop.connections, call, now_ms);
+    }
+    let in_flight = event_loop.connections.outbound();
+    assert_eq!(not_sent(&mut event_loop), 2 * fits - fits - in_flight);
+    event_loop.outbound.expire_waiting(u64::MAX);
+    assert_eq!(not_sent(&mut event_loop), fits);
+}
+
+/// Number of calls that were refused before they were sent, since the last look.
+fn not_sent(event_loop: &mut EventLoop) -> usize {
+    let mut refused = 0;
+    while let Some(event) = event_loop.outbound.next_outcome() {
+        refused += usize::from(matches!(event, Event::Outcome { outcome: Outcome::NotSent, .. }));
+    }
+    refused
+}
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -15,9 +15,12 @@
 pub const MAX_HEAD: usize = 8 * 1024;
 /// Largest body of a request, in bytes; a larger one is refused with 413.
 pub const MAX_BODY: usize = 64 * 1024;
-/// Largest body of a response to a call of ours, in bytes. The protocol sets no limit for
-/// watches and listings.
-pub const MAX_ANSWER: usize = 4 * 1024 * 1024;
+/// Largest body of a request between controllers, in bytes: it carries a whole request of a user
+/// or a worker, and what the sender says of itself.
+pub const MAX_MESH_BODY: usize = MAX_BODY + MAX_HEAD;
+/// Smallest limit for the body of a response to a call of ours, in bytes: a listing of 4,500
+/// machines takes less. The protocol sets no limit for watches.
+pub const MIN_ANSWER_LIMIT: usize = 4 * 1024 * 1024;
 /// Most headers accepted in a head.
 const MAX_HEADERS: usize = 48;
 /// Longest line that gives the size of a chunk, in bytes.
@@ -88,6 +91,14 @@
 /// Takes one request off the front of `buffer`, and says how many bytes it took; `None`
 /// while it is incomplete.
 pub fn parse_request(buffer: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
+    parse_request_within(buffer, MAX_BODY)
+}
+
+/// Like [`parse_request`], with another limit for the body, in bytes.
+pub fn parse_request_within(
+    buffer: &[u8],
+    max_body: usize,
+) -> Result<Option<(Request, usize)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let head_length = match head.parse(buffer) {
@@ -97,7 +108,7 @@
         Err(_) => return Err(HttpError::Malformed),
     };
     let framing = Framing::from_headers(head.headers, head.version == Some(1))?;
-    let Some(body) = framing.read_body(buffer, head_length, MAX_BODY)? else { return Ok(None) };
+    let Some(body) = framing.read_body(buffer, head_length, max_body)? else { return Ok(None) };
     let request = Request {
         method: head.method.unwrap_or_default().to_string(),
         target: head.path.unwrap_or_default().to_string(),
@@ -110,6 +121,14 @@
 /// Takes one response off the front of `buffer`, and says how many bytes it took; `None`
 /// while it is incomplete.
 pub fn parse_response(buffer: &[u8]) -> Result<Option<(Response, usize)>, HttpError> {
+    parse_response_within(buffer, MIN_ANSWER_LIMIT)
+}
+
+/// Like [`parse_response`], with another limit for the body, in bytes.
+pub fn parse_response_within(
+    buffer: &[u8],
+    max_body: usize,
+) -> Result<Option<(Response, usize)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let head_length = match head.parse(buffer) {
@@ -118,7 +137,7 @@
         _ => return Err(HttpError::Malformed),
     };
     let framing = Framing::from_headers(head.headers, head.version == Some(1))?;
-    let Some(body) = framing.read_body(buffer, head_length, MAX_ANSWER)? else { return Ok(None) };
+    let Some(body) = framing.read_body(buffer, head_length, max_body)? else { return Ok(None) };
     let response = Response {
         status: head.code.unwrap_or(0),
         body: body.data,
