--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -6,6 +6,7 @@
 
 use std::collections::BTreeMap;
 
+use quartzgate_wire::http::MIN_ANSWER_LIMIT;
 use quartzgate_wire::msg::Report;
 
 use crate::config::Config;
@@ -84,6 +85,15 @@
         CALLS_PER_MACHINE * self.max_fleet() + self.max_open_requests()
     }
 
+    /// Largest answer to a call of ours. A list of changes has no limit of its own: it holds
+    /// what the rate of writes allows between two looks, each value of the largest size.
+    pub fn max_answer_bytes(&self) -> usize {
+        let state = &self.platform.params.state;
+        let span_ms = self.report_ms() + 3 * self.state_timeout_ms() + 1_000;
+        let changes = state.write_rps * state.value_kb * 1024.0 * span_ms as f64 / 1000.0;
+        (changes as usize).min(self.max_held_bytes()).max(MIN_ANSWER_LIMIT)
+    }
+
     /// Submissions whose outcome is unknown. Each took a write of its own and is looked
     /// for no longer than a lease bound, so the rate of writes bounds them.
     pub fn max_indeterminate_submissions(&self) -> usize {
--- a/crates/quartzgate/src/daemon.rs
+++ b/crates/quartzgate/src/daemon.rs
@@ -85,6 +85,7 @@
     queued_bytes: usize,
     max_queued_calls: usize,
     max_queued_bytes: usize,
+    max_answer_bytes: usize,
     /// Peers whose calls wait for room under the limit of all connections together.
     starved: VecDeque<Peer>,
     requests: HashMap<RequestId, usize>,
@@ -155,6 +156,7 @@
             spare: VecDeque::new(),
             max_queued_calls: config.max_queued_calls(),
             max_queued_bytes: config.max_held_bytes(),
+            max_answer_bytes: config.max_answer_bytes(),
             core: Controller::new(config, SmallRng::from_os_rng()),
             started: Instant::now(),
             state,
@@ -403,8 +405,8 @@
         }
         if readable {
             let limit = match conn.side {
-                Side::Inbound { .. } => http::MAX_BODY + 2 * http::MAX_HEAD,
-                Side::Outbound { .. } => http::MAX_ANSWER + http::MAX_HEAD,
+                Side::Inbound { mesh } => max_body(mesh) + 2 * http::MAX_HEAD,
+                Side::Outbound { .. } => self.max_answer_bytes + http::MAX_HEAD,
             };
             if !conn.read(&mut self.scratch, limit) {
                 return self.broken(n);
@@ -441,7 +443,8 @@
             }
             return;
         }
-        match http::parse_request(&conn.inbuf) {
+        let mesh = matches!(conn.side, Side::Inbound { mesh: true });
+        match http::parse_request_within(&conn.inbuf, max_body(mesh)) {
             Ok(None) => {
                 if conn.ended {
                     self.close(n);
@@ -455,7 +458,6 @@
                 let id = self.next_request;
                 self.next_request += 1;
                 conn.to(State::Deciding(id), now, now + STALL_MS);
-                let mesh = matches!(conn.side, Side::Inbound { mesh: true });
                 let class = class_of(&request, mesh);
                 let came_ms = self.came_ms;
                 // Workers that were answered longest ago go first: their leases are shortest.
@@ -633,7 +635,7 @@
             }
             return;
         };
-        match http::parse_response(&conn.inbuf) {
+        match http::parse_response_within(&conn.inbuf, self.max_answer_bytes) {
             Ok(None) if conn.ended => self.broken(n),
             Ok(None) => {}
             Ok(Some((response, taken))) => {
@@ -803,6 +805,14 @@
     }
 }
 
+/// Largest body of a request: of a sibling's, or of any other's.
+fn max_body(mesh: bool) -> usize {
+    match mesh {
+        true => http::MAX_MESH_BODY,
+        false => http::MAX_BODY,
+    }
+}
+
 /// The class of work that a request is.
 fn class_of(request: &Request, mesh: bool) -> Class {
     let path = request.target.split('?').next().unwrap_or("");
--- a/crates/quartzgate/tests/unit/daemon.rs
+++ b/crates/quartzgate/tests/unit/daemon.rs
@@ -127,3 +127,51 @@
         open.push(worker);
     }
 }
+
+/// A call to a machine that is not there: it waits for a connection until its time is up.
+fn waiting_call(id: u64, addr: SocketAddr, body: usize) -> Call {
+    let (method, target, body) = ("POST", "/orders".into(), vec![0; body]);
+    Call { id, peer: Peer::Worker(addr), method, target, body, timeout_ms: 3_600_000 }
+}
+
+/// Calls that were refused before they were sent.
+fn not_sent(daemon: &mut Daemon) -> usize {
+    let refused = |e: &Event| matches!(e, Event::Outcome { outcome: Outcome::NotSent, .. });
+    daemon.events.drain(..).filter(refused).count()
+}
+
+/// A new leader commands each machine and asks it for its report, with fewer sockets than
+/// there are machines: all calls wait for their turn, none is refused for a count.
+#[test]
+fn calls_to_every_machine_wait_for_their_turn() {
+    let calls = 2 * quartzgate_core::capacity::MIN_FLEET as u64;
+    let mut daemon = Daemon::new(config(12)).unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let addr = listener.local_addr().unwrap();
+    for id in 0..calls {
+        let now = daemon.now_ms();
+        daemon.start_call(waiting_call(id, addr, 256), now);
+    }
+    assert_eq!(not_sent(&mut daemon), 0);
+    assert_eq!(daemon.queued_total + daemon.outbound, calls as usize);
+    let bodies = daemon.queued_bytes;
+    assert_eq!(bodies, daemon.queued_total * 256);
+    daemon.expire(u64::MAX);
+    assert_eq!((daemon.queued_total, daemon.queued_bytes), (0, 0));
+}
+
+/// Waiting calls are bounded by what their bodies take.
+#[test]
+fn waiting_calls_are_bounded_in_bytes() {
+    let mut daemon = Daemon::new(config(12)).unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let addr = listener.local_addr().unwrap();
+    let body = 60 * 1024;
+    let fits = daemon.max_queued_bytes / body;
+    for id in 0..2 * fits as u64 {
+        let now = daemon.now_ms();
+        daemon.start_call(waiting_call(id, addr, body), now);
+    }
+    assert_eq!(daemon.queued_total, fits);
+    assert_eq!(not_sent(&mut daemon), 2 * fits - fits - daemon.outbound);
+}
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -4,8 +4,12 @@
 pub const MAX_HEAD: usize = 8 * 1024;
 /// Request bodies larger than this are refused with 413.
 pub const MAX_BODY: usize = 64 * 1024;
-/// Bodies of answers to our own calls; watches and listings have no limit of their own.
-pub const MAX_ANSWER: usize = 4 * 1024 * 1024;
+/// Requests between controllers carry a whole request of a user or a worker, and what the
+/// sender says of itself.
+pub const MAX_MESH_BODY: usize = MAX_BODY + MAX_HEAD;
+/// Least limit for bodies of answers to our own calls: a listing of 4,500 machines takes
+/// less. Listings come in parts of 512 KiB; watches have no limit of their own.
+pub const MIN_ANSWER_LIMIT: usize = 4 * 1024 * 1024;
 const MAX_HEADERS: usize = 48;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -140,6 +144,14 @@
 /// Takes one request off the front of `buf`; `None` while it is incomplete.
 /// The number is how many bytes it took.
 pub fn parse_request(buf: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
+    parse_request_within(buf, MAX_BODY)
+}
+
+/// The same with another limit for the body.
+pub fn parse_request_within(
+    buf: &[u8],
+    max_body: usize,
+) -> Result<Option<(Request, usize)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut req = httparse::Request::new(&mut headers);
     let head = match req.parse(buf) {
@@ -149,7 +161,7 @@
         Err(_) => return Err(HttpError::Malformed),
     };
     let f = framing(req.headers, req.version == Some(1))?;
-    let Some((data, end)) = body(buf, head, &f, MAX_BODY)? else { return Ok(None) };
+    let Some((data, end)) = body(buf, head, &f, max_body)? else { return Ok(None) };
     let request = Request {
         method: req.method.unwrap_or("").to_string(),
         target: req.path.unwrap_or("").to_string(),
@@ -161,6 +173,14 @@
 
 /// Takes one response off the front of `buf`; `None` while it is incomplete.
 pub fn parse_response(buf: &[u8]) -> Result<Option<(Response, usize)>, HttpError> {
+    parse_response_within(buf, MIN_ANSWER_LIMIT)
+}
+
+/// The same with another limit for the body.
+pub fn parse_response_within(
+    buf: &[u8],
+    max_body: usize,
+) -> Result<Option<(Response, usize)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut res = httparse::Response::new(&mut headers);
     let head = match res.parse(buf) {
@@ -169,7 +189,7 @@
         _ => return Err(HttpError::Malformed),
     };
     let f = framing(res.headers, res.version == Some(1))?;
-    let Some((data, end)) = body(buf, head, &f, MAX_ANSWER)? else { return Ok(None) };
+    let Some((data, end)) = body(buf, head, &f, max_body)? else { return Ok(None) };
     let response = Response {
         status: res.code.unwrap_or(0),
         body: data,
--- a/crates/wire/tests/hostile.rs
+++ b/crates/wire/tests/hostile.rs
@@ -3,8 +3,14 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use quartzgate_wire::http::{parse_request, parse_response, write_request, HttpError, MAX_BODY};
-use quartzgate_wire::msg::{JobSpec, MeshMessage, Report, Shape};
+use quartzgate_wire::http::{
+    parse_request, parse_request_within, parse_response, write_request, write_response, HttpError,
+    Response, MAX_BODY, MAX_MESH_BODY,
+};
+use quartzgate_wire::msg::{
+    CloudStatus, Forward, JobSpec, ListedMachine, MachineList, MeshMessage, Report, Shape,
+    MESH_VERSION,
+};
 use quartzgate_wire::{from_cbor, to_cbor};
 
 fn runner(cases: u32) -> TestRunner {
@@ -162,3 +168,49 @@
     twice.push(0);
     assert!(from_cbor::<JobSpec>(&twice).is_err(), "bytes after the end");
 }
+
+/// A whole request of a user or a worker, as large as it may be, passes between controllers
+/// with what the sender says of itself, and no request that is larger.
+#[test]
+fn largest_request_can_be_forwarded() {
+    let forward = Forward {
+        method: "POST".into(),
+        path: format!("/api/jobs/wk-{}/abort", "9".repeat(20)),
+        body: vec![0xff; MAX_BODY],
+    };
+    let message = MeshMessage {
+        version: MESH_VERSION,
+        from: "n".repeat(100),
+        epoch: u64::MAX,
+        has_state: true,
+        forward: Some(forward),
+    };
+    let body = to_cbor(&message);
+    let mut bytes = Vec::new();
+    write_request(&mut bytes, "POST", "/mesh", "h", &body);
+    let (request, _) = parse_request_within(&bytes, MAX_MESH_BODY).unwrap().unwrap();
+    assert_eq!(from_cbor::<MeshMessage>(&request.body).unwrap(), message);
+    let head = format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n", MAX_MESH_BODY + 1);
+    let larger = parse_request_within(head.as_bytes(), MAX_MESH_BODY);
+    assert_eq!(larger, Err(HttpError::BodyTooLarge));
+}
+
+/// A listing of 4,500 machines in one answer, each with the longest texts, can be read.
+#[test]
+fn listing_of_the_largest_fleet_can_be_read() {
+    let text = "x".repeat(100);
+    let machine = ListedMachine {
+        name: text.clone(),
+        addr: text.clone(),
+        kind: text.clone(),
+        zone: text,
+        spot: true,
+        status: CloudStatus::Running,
+        age_s: 1e6 + 0.1,
+    };
+    let list = MachineList { machines: vec![machine; 4_500], more: false };
+    let mut bytes = Vec::new();
+    write_response(&mut bytes, &Response::new(200, to_cbor(&list)));
+    let (response, _) = parse_response(&bytes).unwrap().unwrap();
+    assert_eq!(from_cbor::<MachineList>(&response.body).unwrap().machines.len(), 4_500);
+}
