--- a/crates/core/src/lease_proxy/claim.rs
+++ b/crates/core/src/lease_proxy/claim.rs
@@ -96,6 +96,7 @@
         self.lease_proxy.write_store(&mut self.context, body, call);
     }
 
+    /// Takes in how the write of the claim ended.
     pub(super) fn on_claim_written(&mut self, epoch: u64, lease_id: u64, outcome: Outcome) {
         let written = match outcome {
             Outcome::Answer(response) if response.status == 200 => {
--- a/crates/core/src/lease_proxy/fencing.rs
+++ b/crates/core/src/lease_proxy/fencing.rs
@@ -23,6 +23,7 @@
 }
 
 impl TokenRaises {
+    /// Forgets all workers.
     pub fn clear(&mut self) {
         self.raised_ms.clear();
     }
--- a/crates/core/src/lease_proxy/mailbox/outbox.rs
+++ b/crates/core/src/lease_proxy/mailbox/outbox.rs
@@ -31,14 +31,17 @@
 }
 
 impl Outbox {
+    /// Whether nothing waits to be mailed.
     pub fn is_empty(&self) -> bool {
         self.orders.is_empty() && self.replies.is_empty() && self.heartbeats.is_empty()
     }
 
+    /// Adds orders behind those that wait.
     pub fn add_orders(&mut self, envelope: Envelope) {
         self.orders.push_back(envelope);
     }
 
+    /// Removes orders that are no longer to be mailed.
     pub fn remove_orders(&mut self, id: u64) {
         self.orders.retain(|envelope| envelope.id != id);
     }
--- a/crates/core/src/lease_proxy/mod.rs
+++ b/crates/core/src/lease_proxy/mod.rs
@@ -38,6 +38,7 @@
 }
 
 impl LeaseProxy {
+    /// A proxy without a claim.
     pub fn new(config: &Config) -> Self {
         LeaseProxy {
             claim: ProxyClaim::default(),
--- a/crates/core/src/lease_proxy/parked_heartbeats.rs
+++ b/crates/core/src/lease_proxy/parked_heartbeats.rs
@@ -20,6 +20,7 @@
 }
 
 impl ParkedHeartbeats {
+    /// An empty list, with the bounds that follow from the settings.
     pub fn new(config: &Config) -> Self {
         let parked = BoundedList::new(config.max_parked_heartbeats(), config.max_held_bytes());
         ParkedHeartbeats { parked }
--- a/crates/core/src/lease_proxy/proxied_jobs.rs
+++ b/crates/core/src/lease_proxy/proxied_jobs.rs
@@ -45,6 +45,7 @@
 }
 
 impl ProxiedJobs {
+    /// Forgets all jobs.
     pub fn clear(&mut self) {
         self.statuses.clear();
     }
@@ -53,6 +54,7 @@
         self.statuses.get(job).copied().unwrap_or(JobStatus::UNREAD)
     }
 
+    /// What is proven of a job now.
     pub fn liveness(&self, job: &str, context: &Context) -> JobLiveness {
         let status = self.status(job);
         let bound_ms = context.config.lease_bound_ms();
--- a/crates/core/src/membership/election.rs
+++ b/crates/core/src/membership/election.rs
@@ -21,7 +21,7 @@
 /// would otherwise keep all others from it.
 const MAX_RETAKES: u32 = 2;
 
-/// When this controller may stand for election, and the epoch that it has won.
+/// When this controller may campaign, and the epoch that it has won.
 #[derive(Debug, Default)]
 pub(super) struct Election {
     /// Earliest moment for the next attempt.
@@ -35,10 +35,12 @@
 }
 
 impl Election {
+    /// Epoch in which this controller leads; 0 if it does not.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
+    /// The store's revision of that epoch's record.
     pub fn epoch_revision(&self) -> u64 {
         self.epoch_revision
     }
@@ -72,7 +74,7 @@
 #[derive(Clone, Copy, Debug)]
 enum ElectionStep {
     Wait,
-    Stand(Candidacy),
+    Campaign(Candidacy),
     /// Deletes the leader key of the previous incarnation, so that another may lead.
     YieldLeadership {
         leader_revision: u64,
@@ -80,7 +82,7 @@
 }
 
 impl Controller {
-    /// Stands for election if there is no leader and that is due.
+    /// Campaigns if there is no leader and that is due.
     pub(super) fn tick_election(&mut self) {
         let Some(lease_id) = self.controller_lease_id() else { return };
         if self.foreign_format() || !self.membership.epoch_watch.is_read() {
@@ -88,7 +90,7 @@
         }
         match self.next_election_step() {
             ElectionStep::Wait => {}
-            ElectionStep::Stand(candidacy) => self.stand_for_election(lease_id, candidacy),
+            ElectionStep::Campaign(candidacy) => self.campaign(lease_id, candidacy),
             ElectionStep::YieldLeadership { leader_revision } => {
                 self.yield_leadership(leader_revision)
             }
@@ -106,13 +108,13 @@
             }
             (Some(_), _) => ElectionStep::Wait,
             (None, Role::Follower) if now < election.due_ms => ElectionStep::Wait,
-            (None, Role::Follower) => ElectionStep::Stand(Candidacy {
+            (None, Role::Follower) => ElectionStep::Campaign(Candidacy {
                 leader_revision: 0,
                 continued_epoch: None,
                 retakes: 0,
             }),
             // The key vanished with a lease, but nobody has led since: the epoch goes on.
-            (None, Role::Leader | Role::Recovering) => ElectionStep::Stand(Candidacy {
+            (None, Role::Leader | Role::Recovering) => ElectionStep::Campaign(Candidacy {
                 leader_revision: 0,
                 continued_epoch: Some(election.epoch),
                 retakes: 0,
@@ -133,10 +135,10 @@
         }
         let counted = self.has(Feature::SplitPlacementRecords);
         let retakes = if counted { retakes + 1 } else { 0 };
-        ElectionStep::Stand(Candidacy { leader_revision, continued_epoch: None, retakes })
+        ElectionStep::Campaign(Candidacy { leader_revision, continued_epoch: None, retakes })
     }
 
-    fn stand_for_election(&mut self, lease_id: u64, candidacy: Candidacy) {
+    fn campaign(&mut self, lease_id: u64, candidacy: Candidacy) {
         let now = self.context.now.steady_ms;
         let observed = self.membership.epoch_watch.epoch();
         let observed_epoch = observed.map_or(0, |epoch| epoch.record.epoch);
@@ -181,7 +183,7 @@
         changes
     }
 
-    /// Deletes the leader key of the previous incarnation. This controller stands again only
+    /// Deletes the leader key of the previous incarnation. This controller campaigns again only
     /// when nobody else has for a while.
     fn yield_leadership(&mut self, leader_revision: u64) {
         let now = self.context.now.steady_ms;
@@ -198,6 +200,7 @@
         self.membership.write_unconfirmed(&mut self.context, body);
     }
 
+    /// Takes in how the store has answered a candidacy.
     pub(super) fn on_election_outcome(&mut self, epoch: u64, outcome: Outcome) {
         if self.membership.role() != (Role::Candidate { epoch }) {
             return;
--- a/crates/core/src/membership/epoch_watch.rs
+++ b/crates/core/src/membership/epoch_watch.rs
@@ -45,22 +45,28 @@
 }
 
 impl EpochWatch {
+    /// The latest moment up to which the control keys are proven to be known, in steady
+    /// milliseconds.
     pub fn known_ms(&self) -> u64 {
         self.known_ms
     }
 
+    /// The record of the latest epoch.
     pub fn epoch(&self) -> Option<&Revisioned<EpochRecord>> {
         self.epoch.as_ref()
     }
 
+    /// The leader key, if it exists.
     pub fn leader(&self) -> Option<&Revisioned<LeaderRecord>> {
         self.leader.as_ref()
     }
 
+    /// When the present leader was first seen to lead, in steady milliseconds.
     pub fn leader_since_ms(&self) -> u64 {
         self.leader_since_ms
     }
 
+    /// The claims of lease proxies.
     pub fn claims(&self) -> &ProxyClaims {
         &self.claims
     }
@@ -300,7 +306,7 @@
     left.map(identity) == right.map(identity)
 }
 
-/// How long this controller waits before it stands for election. Controllers are staggered by
+/// How long this controller waits before it campaigns. Controllers are staggered by
 /// the order of their names, so that two of them rarely ask at the same time.
 fn election_delay_ms(context: &mut Context) -> u64 {
     let platform = &context.config.platform;
@@ -311,6 +317,7 @@
 }
 
 impl Controller {
+    /// Takes in a full read of the control keys, and watches them from its revision on.
     pub(super) fn on_control_keys_read(&mut self, sent_ms: u64, outcome: Outcome) {
         let snapshot = self.membership.observe_control_keys(&self.context, sent_ms, outcome);
         let Some(snapshot) = snapshot else { return };
@@ -320,6 +327,8 @@
         self.membership.watch_control_keys(&mut self.context);
     }
 
+    /// Takes in the changes that a watch has shown, in the order of their revisions, and watches
+    /// on.
     pub(super) fn on_control_keys_changed(&mut self, sent_ms: u64, outcome: Outcome) {
         let changes = self.membership.observe_control_changes(&self.context, sent_ms, outcome);
         let Some(changes) = changes else { return };
--- a/crates/core/src/membership/handoff_watch.rs
+++ b/crates/core/src/membership/handoff_watch.rs
@@ -31,6 +31,7 @@
 }
 
 impl HandoffWatch {
+    /// The latest moment up to which the queue is proven to be known, in steady milliseconds.
     pub fn known_ms(&self) -> u64 {
         self.known_ms
     }
@@ -65,6 +66,7 @@
         self.handoff_watch.due_ms = 0;
     }
 
+    /// Asks the store for what followers record from now on.
     pub(super) fn watch_handoff_queue(&mut self, context: &mut Context) {
         self.handoff_watch.state = WatchState::Watching;
         let epoch = self.election.epoch();
@@ -128,6 +130,7 @@
         self.membership.watch_handoff_from(revision);
     }
 
+    /// Takes in what followers have recorded, and watches on.
     pub(super) fn on_handoff_queue_changed(&mut self, sent_ms: u64, outcome: Outcome) {
         let changes = self.membership.observe_handoff_changes(&mut self.context, sent_ms, outcome);
         let Some(changes) = changes else { return };
--- a/crates/core/src/membership/held_heartbeats.rs
+++ b/crates/core/src/membership/held_heartbeats.rs
@@ -25,6 +25,7 @@
 }
 
 impl HeldHeartbeats {
+    /// An empty list, with the bounds that follow from the settings.
     pub fn new(config: &Config) -> Self {
         let held = BoundedList::new(config.max_held_heartbeats(), config.max_held_bytes());
         HeldHeartbeats { held }
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -147,11 +147,13 @@
 }
 
 impl Controller {
+    /// Takes in the answer to the request for a lease.
     pub(super) fn on_lease_granted(&mut self, sent_ms: u64, outcome: Outcome) {
         let change = self.membership.observe_grant(&self.context, sent_ms, outcome);
         self.on_lease_change(change);
     }
 
+    /// Takes in the answer to a renewal.
     pub(super) fn on_lease_renewed(&mut self, sent_ms: u64, outcome: Outcome) {
         let change = self.membership.observe_renewal(&self.context, sent_ms, outcome);
         self.on_lease_change(change);
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -60,6 +60,7 @@
 }
 
 impl Membership {
+    /// A follower that knows nothing yet.
     pub fn new(config: &Config) -> Self {
         let peer_count = config.platform.siblings.len();
         let read_rate = follower_share(config.platform.params.state.rps, peer_count + 1);
--- a/crates/core/src/membership/peers.rs
+++ b/crates/core/src/membership/peers.rs
@@ -43,14 +43,17 @@
 }
 
 impl Peers {
+    /// So many peers, none of which has been heard.
     pub fn new(count: usize) -> Self {
         Peers { states: vec![PeerState::default(); count], leader_hint: None }
     }
 
+    /// Number of the other controllers.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
+    /// The leader of the latest epoch that a heartbeat has shown.
     pub fn leader_hint(&self) -> Option<&LeaderRecord> {
         self.leader_hint.as_ref()
     }
@@ -77,6 +80,7 @@
             .find(|&peer| self.is_alive(peer, context) && self.states[peer].store_reachable)
     }
 
+    /// Whether any peer has been heard lately.
     pub fn any_alive(&self, context: &Context) -> bool {
         (0..self.len()).any(|peer| self.is_alive(peer, context))
     }
@@ -172,6 +176,7 @@
 }
 
 impl Controller {
+    /// Takes in a peer's own heartbeat in the answer to ours.
     pub(super) fn on_peer_heartbeat_answered(&mut self, peer: usize, outcome: Outcome) {
         self.membership.peers.states[peer].heartbeat_in_flight = false;
         let Outcome::Answer(response) = outcome else { return };
--- a/crates/core/src/membership/proxy_claims.rs
+++ b/crates/core/src/membership/proxy_claims.rs
@@ -16,10 +16,12 @@
 }
 
 impl ProxyClaims {
+    /// Whether no claim is known to exist.
     pub fn is_empty(&self) -> bool {
         self.revisions.is_empty()
     }
 
+    /// Whether a controller's claim is known to exist.
     pub fn contains(&self, node: &str) -> bool {
         self.revisions.contains_key(node)
     }
