--- a/crates/core/src/lease_proxy/mailbox/outbox.rs
+++ b/crates/core/src/lease_proxy/mailbox/outbox.rs
@@ -1,6 +1,7 @@
 //! What waits to be mailed to one peer.
 
 use std::collections::{BTreeMap, VecDeque};
+use std::ops::Bound;
 
 use quartzgate_wire::msg::Heartbeat;
 use serde::Serialize;
@@ -26,6 +27,8 @@
     replies: VecDeque<Reply>,
     /// Newest heartbeat of each machine.
     heartbeats: BTreeMap<String, Heartbeat>,
+    /// The machine whose heartbeat was taken last: those after it come next.
+    last_machine: String,
     /// What replies and heartbeats take together.
     held_bytes: usize,
 }
@@ -86,17 +89,27 @@
 
     fn take_heartbeats(&mut self, room: &mut usize) -> Vec<Heartbeat> {
         let mut taken = Vec::new();
-        while let Some(first) = self.heartbeats.first_entry() {
-            let size = serialized_size(first.get());
+        while let Some((machine, heartbeat)) = self.next_heartbeat() {
+            let size = serialized_size(heartbeat);
             if size > *room {
                 break;
             }
             *room -= size;
-            taken.push(first.remove());
+            let machine = machine.clone();
+            taken.extend(self.heartbeats.remove(&machine));
+            self.last_machine = machine;
         }
         taken
     }
 
+    /// The next machine in turn, so that none waits for others that send heartbeats again and
+    /// again.
+    fn next_heartbeat(&self) -> Option<(&String, &Heartbeat)> {
+        let after = (Bound::Excluded(&self.last_machine), Bound::Unbounded);
+        let next = self.heartbeats.range::<String, _>(after).next();
+        next.or(self.heartbeats.first_key_value())
+    }
+
     /// Drops what no record can hold, so that it does not block what comes after it. Orders stay:
     /// their identifiers are returned.
     pub fn drop_oversize(&mut self, room: usize) -> Vec<u64> {
