--- a/crates/core/src/post.rs
+++ b/crates/core/src/post.rs
@@ -8,6 +8,7 @@
 //! whose answer stays away is one whose fate is unknown.
 
 use std::collections::{BTreeMap, VecDeque};
+use std::ops::Bound;
 
 use ciborium::value::Value;
 use quartzgate_wire::http::Response;
@@ -60,6 +61,8 @@
     reports: BTreeMap<String, Report>,
     /// What replies and reports take together.
     held_bytes: usize,
+    /// The machine whose report was sent last: those after it come next.
+    last_machine: String,
 }
 
 impl Tray {
@@ -75,6 +78,13 @@
         self.replies.push_back(reply);
     }
 
+    /// The next machine in turn, so that none waits for others that report again and again.
+    fn next_machine(&self) -> Option<&String> {
+        let after = (Bound::Excluded(&self.last_machine), Bound::Unbounded);
+        let next = self.reports.range::<String, _>(after).next();
+        next.or(self.reports.first_key_value()).map(|(machine, _)| machine)
+    }
+
     /// Counts what is held anew, after some of it was taken out.
     fn weigh(&mut self) {
         let reports = self.reports.values().map(heartbeat_bytes).sum::<usize>();
@@ -210,13 +220,14 @@
         let orders = fill(&mut tray.orders, &mut room);
         let replies = fill(&mut tray.replies, &mut room);
         let mut reports = Vec::new();
-        while let Some(first) = tray.reports.first_entry() {
-            let size = checked_size(first.get()) + 1;
+        while let Some(machine) = tray.next_machine().cloned() {
+            let size = tray.reports.get(&machine).map_or(0, checked_size) + 1;
             if size > room {
                 break;
             }
             room -= size;
-            let (machine, report) = first.remove_entry();
+            let Some(report) = tray.reports.remove(&machine) else { break };
+            tray.last_machine = machine.clone();
             self.post.posted.insert(machine, (report.clone(), now));
             reports.push(report);
         }
--- a/crates/core/tests/stories/main.rs
+++ b/crates/core/tests/stories/main.rs
@@ -2,6 +2,7 @@
 //! the rules. Each says what it guards.
 
 mod chains;
+mod fleet_size;
 mod hearing;
 mod inline;
 mod input;
--- a/crates/core/tests/stories/world.rs
+++ b/crates/core/tests/stories/world.rs
@@ -362,6 +362,10 @@
     pub unlisted: BTreeSet<String>,
     /// Machines that reach no controller, while direct commands reach them.
     pub mute: BTreeSet<String>,
+    /// Controllers that no worker reaches, and that reach none.
+    pub without_workers: BTreeSet<usize>,
+    /// Heartbeats that were answered with a redirect.
+    pub redirects: u64,
     /// This share of reports is kept until another leads, and reaches every controller then.
     pub kept_copies: f64,
     kept: Vec<Vec<u8>>,
@@ -521,6 +525,8 @@
             cloud_off: true,
             unlisted: BTreeSet::new(),
             mute: BTreeSet::new(),
+            without_workers: BTreeSet::new(),
+            redirects: 0,
             kept_copies: 0.0,
             kept: Vec::new(),
             boot_ms: (3_000, 3_000),
@@ -721,6 +727,11 @@
     }
 
     fn cut_between(&self, a: &End, b: &End) -> Option<Cut> {
+        if let (End::Worker(_), End::Node(n)) | (End::Node(n), End::Worker(_)) = (a, b) {
+            if self.without_workers.contains(n) {
+                return Some(Cut::Drop);
+            }
+        }
         self.cuts
             .iter()
             .find(|(x, y, _)| (x, y) == (a, b) || (y, x) == (a, b))
--- a/crates/core/tests/stories/world/workers.rs
+++ b/crates/core/tests/stories/world/workers.rs
@@ -171,6 +171,7 @@
                 self.execute(name, a.orders);
             }
             421 => {
+                self.redirects += 1;
                 let owner = from_cbor::<Redirect>(body).ok().and_then(|r| r.owner);
                 let to = owner.and_then(|o| o.trim_start_matches('n').parse::<usize>().ok());
                 match to {
