--- a/crates/core/src/fleet/commands.rs
+++ b/crates/core/src/fleet/commands.rs
@@ -223,8 +223,7 @@
         match outcome {
             // An answer to a call is no duplicate: the machine is alive now.
             Outcome::Answer(response) if is_command_answer(response) => {
-                machine.last_heard_ms = now_ms;
-                machine.reachability.on_command_answered(now_ms)
+                machine.record_command_answered(now_ms)
             }
             Outcome::NotSent => {}
             _ => machine.reachability.on_command_unanswered(now_ms, route, &timing),
@@ -258,7 +257,7 @@
         }
         let interval_ms = self.context.config.heartbeat_interval_ms();
         if let Some(machine) = self.machines.get_mut(index) {
-            machine.no_starts_until_ms = self.context.now.steady_ms + interval_ms;
+            machine.pause_starts(self.context.now.steady_ms + interval_ms);
         }
     }
 
@@ -271,7 +270,7 @@
         if machine.fencing_token == fencing_token {
             machine.advance_fencing_token(epoch);
         }
-        machine.no_starts_until_ms = self.context.now.steady_ms + interval_ms;
+        machine.pause_starts(self.context.now.steady_ms + interval_ms);
     }
 }
 
--- a/crates/core/src/fleet/heartbeats.rs
+++ b/crates/core/src/fleet/heartbeats.rs
@@ -87,8 +87,7 @@
             Freshness::New => {}
             // Sent before the newest known one, and so was the lease that the answer renews.
             Freshness::Superseded => {
-                let answered_ms = machine.last_answered_ms.unwrap_or(0);
-                machine.last_answered_ms = Some(answered_ms.max(machine.last_heard_ms));
+                machine.record_superseded_answered();
                 let fencing_token = machine.fencing_token;
                 return self.answer_heartbeat(id, fencing_token, Vec::new());
             }
@@ -102,10 +101,7 @@
         let now_ms = self.context.now.steady_ms;
         let orders = self.reconciling_orders(index);
         let Some(machine) = self.machines.get_mut(index) else { return };
-        machine.last_answered_ms = Some(now_ms);
-        machine.reachability.on_heartbeat_answered();
-        machine.relayed_by = relayed_by;
-        (machine.cut, machine.via) = (machine.cut && relayed_by.is_some(), None);
+        machine.record_heartbeat_answered(now_ms, relayed_by);
         let fencing_token = machine.fencing_token;
         self.answer_heartbeat(id, fencing_token, orders);
     }
@@ -166,8 +162,7 @@
     pub(crate) fn observe_reply(&mut self, index: MachineIndex, heartbeat: Heartbeat) {
         let now_ms = self.context.now.steady_ms;
         if let Some(machine) = self.machines.get_mut(index) {
-            machine.last_heard_ms = now_ms;
-            machine.reachability.on_command_answered(now_ms);
+            machine.record_command_answered(now_ms);
         }
         self.observe_heartbeat(index, heartbeat);
     }
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -112,7 +112,7 @@
     /// When a quarantined machine is drained and released.
     pub(super) evict_from_ms: u64,
     /// Until when no start is sent to it.
-    pub(super) no_starts_until_ms: u64,
+    no_starts_until_ms: u64,
     /// When it was last asked for its status.
     pub probed_ms: u64,
 }
@@ -211,6 +211,34 @@
         !self.tasks.is_empty() || !self.unproven.is_empty()
     }
 
+    /// Notes that it has answered a call: it is alive now, and commands reach it.
+    pub(super) fn record_command_answered(&mut self, now_ms: u64) {
+        self.last_heard_ms = now_ms;
+        self.reachability.on_command_answered(now_ms);
+    }
+
+    /// Notes that its newest heartbeat is answered, which renews its lease, and by which
+    /// controller the heartbeat was relayed, if any.
+    pub(super) fn record_heartbeat_answered(&mut self, now_ms: u64, relayed_by: Option<usize>) {
+        self.last_answered_ms = Some(now_ms);
+        self.reachability.on_heartbeat_answered();
+        self.relayed_by = relayed_by;
+        self.cut = self.cut && relayed_by.is_some();
+        self.via = None;
+    }
+
+    /// Notes that a superseded heartbeat is answered: the lease that this renews counts from
+    /// the newest heartbeat at most.
+    pub(super) fn record_superseded_answered(&mut self) {
+        let last_answered_ms = self.last_answered_ms.unwrap_or(0);
+        self.last_answered_ms = Some(last_answered_ms.max(self.last_heard_ms));
+    }
+
+    /// Sends no start to it until this time.
+    pub(super) fn pause_starts(&mut self, until_ms: u64) {
+        self.no_starts_until_ms = until_ms;
+    }
+
     /// Raises the token, so that commands still on their way are refused when they arrive.
     pub(super) fn advance_fencing_token(&mut self, epoch: u64) {
         let counter = self.fencing_token & TOKEN_COUNTER_MASK;
--- a/crates/core/src/fleet/provisioning/demand.rs
+++ b/crates/core/src/fleet/provisioning/demand.rs
@@ -20,15 +20,15 @@
     pub tasks: u32,
 }
 
-/// Capacity that is kept free for production tasks.
+/// Capacity that stays free for production tasks.
 pub(super) struct WarmCapacity {
     /// What the largest production task needs.
     pub need: Resources,
-    /// For how many such tasks capacity is kept.
+    /// For how many such tasks there should be capacity.
     pub tasks: u32,
 }
 
-/// Free capacity summed up over one zone, or over all.
+/// The one zone in which all of a gang's tasks run, or none if they may run in any.
 type ZoneChoice = Option<u16>;
 
 impl Controller {
@@ -202,7 +202,7 @@
         (tasks > 0).then_some(UnmetDemand { spec, tasks })
     }
 
-    /// What is missing of the capacity that is kept free for production tasks.
+    /// What is missing of the capacity that should stay free for production tasks.
     fn unmet_warm_capacity(&self, pool: &CapacityPool) -> Option<UnmetDemand> {
         let warm = self.warm_capacity()?;
         let largest = self.largest_production_job()?;
@@ -227,8 +227,8 @@
             .count() as u32
     }
 
-    /// The capacity that is kept free for production: a share of what production runs, reckoned
-    /// in its largest task.
+    /// The capacity that should stay free for production: a configured fraction of what
+    /// production runs, in units of its largest task.
     pub(super) fn warm_capacity(&self) -> Option<WarmCapacity> {
         let largest = self.largest_production_job()?;
         let running: f64 = self.production_jobs().map(|job| f64::from(job.on)).sum();
--- a/crates/core/src/fleet/provisioning/mod.rs
+++ b/crates/core/src/fleet/provisioning/mod.rs
@@ -86,6 +86,7 @@
 }
 
 impl Provisioner {
+    /// The state of a new leader, who has not read the cloud's list yet.
     pub fn new(config: &Config) -> Self {
         Provisioner {
             rate_limiter: RateLimiter::new(config.platform.params.cloud.rps * CLOUD_RATE_SHARE),
--- a/crates/core/src/fleet/provisioning/scale_in.rs
+++ b/crates/core/src/fleet/provisioning/scale_in.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Counts an idle machine as capacity that is kept free for production.
+    /// Counts an idle machine as capacity that stays free for production.
     fn keep_warm(&self, machine: &Machine, warm: &mut WarmCapacity) {
         let capacity = self.capacity_of(&machine.kind);
         let tasks = capacity.map_or(0, |capacity| capacity.holds(&warm.need));
--- a/crates/core/src/fleet/reconciliation.rs
+++ b/crates/core/src/fleet/reconciliation.rs
@@ -176,7 +176,7 @@
         let interval_ms = self.context.config.heartbeat_interval_ms();
         let until_ms = self.context.now.steady_ms + interval_ms;
         let Some(machine) = self.machines.get_mut(index) else { return };
-        machine.no_starts_until_ms = until_ms;
+        machine.pause_starts(until_ms);
         tracing::info!(
             machine = %machine.name, task = %reported.task,
             "start refused: insufficient resources"
