--- a/crates/core/src/jobs/dependencies.rs
+++ b/crates/core/src/jobs/dependencies.rs
@@ -1,15 +1,16 @@
-//! Jobs that wait for other jobs.
+//! Dependencies between jobs: a directed acyclic graph.
 //!
-//! The leader's memory holds the graph of what still waits: which jobs in memory wait for
-//! a job. An edge goes when the named job's end is known to be on record. A job is
-//! `Waiting` while it has an edge left; it is cancelled as soon as a job before it is.
+//! The leader's memory holds the part of the graph that is still open: for each job that has not
+//! ended, which jobs in memory wait for it. An edge is removed when the end of the named job is
+//! known to be recorded. A job is `Waiting` while it has an edge left, and aborted as soon as one of
+//! its dependencies is.
 //!
-//! Since nothing of a waiting job was ever dealt, that it is cancelled through another
-//! follows from the records alone. Any controller can find it out by reading along the
-//! chain (a *walk*), before anybody has written the end down.
+//! No task of a waiting job was ever placed, so whether it is aborted through a dependency follows
+//! from the records alone. Any controller can find it out by reading the records along the graph (a
+//! *walk*), before anyone has written that end.
 //!
-//! Deadline and priority flow backwards: a job counts as having the highest priority of
-//! those that need it, and as due so long before them as what lies between takes.
+//! Priorities and deadlines propagate backwards: a job has the highest priority of those that depend
+//! on it, and is due before them by the expected duration of what lies between.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
@@ -24,9 +25,9 @@
 use crate::{Outcome, RequestId};
 
 impl Job {
-    /// The priority with which it makes others stop: that of a job that needs it only
-    /// once that one's deadline is in danger. Until then it goes first where room comes
-    /// free, and nothing is lost for it.
+    /// The priority with which it preempts others: the inherited one only once the deadline that
+    /// came with it is at risk. Until then it is merely first to get what becomes free, and no
+    /// work is lost for it.
     pub fn force(&self) -> Priority {
         match self.pressed {
             true => self.priority,
@@ -39,17 +40,23 @@
         let (class, at_ms) = (self.spec.class.clone(), self.at_ms);
         self.spec.deadline_s.map(|due_s| Deadline { class, at_ms, due_s, tail_s: 0.0 })
     }
+
+    /// Its own priority and deadline, without those of the jobs that depend on it.
+    fn own_urgency(&self) -> Urgency {
+        Urgency { priority: self.spec.priority, deadline: self.own_due() }
+    }
 }
 
-/// A deadline that a job works towards: its own, or that of one that needs it.
+/// A deadline that a job has: its own, or that of one that depends on it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deadline {
-    /// Class of the job whose deadline it is, for which the operators have aims.
+    /// Class of the job that was submitted with it; the objectives are set by class.
     pub class: String,
-    /// When that job was submitted, and how long after that it is due.
+    /// Time of day at which that job was submitted.
     pub at_ms: u64,
+    /// How long after its submission that job is due.
     pub due_s: f64,
-    /// What lies between this job's end and that job's, by all that is known.
+    /// Expected time between the end of the job that has the deadline and the end of that job.
     pub tail_s: f64,
 }
 
@@ -60,25 +67,62 @@
     }
 }
 
+/// What propagates from a job to its dependencies.
+#[derive(Clone)]
+struct Urgency {
+    priority: Priority,
+    deadline: Option<Deadline>,
+}
+
+impl Urgency {
+    /// What a job has of which nothing is known: raised by anything.
+    const LOWEST: Urgency = Urgency { priority: Priority::Low, deadline: None };
+
+    /// Takes over the higher priority and the earlier deadline.
+    fn raise(&mut self, other: Urgency) {
+        self.priority = self.priority.max(other.priority);
+        self.deadline = earlier_deadline(self.deadline.take(), other.deadline);
+    }
+
+    /// The same for a dependency that has to end this long before.
+    fn before(&self, duration_s: f64) -> Urgency {
+        let earlier =
+            |deadline: Deadline| Deadline { tail_s: deadline.tail_s + duration_s, ..deadline };
+        Urgency { priority: self.priority, deadline: self.deadline.clone().map(earlier) }
+    }
+}
+
+/// The earlier of two deadlines; the first if they are equal.
+fn earlier_deadline(first: Option<Deadline>, second: Option<Deadline>) -> Option<Deadline> {
+    match (first, second) {
+        (Some(first), Some(second)) if second.latest_ms() < first.latest_ms() => Some(second),
+        (Some(first), _) => Some(first),
+        (None, second) => second,
+    }
+}
+
+/// The open part of the graph, and the walks that are under way.
 #[derive(Default)]
 pub(crate) struct DependencyGraph {
-    /// Jobs in memory that wait for a job, by its id.
-    waiting: HashMap<String, BTreeSet<JobIndex>>,
-    /// Named jobs of which memory knows nothing, and when each was last asked for.
+    /// Jobs in memory that wait for a job, by its identifier.
+    dependents: HashMap<String, BTreeSet<JobIndex>>,
+    /// Dependencies that are neither in memory nor known to have ended, and the steady clock at
+    /// which the record of each was last asked for; 0 if it never was.
     unknown: BTreeMap<String, u64>,
-    /// Ends on record that the jobs behind them have not been told of.
-    settled: VecDeque<(String, RecordedStatus)>,
-    /// Jobs whose priority or deadline is another's.
-    raised: BTreeSet<JobIndex>,
-    /// The graph has changed since priorities and deadlines were worked out.
+    /// Recorded ends that have not been applied to the dependents yet.
+    ended: VecDeque<(String, RecordedStatus)>,
+    /// Jobs whose priority or deadline may be inherited.
+    inheriting: BTreeSet<JobIndex>,
+    /// The graph has changed since priorities and deadlines were last propagated.
     changed: bool,
-    worked_ms: u64,
-    /// Requests that are answered by reading along a chain.
+    /// Steady clock of the last propagation.
+    propagated_ms: u64,
+    /// Requests that are answered by reading records along the graph.
     walks: BTreeMap<RequestId, DependencyWalk>,
 }
 
 impl DependencyGraph {
-    /// What the leader's memory held goes; requests still get their answers.
+    /// Drops what belongs to the leader's memory. Walks go on, since requests still wait for them.
     pub fn forget_graph(&mut self) {
         let walks = std::mem::take(&mut self.walks);
         *self = DependencyGraph { walks, ..DependencyGraph::default() };
@@ -86,201 +130,240 @@
 
     /// Whether any job in memory waits for this one.
     pub fn needed(&self, id: &str) -> bool {
-        self.waiting.contains_key(id)
+        self.dependents.contains_key(id)
     }
 
+    /// Number of edges.
     pub fn edges(&self) -> usize {
-        self.waiting.values().map(BTreeSet::len).sum()
+        self.dependents.values().map(BTreeSet::len).sum()
     }
 
+    /// Number of dependencies of which neither job nor end is known.
     pub fn unknown(&self) -> usize {
         self.unknown.len()
     }
+
+    fn add_edge(&mut self, dependency: &str, dependent: JobIndex) {
+        self.dependents.entry(dependency.to_string()).or_default().insert(dependent);
+    }
+
+    fn remove_edge(&mut self, dependency: &str, dependent: JobIndex) {
+        self.changed = true;
+        let Some(dependents) = self.dependents.get_mut(dependency) else { return };
+        dependents.remove(&dependent);
+        if dependents.is_empty() {
+            self.dependents.remove(dependency);
+            self.unknown.remove(dependency);
+        }
+    }
+
+    /// Removes the edges of a dependency that has ended, and returns the jobs that waited for it.
+    fn take_dependents(&mut self, dependency: &str) -> Option<BTreeSet<JobIndex>> {
+        self.unknown.remove(dependency);
+        let dependents = self.dependents.remove(dependency)?;
+        self.changed = true;
+        Some(dependents)
+    }
+
+    /// Unknown dependencies whose records were not asked for within `retry_ms`, a bounded number.
+    fn unknown_to_read(&self, now_ms: u64, retry_ms: u64) -> Vec<String> {
+        let is_due = |asked_ms: u64| asked_ms == 0 || now_ms >= asked_ms + retry_ms;
+        let due = self.unknown.iter().filter(|(_, asked_ms)| is_due(**asked_ms));
+        due.map(|(id, _)| id.clone()).take(MAX_UNKNOWN_READS).collect()
+    }
+
+    fn expired_walks(&self, now_ms: u64) -> Vec<RequestId> {
+        let expired = self.walks.iter().filter(|(_, walk)| now_ms >= walk.expires_ms);
+        expired.map(|(request, _)| *request).collect()
+    }
 }
 
 /// What a walk is for.
 #[derive(Debug)]
-enum Purpose {
-    /// To tell how a job stands whose record is live.
-    Tell(JobAnswer),
-    /// To see that all jobs that a submission names were accepted.
-    Admit(Box<JobSpec>),
+enum WalkPurpose {
+    /// To answer a status query for a job whose record says that it has not ended.
+    Status(JobAnswer),
+    /// To verify that all dependencies of a submission were accepted.
+    Admission(Box<JobSpec>),
 }
 
+/// Reads of records along the graph for one request.
 #[derive(Debug)]
 struct DependencyWalk {
-    purpose: Purpose,
-    /// Jobs that are still to be read, and those that were looked at.
-    open: Vec<String>,
+    purpose: WalkPurpose,
+    /// Jobs whose records are still to be read.
+    unread: Vec<String>,
+    /// Jobs that were ever in `unread`.
     seen: HashSet<String>,
-    reading: usize,
-    /// A job before it is not done; one is cancelled.
-    waits: bool,
-    cancelled: bool,
-    until_ms: u64,
+    reads_in_flight: usize,
+    /// A job that was read has not ended.
+    found_live: bool,
+    /// A job that was read is aborted.
+    found_aborted: bool,
+    /// Steady clock at which the request is answered as undecidable.
+    expires_ms: u64,
 }
 
 impl DependencyWalk {
-    /// It is for a submission, which names this job itself.
-    fn names(&self, id: &String) -> bool {
-        matches!(&self.purpose, Purpose::Admit(spec) if spec.dependencies.contains(id))
+    /// Whether it is for a submission that names this job as a direct dependency.
+    fn admits_dependent_of(&self, id: &String) -> bool {
+        matches!(&self.purpose, WalkPurpose::Admission(spec) if spec.dependencies.contains(id))
     }
 }
 
-/// Reads of one walk that are under way at a time.
-const WALK_READS: usize = 6;
-/// What a name takes that a walk has seen.
-const WALK_NAME_BYTES: usize = 64;
-/// Unknown jobs that are asked for at a time.
-const UNKNOWN_READS: usize = 20;
+/// Reads of one walk in flight at a time.
+const MAX_WALK_READS: usize = 6;
+/// Rough size of a name in the memory of a walk.
+const BYTES_PER_WALK_NAME: usize = 64;
+/// Unknown dependencies that are read at a time.
+const MAX_UNKNOWN_READS: usize = 20;
+/// Seconds of the read rate that reads of unknown dependencies leave to others.
+const UNKNOWN_READ_RESERVE: f64 = 0.25;
 
 impl Controller {
-    /// Enters a job's dependencies into the graph. What ended is known by its end on
-    /// record; of what memory does not know, the record is read.
+    /// Enters a job's dependencies into the graph. Those that ended are known by their recorded
+    /// ends; the records of those that memory does not know are read later.
     pub(crate) fn link(&mut self, ix: JobIndex) {
         let Some(job) = self.jobs.get(ix) else { return };
-        let named = job.spec.dependencies.clone();
-        if named.is_empty() {
+        let dependencies = job.spec.dependencies.clone();
+        if dependencies.is_empty() {
             return;
         }
-        let mut cancelled = false;
-        for id in named {
+        let mut aborted = false;
+        for id in dependencies {
             match self.terminal_jobs.get(&id) {
                 Some(RecordedStatus::Done) => {}
-                Some(_) => cancelled = true,
-                None => {
-                    if self.jobs.find(&id).is_none() {
-                        self.dependency_graph.unknown.entry(id.clone()).or_insert(0);
-                    }
-                    self.dependency_graph.waiting.entry(id.clone()).or_default().insert(ix);
-                    if let Some(j) = self.jobs.get_mut(ix) {
-                        j.waits_on.insert(id);
-                    }
-                }
+                Some(_) => aborted = true,
+                None => self.add_dependency(ix, id),
             }
         }
         self.dependency_graph.changed = true;
-        if cancelled {
-            self.cancel_through(ix);
-        } else if self.jobs.get(ix).is_some_and(|j| j.state == JobState::Live) {
+        if aborted {
+            self.abort_through_dependency(ix);
+        } else if self.jobs.get(ix).is_some_and(|job| job.state == JobState::Live) {
+            // It becomes `Waiting` if an edge was added.
             self.set_job_state(ix, JobState::Live);
         }
     }
 
-    /// Takes a job that is over, or forgotten, out of the graph.
+    fn add_dependency(&mut self, job_index: JobIndex, dependency: String) {
+        if self.jobs.find(&dependency).is_none() {
+            self.dependency_graph.unknown.entry(dependency.clone()).or_insert(0);
+        }
+        self.dependency_graph.add_edge(&dependency, job_index);
+        if let Some(job) = self.jobs.get_mut(job_index) {
+            job.waits_on.insert(dependency);
+        }
+    }
+
+    /// Takes a job that has ended, or leaves memory, out of the graph.
     pub(crate) fn unlink(&mut self, ix: JobIndex) {
-        self.dependency_graph.raised.remove(&ix);
+        self.dependency_graph.inheriting.remove(&ix);
         let Some(job) = self.jobs.get_mut(ix) else { return };
         let id = job.id.clone();
-        for dep in std::mem::take(&mut job.waits_on) {
-            self.dependency_graph.changed = true;
-            if let Some(set) = self.dependency_graph.waiting.get_mut(&dep) {
-                set.remove(&ix);
-                if set.is_empty() {
-                    self.dependency_graph.waiting.remove(&dep);
-                    self.dependency_graph.unknown.remove(&dep);
-                }
-            }
+        for dependency in std::mem::take(&mut job.waits_on) {
+            self.dependency_graph.remove_edge(&dependency, ix);
         }
-        // Memory forgets a job that others wait for without knowing its end.
+        // A job with dependents leaves memory although its end is not known.
         if self.dependency_graph.needed(&id) && self.terminal_jobs.get(&id).is_none() {
             self.dependency_graph.unknown.insert(id, 0);
         }
     }
 
-    /// An end that stands on record, whoever wrote it.
+    /// Remembers the recorded end of a job, whichever controller wrote it.
     pub(crate) fn learn_terminal_state(&mut self, id: &str, status: RecordedStatus) {
         self.terminal_jobs.insert(id.to_string(), status);
         if self.dependency_graph.needed(id) {
-            self.dependency_graph.settled.push_back((id.to_string(), status));
+            self.dependency_graph.ended.push_back((id.to_string(), status));
         }
     }
 
-    /// Tells the jobs behind those that have ended.
+    /// Applies recorded ends to the dependents, and propagates priorities and deadlines if the graph
+    /// has changed.
     pub(crate) fn settle_dependencies(&mut self) {
-        while let Some((id, status)) = self.dependency_graph.settled.pop_front() {
-            self.dependency_graph.unknown.remove(&id);
-            let Some(unwritten_records) = self.dependency_graph.waiting.remove(&id) else {
-                continue;
-            };
-            self.dependency_graph.changed = true;
-            for ix in unwritten_records {
-                let Some(job) = self.jobs.get_mut(ix) else { continue };
-                job.waits_on.remove(&id);
-                let ready = job.waits_on.is_empty() && job.state == JobState::Waiting;
-                match status {
-                    RecordedStatus::Done if ready => self.set_job_state(ix, JobState::Live),
-                    RecordedStatus::Aborted => self.cancel_through(ix),
-                    _ => {}
-                }
+        while let Some((id, status)) = self.dependency_graph.ended.pop_front() {
+            let Some(dependents) = self.dependency_graph.take_dependents(&id) else { continue };
+            for dependent in dependents {
+                self.settle_dependent(dependent, &id, status);
             }
         }
-        if self.dependency_graph.changed
-            && self.context.now.steady_ms
-                >= self.dependency_graph.worked_ms + self.context.config.write_batch_ms()
-        {
-            self.work_out_chains();
+        let next_ms = self.dependency_graph.propagated_ms + self.context.config.write_batch_ms();
+        if self.dependency_graph.changed && self.context.now.steady_ms >= next_ms {
+            self.propagate_urgency();
         }
     }
 
-    /// A job before this one is cancelled on record, and so this one is.
-    fn cancel_through(&mut self, ix: JobIndex) {
-        let Some(job) = self.jobs.get(ix) else { return };
+    fn settle_dependent(&mut self, dependent: JobIndex, dependency: &str, status: RecordedStatus) {
+        let Some(job) = self.jobs.get_mut(dependent) else { return };
+        job.waits_on.remove(dependency);
+        let ready = job.waits_on.is_empty() && job.state == JobState::Waiting;
+        match status {
+            RecordedStatus::Done if ready => self.set_job_state(dependent, JobState::Live),
+            RecordedStatus::Aborted => self.abort_through_dependency(dependent),
+            _ => {}
+        }
+    }
+
+    /// Aborts a job because one of its dependencies is recorded as aborted.
+    fn abort_through_dependency(&mut self, job_index: JobIndex) {
+        let Some(job) = self.jobs.get(job_index) else { return };
         if matches!(job.state, JobState::Aborted | JobState::Done | JobState::Unreadable) {
             return;
         }
-        tracing::info!(job = %job.id, "cancelled through a job that it needs");
-        self.set_job_state(ix, JobState::Aborted);
-        self.record_writer.touch_job(ix);
+        tracing::info!(job = %job.id, "job aborted because a dependency was aborted");
+        self.set_job_state(job_index, JobState::Aborted);
+        self.record_writer.touch_job(job_index);
     }
 
-    /// Reads the records of named jobs that memory does not know.
+    /// The jobs in memory that this one waits for, directly or through others; `None` if one of
+    /// them is not in memory.
+    pub(crate) fn before(&self, ix: JobIndex) -> Option<Vec<JobIndex>> {
+        let mut found = Vec::new();
+        let mut seen = HashSet::from([ix]);
+        let mut open = vec![ix];
+        while let Some(index) = open.pop() {
+            for id in &self.jobs.get(index)?.waits_on {
+                let dependency = self.jobs.find(id)?;
+                if seen.insert(dependency) {
+                    found.push(dependency);
+                    open.push(dependency);
+                }
+            }
+        }
+        Some(found)
+    }
+
+    /// Answers the requests whose walks took too long, and reads the records of dependencies that
+    /// memory does not know.
     pub(crate) fn tick_dependencies(&mut self) {
-        let now = self.context.now.steady_ms;
-        let late: Vec<RequestId> = self
-            .dependency_graph
-            .walks
-            .iter()
-            .filter(|(_, w)| now >= w.until_ms)
-            .map(|(r, _)| *r)
-            .collect();
-        for request in late {
+        for request in self.dependency_graph.expired_walks(self.context.now.steady_ms) {
             self.dependency_graph.walks.remove(&request);
             self.answer_busy(request);
         }
-        if !self.leads() {
-            return;
+        if self.leads() {
+            self.read_unknown_dependencies();
         }
-        let again = 2 * self.context.config.store_timeout_ms();
-        let due: Vec<String> = self
-            .dependency_graph
-            .unknown
-            .iter()
-            .filter(|(_, asked)| **asked == 0 || now >= **asked + again)
-            .map(|(id, _)| id.clone())
-            .take(UNKNOWN_READS)
-            .collect();
-        for id in due {
-            if !self.membership.reads.take(now, 1.0, 0.25) {
+    }
+
+    fn read_unknown_dependencies(&mut self) {
+        let now_ms = self.context.now.steady_ms;
+        let retry_ms = 2 * self.context.config.store_timeout_ms();
+        for id in self.dependency_graph.unknown_to_read(now_ms, retry_ms) {
+            if !self.membership.reads.take(now_ms, 1.0, UNKNOWN_READ_RESERVE) {
                 return;
             }
-            self.dependency_graph.unknown.insert(id.clone(), now.max(1));
+            self.dependency_graph.unknown.insert(id.clone(), now_ms.max(1));
             let pending = InFlight::ChainRead { job: id.clone(), epoch: self.epoch() };
             self.look_up(&id, pending);
         }
     }
 
+    /// Outcome of reading the record of an unknown dependency.
     pub(crate) fn on_dependency_read(&mut self, id: String, outcome: Outcome) {
         let Ok(pair) = self.read_outcome(outcome) else { return };
-        let record = pair.as_ref().and_then(|p| decode::<JobRecord>(&p.value));
+        let record = pair.as_ref().and_then(|pair| decode::<JobRecord>(&pair.value));
         let (Some(pair), Some(record)) = (pair, record) else {
-            // Seldom asked again: somebody has to look at it.
-            let later = self.context.now.steady_ms + self.context.config.lease_ms();
-            if let Some(asked) = self.dependency_graph.unknown.get_mut(&id) {
-                *asked = later;
-                tracing::error!(job = %id, "its record is missing or can't be read; the jobs that need it wait");
-            }
-            return;
+            return self.on_dependency_unreadable(&id);
         };
         match record.status {
             RecordedStatus::Live => {
@@ -292,255 +375,244 @@
         }
     }
 
-    /// Jobs in memory that this one waits for, directly or through others; `None` if one
-    /// of them is not in memory. Ends that are on record are no longer waited for.
-    pub(crate) fn before(&self, ix: JobIndex) -> Option<Vec<JobIndex>> {
-        let mut out = Vec::new();
-        let mut seen = HashSet::from([ix]);
-        let mut open = vec![ix];
-        while let Some(at) = open.pop() {
-            for id in &self.jobs.get(at)?.waits_on {
-                let dep = self.jobs.find(id)?;
-                if seen.insert(dep) {
-                    out.push(dep);
-                    open.push(dep);
-                }
-            }
+    /// An operator has to repair the record: it is read again, but seldom.
+    fn on_dependency_unreadable(&mut self, id: &str) {
+        let later_ms = self.context.now.steady_ms + self.context.config.lease_ms();
+        if let Some(asked_ms) = self.dependency_graph.unknown.get_mut(id) {
+            *asked_ms = later_ms;
+            tracing::error!(job = %id, "a dependency's record is missing or can't be decoded; the jobs that depend on it wait");
         }
-        Some(out)
     }
 
-    /// How long a job takes from when it is ready, as far as can be known: its tasks at
-    /// once, an image to fetch, a report to hear of its end and a write to record it.
+    /// Expected time from when a job could start until its end is recorded, in seconds: all tasks
+    /// at once, the fetch of an image, a heartbeat that reports the end and a write.
     pub(crate) fn stage_s(&self, job: &Job) -> f64 {
-        let kinds = self.types.iter().map(|t| self.fetch_s(&job.spec, &t.name));
-        let fetch_s = kinds.fold(0.0, f64::max);
-        let heard_s = (self.context.config.heartbeat_interval_ms()
-            + 2 * self.context.config.write_batch_ms()) as f64
-            / 1000.0;
-        job.spec.estimate_s + fetch_s + heard_s
+        let fetches = self.types.iter().map(|machine| self.fetch_s(&job.spec, &machine.name));
+        let fetch_s = fetches.fold(0.0, f64::max);
+        let report_ms =
+            self.context.config.heartbeat_interval_ms() + 2 * self.context.config.write_batch_ms();
+        job.spec.estimate_s + fetch_s + report_ms as f64 / 1000.0
     }
 
-    /// Priorities and deadlines, from the ends of the chains backwards.
-    fn work_out_chains(&mut self) {
+    /// Propagates priorities and deadlines from the jobs without dependents backwards, each job
+    /// after all of its dependents.
+    fn propagate_urgency(&mut self) {
         self.dependency_graph.changed = false;
-        self.dependency_graph.worked_ms = self.context.now.steady_ms;
-        // How many of the jobs behind each have not been looked at.
-        let mut unwritten_records: BTreeMap<JobIndex, usize> = BTreeMap::new();
-        let mut all: BTreeSet<JobIndex> = BTreeSet::new();
-        for (id, set) in &self.dependency_graph.waiting {
-            all.extend(set);
-            if let Some(ix) = self.jobs.find(id) {
-                all.insert(ix);
-                unwritten_records.insert(ix, set.len());
+        self.dependency_graph.propagated_ms = self.context.now.steady_ms;
+        let (jobs, mut dependents_left) = self.jobs_with_edges();
+        let mut inherited: BTreeMap<JobIndex, Urgency> = BTreeMap::new();
+        let mut ready: Vec<JobIndex> =
+            jobs.iter().copied().filter(|index| !dependents_left.contains_key(index)).collect();
+        while let Some(index) = ready.pop() {
+            let Some(job) = self.jobs.get(index) else { continue };
+            let mut urgency = job.own_urgency();
+            if let Some(other) = inherited.remove(&index) {
+                urgency.raise(other);
             }
-        }
-        let mut found: BTreeMap<JobIndex, (Priority, Option<Deadline>)> = BTreeMap::new();
-        let mut open: Vec<JobIndex> =
-            all.iter().copied().filter(|ix| !unwritten_records.contains_key(ix)).collect();
-        while let Some(ix) = open.pop() {
-            let Some(job) = self.jobs.get(ix) else { continue };
-            let (mut priority, mut due) = (job.spec.priority, job.own_due());
-            if let Some((other, theirs)) = found.remove(&ix) {
-                priority = priority.max(other);
-                due = sooner(due, theirs);
-            }
-            let tail_s = self.stage_s(job);
-            let before: Vec<JobIndex> =
-                job.waits_on.iter().filter_map(|id| self.jobs.find(id)).collect();
-            for dep in before {
-                let theirs = due.clone().map(|d| Deadline { tail_s: d.tail_s + tail_s, ..d });
-                let entry = found.entry(dep).or_insert((Priority::Low, None));
-                entry.0 = entry.0.max(priority);
-                entry.1 = sooner(entry.1.take(), theirs);
-                if let Some(n) = unwritten_records.get_mut(&dep) {
-                    *n -= 1;
-                    if *n == 0 {
-                        open.push(dep);
+            let for_dependencies = urgency.before(self.stage_s(job));
+            for dependency in job.waits_on.iter().filter_map(|id| self.jobs.find(id)) {
+                let entry = inherited.entry(dependency).or_insert(Urgency::LOWEST);
+                entry.raise(for_dependencies.clone());
+                if let Some(left) = dependents_left.get_mut(&dependency) {
+                    *left -= 1;
+                    if *left == 0 {
+                        ready.push(dependency);
                     }
                 }
             }
-            self.raise_to(ix, priority, due);
+            self.set_urgency(index, urgency);
+        }
+        self.reset_urgency_without_edges(jobs);
+        self.placement_due = true;
+        self.preempt_due = true;
+    }
+
+    /// All jobs in memory with an edge, and the number of dependents of those that have any.
+    fn jobs_with_edges(&self) -> (BTreeSet<JobIndex>, BTreeMap<JobIndex, usize>) {
+        let mut jobs = BTreeSet::new();
+        let mut dependent_counts = BTreeMap::new();
+        for (id, dependents) in &self.dependency_graph.dependents {
+            jobs.extend(dependents);
+            if let Some(index) = self.jobs.find(id) {
+                jobs.insert(index);
+                dependent_counts.insert(index, dependents.len());
+            }
         }
-        let old = std::mem::replace(&mut self.dependency_graph.raised, all);
-        for ix in old {
-            if self.dependency_graph.raised.contains(&ix) {
+        (jobs, dependent_counts)
+    }
+
+    /// Gives back their own priority and deadline to jobs that no longer have an edge.
+    fn reset_urgency_without_edges(&mut self, jobs_with_edges: BTreeSet<JobIndex>) {
+        let old = std::mem::replace(&mut self.dependency_graph.inheriting, jobs_with_edges);
+        for index in old {
+            if self.dependency_graph.inheriting.contains(&index) {
                 continue;
             }
-            if let Some((priority, due)) = self.jobs.get(ix).map(|j| (j.spec.priority, j.own_due()))
-            {
-                // No job needs it any more.
-                self.raise_to(ix, priority, due);
+            if let Some(urgency) = self.jobs.get(index).map(Job::own_urgency) {
+                self.set_urgency(index, urgency);
             }
         }
-        self.placement_due = true;
-        self.preempt_due = true;
     }
 
-    /// The one function that changes the priority that a job counts as having.
-    fn raise_to(&mut self, ix: JobIndex, priority: Priority, due: Option<Deadline>) {
-        let Some(job) = self.jobs.get_mut(ix) else { return };
-        job.due = due;
-        let old = std::mem::replace(&mut job.priority, priority);
-        if old == priority {
+    /// The one function that changes a job's effective priority. It keeps what preemption could
+    /// free on each machine consistent with it.
+    fn set_urgency(&mut self, job_index: JobIndex, urgency: Urgency) {
+        let Some(job) = self.jobs.get_mut(job_index) else { return };
+        job.due = urgency.deadline;
+        let new = urgency.priority;
+        let old = std::mem::replace(&mut job.priority, new);
+        if old == new {
             return;
         }
-        // Machines know how much of them each priority would give up.
-        let (room, before, after) = (job.resources(), job.gives_way(old), job.gives_way(priority));
-        let on: Vec<_> = job.tasks().filter_map(|(_, t)| t.state.machine()).collect();
-        for (machine, _) in on {
-            if let Some(m) = self.machines.get_mut(machine) {
-                m.preemptible_by_priority[old as usize].add(&room, -before);
-                m.preemptible_by_priority[priority as usize].add(&room, after);
+        let resources = job.resources();
+        let (old_fraction, new_fraction) = (job.gives_way(old), job.gives_way(new));
+        for (machine_index, _) in job.tasks().filter_map(|(_, task)| task.state.machine()) {
+            if let Some(machine) = self.machines.get_mut(machine_index) {
+                machine.preemptible_by_priority[old as usize].add(&resources, -old_fraction);
+                machine.preemptible_by_priority[new as usize].add(&resources, new_fraction);
             }
         }
     }
 
-    /// Whether a job must start now for what it works towards to be in time.
+    /// Whether a job with an inherited priority must start now for the deadline to be met.
     pub(crate) fn pressed(&self, job: &Job) -> bool {
-        let in_time = |d: &Deadline| {
-            self.context.now.wall_ms as f64 + self.stage_s(job) * 1000.0 < d.latest_ms()
+        let in_time = |deadline: &Deadline| {
+            self.context.now.wall_ms as f64 + self.stage_s(job) * 1000.0 < deadline.latest_ms()
         };
         job.priority > job.spec.priority && !job.due.as_ref().is_none_or(in_time)
     }
 
-    // Walks.
-
-    /// Tells how a job with a live record stands: cancelled if a job before it is.
+    /// Answers a status query for a job that its record calls live: it is aborted if one of its
+    /// dependencies is, and queued while one has not ended.
     pub(crate) fn walk(&mut self, request: RequestId, answer: JobAnswer, named: Vec<String>) {
-        self.begin_walk(request, Purpose::Tell(answer), named)
+        self.begin_walk(request, WalkPurpose::Status(answer), named)
     }
 
-    /// Looks whether all jobs that a submission names were accepted, and takes it then.
+    /// Submits a job once all of its dependencies are known to have been accepted.
     pub(crate) fn admit(&mut self, request: RequestId, spec: JobSpec) {
-        let accepted = |id: &String| match self.terminal_jobs.get(id) {
-            // No service is ever done.
+        let unread =
+            spec.dependencies.iter().filter(|id| !self.is_valid_dependency(id)).cloned().collect();
+        self.begin_walk(request, WalkPurpose::Admission(Box::new(spec)), unread)
+    }
+
+    /// Whether memory knows that a job was accepted and is not a service.
+    fn is_valid_dependency(&self, id: &str) -> bool {
+        match self.terminal_jobs.get(id) {
+            // A service never ends as done.
             Some(RecordedStatus::Done) => true,
             Some(_) => false,
             None => {
-                let job = self.jobs.find(id).and_then(|ix| self.jobs.get(ix));
-                job.is_some_and(|j| j.revision > 0 && j.spec.shape != JobKind::Service)
+                let job = self.jobs.find(id).and_then(|index| self.jobs.get(index));
+                job.is_some_and(|job| job.revision > 0 && job.spec.shape != JobKind::Service)
             }
-        };
-        let open = spec.dependencies.iter().filter(|id| !accepted(id)).cloned().collect();
-        self.begin_walk(request, Purpose::Admit(Box::new(spec)), open)
+        }
     }
 
-    fn begin_walk(&mut self, request: RequestId, purpose: Purpose, open: Vec<String>) {
+    fn begin_walk(&mut self, request: RequestId, purpose: WalkPurpose, unread: Vec<String>) {
         let walks = &self.dependency_graph.walks;
-        let names = walks.values().map(|w| w.seen.len()).sum::<usize>() + open.len();
+        let names = walks.values().map(|walk| walk.seen.len()).sum::<usize>() + unread.len();
         let too_many = walks.len() >= self.context.config.max_dependency_walks();
-        let too_large = names * WALK_NAME_BYTES > self.context.config.max_held_bytes();
+        let too_large = names * BYTES_PER_WALK_NAME > self.context.config.max_held_bytes();
         if too_many || too_large && !walks.is_empty() {
             return self.answer_busy(request);
         }
-        let until_ms = self.context.now.steady_ms + 3 * self.context.config.store_timeout_ms();
-        let seen = open.iter().cloned().collect();
-        let (reading, waits, cancelled) = (0, false, false);
-        let walk = DependencyWalk { purpose, open, seen, reading, waits, cancelled, until_ms };
+        let walk = DependencyWalk {
+            purpose,
+            seen: unread.iter().cloned().collect(),
+            unread,
+            reads_in_flight: 0,
+            found_live: false,
+            found_aborted: false,
+            expires_ms: self.context.now.steady_ms + 3 * self.context.config.store_timeout_ms(),
+        };
         self.dependency_graph.walks.insert(request, walk);
-        self.walk_on(request);
+        self.continue_walk(request);
     }
 
-    fn walk_on(&mut self, request: RequestId) {
+    /// Reads the next records, and answers the request once all were read.
+    fn continue_walk(&mut self, request: RequestId) {
         loop {
             let Some(walk) = self.dependency_graph.walks.get_mut(&request) else { return };
-            if walk.reading >= WALK_READS {
+            if walk.reads_in_flight >= MAX_WALK_READS {
                 return;
             }
-            let Some(id) = walk.open.pop() else { break };
+            let Some(id) = walk.unread.pop() else { break };
             match self.terminal_jobs.get(&id) {
                 Some(RecordedStatus::Done) => continue,
-                // Whether what a submission names was a service is told by its record.
-                Some(_) if !walk.names(&id) => {
-                    walk.cancelled = true;
-                    if let Purpose::Tell(_) = walk.purpose {
-                        return self.walk_ended_cancelled(request);
+                // The end of a direct dependency does not say whether it was a service: its
+                // record is read.
+                Some(_) if !walk.admits_dependent_of(&id) => {
+                    walk.found_aborted = true;
+                    if let WalkPurpose::Status(_) = walk.purpose {
+                        return self.end_walk_as_aborted(request);
                     }
                     continue;
                 }
                 _ => {}
             }
-            walk.reading += 1;
+            walk.reads_in_flight += 1;
             if !self.may_read_for_request() {
-                self.dependency_graph.walks.remove(&request);
-                return self.answer_busy(request);
+                return self.give_up_walk(request);
             }
             let pending = InFlight::WalkRead { request, job: id.clone() };
             self.look_up(&id, pending);
         }
-        if self.dependency_graph.walks.get(&request).is_none_or(|w| w.reading > 0) {
+        self.end_walk_if_complete(request);
+    }
+
+    fn end_walk_if_complete(&mut self, request: RequestId) {
+        let walk = self.dependency_graph.walks.get(&request);
+        if walk.is_none_or(|walk| walk.reads_in_flight > 0) {
             return;
         }
         let Some(walk) = self.dependency_graph.walks.remove(&request) else { return };
         match walk.purpose {
-            Purpose::Tell(mut answer) => {
-                if walk.waits {
+            WalkPurpose::Status(mut answer) => {
+                if walk.found_live {
                     answer.status = JobStatus::Queued;
                 }
                 self.answer(request, Response::new(200, to_cbor(&answer)))
             }
-            Purpose::Admit(spec) => self.submit_admitted(request, *spec, walk.cancelled),
+            WalkPurpose::Admission(spec) => {
+                self.submit_admitted(request, *spec, walk.found_aborted)
+            }
         }
     }
 
-    /// A job before the one asked about is cancelled.
-    fn walk_ended_cancelled(&mut self, request: RequestId) {
+    /// The job that a status query asks for has an aborted dependency.
+    fn end_walk_as_aborted(&mut self, request: RequestId) {
         let Some(walk) = self.dependency_graph.walks.remove(&request) else { return };
-        let Purpose::Tell(answer) = walk.purpose else { return };
+        let WalkPurpose::Status(answer) = walk.purpose else { return };
         self.learn_terminal_state(&answer.id, RecordedStatus::Aborted);
-        if let Some(ix) = self.jobs.find(&answer.id).filter(|_| self.leads()) {
-            self.cancel_through(ix);
+        if let Some(index) = self.jobs.find(&answer.id).filter(|_| self.leads()) {
+            self.abort_through_dependency(index);
         }
         self.answer_terminal(request, &answer.id, RecordedStatus::Aborted);
     }
 
+    /// The request can't be decided now.
+    fn give_up_walk(&mut self, request: RequestId) {
+        self.dependency_graph.walks.remove(&request);
+        self.answer_busy(request);
+    }
+
+    /// Outcome of reading a record for a walk.
     pub(crate) fn on_walk_read(&mut self, request: RequestId, id: String, outcome: Outcome) {
         let read = self.read_outcome(outcome);
         let Some(walk) = self.dependency_graph.walks.get_mut(&request) else { return };
-        walk.reading -= 1;
-        let admits = walk.names(&id);
-        let Ok(found) = read else {
-            self.dependency_graph.walks.remove(&request);
-            return self.answer_busy(request);
-        };
-        let Some(pair) = found else {
-            let walk = self.dependency_graph.walks.remove(&request);
-            return match walk.map(|w| w.purpose) {
-                Some(Purpose::Admit(spec)) if admits => {
-                    self.refuse(request, spec.id, 422, "a job in prereqs was never accepted")
-                }
-                _ => {
-                    tracing::error!(job = %id, "the record of a job that others need is missing");
-                    self.answer_busy(request)
-                }
-            };
-        };
+        walk.reads_in_flight -= 1;
+        let admits_dependent = walk.admits_dependent_of(&id);
+        let Ok(found) = read else { return self.give_up_walk(request) };
+        let Some(pair) = found else { return self.on_walk_record_missing(request, &id) };
         let Some(record) = decode::<JobRecord>(&pair.value) else {
             tracing::error!(job = %id, "the job's record can't be read; it is left as it is");
-            self.dependency_graph.walks.remove(&request);
-            return self.answer_busy(request);
+            return self.give_up_walk(request);
         };
-        if admits && record.is_service() {
-            let walk = self.dependency_graph.walks.remove(&request);
-            if let Some(Purpose::Admit(spec)) = walk.map(|w| w.purpose) {
-                self.refuse(request, spec.id, 422, "a job in prereqs is a service");
-            }
-            return;
+        if admits_dependent && record.is_service() {
+            return self.refuse_admission(request, "a job in prereqs is a service");
         }
         match record.status {
-            RecordedStatus::Live => {
-                let named = record.spec.as_ref().map(|s| s.dependencies.clone());
-                walk.waits = true;
-                for dep in named.unwrap_or_default() {
-                    if walk.seen.insert(dep.clone()) {
-                        walk.open.push(dep);
-                    }
-                }
-                if admits && self.leads() {
-                    self.adopt(&id, record, pair.revision);
-                }
-            }
+            RecordedStatus::Live => self.on_walk_found_live(request, &id, record, pair.revision),
             RecordedStatus::Done => self.learn_terminal_state(&id, RecordedStatus::Done),
             RecordedStatus::Aborted => {
                 self.learn_terminal_state(&id, RecordedStatus::Aborted);
@@ -548,22 +620,51 @@
                     self.learn_abort(&id, pair.revision);
                 }
                 if let Some(walk) = self.dependency_graph.walks.get_mut(&request) {
-                    walk.cancelled = true;
-                    if let Purpose::Tell(_) = walk.purpose {
-                        return self.walk_ended_cancelled(request);
+                    walk.found_aborted = true;
+                    if let WalkPurpose::Status(_) = walk.purpose {
+                        return self.end_walk_as_aborted(request);
                     }
                 }
             }
         }
-        self.walk_on(request);
+        self.continue_walk(request);
     }
-}
 
-/// The deadline that comes first.
-fn sooner(a: Option<Deadline>, b: Option<Deadline>) -> Option<Deadline> {
-    match (a, b) {
-        (Some(a), Some(b)) if b.latest_ms() < a.latest_ms() => Some(b),
-        (Some(a), _) => Some(a),
-        (None, b) => b,
+    fn on_walk_record_missing(&mut self, request: RequestId, id: &String) {
+        let walk = self.dependency_graph.walks.get(&request);
+        if walk.is_some_and(|walk| walk.admits_dependent_of(id)) {
+            return self.refuse_admission(request, "a job in prereqs was never accepted");
+        }
+        tracing::error!(job = %id, "a dependency's record is missing");
+        self.give_up_walk(request);
+    }
+
+    /// Ends a walk for a submission that names a job which it must not depend on.
+    fn refuse_admission(&mut self, request: RequestId, reason: &str) {
+        let walk = self.dependency_graph.walks.remove(&request);
+        if let Some(WalkPurpose::Admission(spec)) = walk.map(|walk| walk.purpose) {
+            self.refuse(request, spec.id, 422, reason);
+        }
+    }
+
+    /// The dependencies of a job that has not ended are read as well.
+    fn on_walk_found_live(
+        &mut self,
+        request: RequestId,
+        id: &String,
+        record: JobRecord,
+        revision: u64,
+    ) {
+        let Some(walk) = self.dependency_graph.walks.get_mut(&request) else { return };
+        walk.found_live = true;
+        let dependencies = record.spec.as_ref().map(|spec| spec.dependencies.clone());
+        for dependency in dependencies.unwrap_or_default() {
+            if walk.seen.insert(dependency.clone()) {
+                walk.unread.push(dependency);
+            }
+        }
+        if walk.admits_dependent_of(id) && self.leads() {
+            self.adopt(id, record, revision);
+        }
     }
 }
