--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -1,13 +1,18 @@
 //! The order of a machine's queue: which of its probes binds next.
+//!
+//! Invariant: among tasks of one priority and guarantee, a task is passed over at most as often as
+//! the slack cap says, whatever the order is.
 
 use std::cmp::Ordering;
 
 use quartzgate_wire::msg::Priority;
 
-/// How probes of equal standing are ordered.
+/// How probes of equal priority and guarantee are ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueOrder {
+    /// The job with the least work left first.
     ShortestFirst,
+    /// The task with the scarcest constraint first.
     ScarcityFirst,
 }
 
@@ -22,21 +27,22 @@
     }
 }
 
-/// A probe as the order sees it.
+/// What decides the position of a probe in a queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Standing {
+    /// Effective priority of the job.
     pub priority: Priority,
-    /// The task falls within its team's guarantee.
+    /// The task is within its team's guaranteed quota.
     pub guaranteed: bool,
-    /// Deadlines of its job that can't be met any more.
+    /// Objectives that the job can't meet any more.
     pub lost: u8,
-    /// Work that its job still needs.
+    /// Work that the job has left, in seconds.
     pub remaining_s: f64,
-    /// Highest demand/supply ratio among the task's constraints.
+    /// Highest ratio of demand to supply among the task's constraints.
     pub ratio: f64,
-    /// Times that the task has been passed.
+    /// How often the task was passed over.
     pub slack: u32,
-    /// Grows with every arrival.
+    /// Sequence number of its arrival.
     pub arrived: u64,
 }
 
@@ -45,63 +51,73 @@
         (self.priority, self.guaranteed)
     }
 
-    fn before(&self, other: &Standing, order: QueueOrder, cap: u32) -> Ordering {
-        let capped = |s: &Standing| s.slack >= cap;
-        other.class().cmp(&self.class()).then_with(|| match (capped(self), capped(other)) {
+    /// Order of two probes, the one that binds first being less.
+    fn compare(&self, other: &Standing, order: QueueOrder, slack_cap: u32) -> Ordering {
+        let is_capped = |standing: &Standing| standing.slack >= slack_cap;
+        let by_class = other.class().cmp(&self.class());
+        by_class.then_with(|| match (is_capped(self), is_capped(other)) {
             (true, true) => self.arrived.cmp(&other.arrived),
             (true, false) => Ordering::Less,
             (false, true) => Ordering::Greater,
-            (false, false) => {
-                let shortest = self.remaining_s.total_cmp(&other.remaining_s);
-                let scarcest = other.ratio.total_cmp(&self.ratio);
-                let by = match order {
-                    QueueOrder::ShortestFirst => shortest,
-                    QueueOrder::ScarcityFirst => scarcest.then(shortest),
-                };
-                // What can still be in time goes ahead of what is late whatever is done.
-                self.lost.cmp(&other.lost).then(by).then(self.arrived.cmp(&other.arrived))
-            }
+            (false, false) => self.compare_uncapped(other, order),
         })
     }
+
+    fn compare_uncapped(&self, other: &Standing, order: QueueOrder) -> Ordering {
+        let shortest = self.remaining_s.total_cmp(&other.remaining_s);
+        let scarcest = other.ratio.total_cmp(&self.ratio);
+        let by_order = match order {
+            QueueOrder::ShortestFirst => shortest,
+            QueueOrder::ScarcityFirst => scarcest.then(shortest),
+        };
+        // Jobs that can still meet their objectives go before those that miss them anyway.
+        self.lost.cmp(&other.lost).then(by_order).then(self.arrived.cmp(&other.arrived))
+    }
 }
 
-/// What a pick came to: the place of the probe that binds, and those it passed.
+/// The probe that binds, and those that arrived before it and are passed over, by position.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Pick {
+    /// Position of the probe that binds.
     pub chosen: usize,
+    /// Positions of probes of the same class that arrived earlier.
     pub passed: Vec<usize>,
 }
 
-/// Picks the probe that binds next among those that may. `fits` says whether the
-/// machine has room for a probe now. A probe that has been passed `cap` times is
-/// passed by nobody of its own standing or below: if it does not fit, they wait.
+/// Picks the probe that binds next; `fits` says whether the machine has resources for a probe now.
+/// A probe that was passed over `cap` times is not passed by any of its class or a lower one: if it
+/// does not fit, they wait.
 pub fn pick(
     queue: &[Standing],
     order: QueueOrder,
     cap: u32,
     mut fits: impl FnMut(usize) -> bool,
 ) -> Option<Pick> {
-    let mut places: Vec<usize> = (0..queue.len()).collect();
-    places.sort_by(|a, b| queue[*a].before(&queue[*b], order, cap));
-    for &place in &places {
-        if fits(place) {
-            let chosen = &queue[place];
-            let passed = places
-                .iter()
-                .copied()
-                .filter(|&p| p != place)
-                .filter(|&p| queue[p].class() == chosen.class())
-                .filter(|&p| queue[p].arrived < chosen.arrived)
-                .collect();
-            return Some(Pick { chosen: place, passed });
+    let mut positions: Vec<usize> = (0..queue.len()).collect();
+    positions.sort_by(|a, b| queue[*a].compare(&queue[*b], order, cap));
+    for &position in &positions {
+        if fits(position) {
+            let passed = passed_by(queue, &positions, position);
+            return Some(Pick { chosen: position, passed });
         }
-        if queue[place].slack >= cap {
+        if queue[position].slack >= cap {
             return None;
         }
     }
     None
 }
 
+/// Positions of the probes of the same class that arrived before the chosen one, in queue order.
+fn passed_by(queue: &[Standing], positions: &[usize], chosen: usize) -> Vec<usize> {
+    let chosen_standing = &queue[chosen];
+    let is_passed = |position: &usize| {
+        *position != chosen
+            && queue[*position].class() == chosen_standing.class()
+            && queue[*position].arrived < chosen_standing.arrived
+    };
+    positions.iter().copied().filter(is_passed).collect()
+}
+
 #[cfg(test)]
 #[path = "../../tests/unit/queue.rs"]
 mod tests;
--- a/crates/core/src/placement/wait.rs
+++ b/crates/core/src/placement/wait.rs
@@ -1,23 +1,23 @@
-//! The wait estimate of a machine's queue (Phoenix, equation 1).
+//! The expected wait in a machine's queue (Phoenix, equation 1).
 
-/// Load is kept below this, so that the estimate stays finite.
+/// Load is capped here, so that the estimate stays finite.
 const MAX_LOAD: f64 = 0.98;
 
 /// E\[W\] = ρ/(1−ρ) · E\[S²\]/(2·E\[S\]) after Pollaczek and Khinchine, in seconds.
-/// `load` is the constrained resource's load, `times` are the running tasks' times
-/// and the queued tasks' estimates.
-pub fn expected_wait(load: f64, times: impl IntoIterator<Item = f64>) -> f64 {
-    let (mut n, mut sum, mut squares) = (0.0, 0.0, 0.0);
-    for t in times {
-        n += 1.0;
-        sum += t;
-        squares += t * t;
+/// `load` is the load of the most used resource, `times_s` are the remaining times of running tasks
+/// and the estimates of queued ones.
+pub fn expected_wait(load: f64, times_s: impl IntoIterator<Item = f64>) -> f64 {
+    let (mut count, mut sum, mut squares) = (0.0, 0.0, 0.0);
+    for time_s in times_s {
+        count += 1.0;
+        sum += time_s;
+        squares += time_s * time_s;
     }
-    if n == 0.0 || sum <= 0.0 {
+    if count == 0.0 || sum <= 0.0 {
         return 0.0;
     }
     let load = load.clamp(0.0, MAX_LOAD);
-    load / (1.0 - load) * (squares / n) / (2.0 * sum / n)
+    load / (1.0 - load) * (squares / count) / (2.0 * sum / count)
 }
 
 #[cfg(test)]
