--- a/crates/core/src/placement/placer.rs
+++ b/crates/core/src/placement/placer.rs
@@ -1,8 +1,9 @@
-//! Dealing: which tasks get probes, and where.
+//! Placement: which tasks get probes, and on which machines.
 //!
-//! A task is dealt only while its team's dealt and not provably ended work stays
-//! within the team's limit, so the limit holds whatever is started later.
+//! Invariant: a task is placed only while its team's reserved resources (placed and not provably
+//! ended) stay within the team's limit, so the limit holds whichever of them start later.
 
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use quartzgate_wire::msg::{JobKind, JobSpec, Priority};
@@ -15,27 +16,32 @@
 use crate::placement::gangs::GangHold;
 use crate::storage::records::TASKS_PER_CHUNK;
 
-/// Chunks of one job that may be under way at a time.
+/// Chunks of one job with tasks that are not done, at most.
 pub(crate) const MAX_OPEN_CHUNKS: usize = 16;
-/// What a probe takes of a record at most: a machine's name and its places.
+/// Size of one probe in a record at most: a machine's name and its positions.
 const PROBE_BYTES: f64 = 40.0;
-/// Tasks dealt in one go; the rest follow at the next event.
-const DEAL_AT_ONCE: u32 = 256;
-/// Roomy machines that are looked for: more than a task has probes.
-const ELSEWHERE: usize = 20;
-/// Waiting tasks whose machines are looked at in one go.
-const LOOK_AT_ONCE: u32 = 8 * DEAL_AT_ONCE;
-
-/// CPUs of waiting tasks by rank, and of all usable machines.
+/// Tasks placed in one pass; the rest follow at the next event.
+const MAX_PLACED_PER_PASS: u32 = 256;
+/// Machines with free capacity that are looked for: more than a task has probes.
+const MAX_FREE_MACHINES: usize = 20;
+/// Waiting tasks whose probes are checked in one pass.
+const MAX_CHECKED_PER_PASS: u32 = 8 * MAX_PLACED_PER_PASS;
+/// Part of the usable machines' CPUs from which on waiting work is a full backlog.
+const FULL_BACKLOG: f64 = 0.5;
+/// Allowed rounding error of sums of resources.
+const EPSILON: f64 = 1e-6;
+
+/// CPUs of waiting tasks by priority, and of all usable machines.
 pub(crate) struct PlacementBacklog {
     waiting: BTreeMap<Priority, f64>,
     all: f64,
 }
 
 impl PlacementBacklog {
-    /// Whether so much of this rank and above waits that more need not be dealt yet.
+    /// Whether so much of this priority and above waits that no more need be placed yet.
     pub fn full(&self, priority: Priority) -> bool {
-        self.waiting.range(priority..).map(|(_, cpus)| cpus).sum::<f64>() > 0.5 * self.all
+        let waiting_cpus: f64 = self.waiting.range(priority..).map(|(_, cpus)| cpus).sum();
+        waiting_cpus > FULL_BACKLOG * self.all
     }
 
     fn add(&mut self, priority: Priority, cpus: f64) {
@@ -44,164 +50,181 @@
 }
 
 impl Controller {
-    /// Work without haste of a team without a guarantee: it uses what is spare.
+    /// Whether a job is best-effort: of the lowest priority, and of a team without a quota.
     pub(crate) fn is_best_effort(&self, job: &Job) -> bool {
         self.best_effort(job.team, job.priority)
     }
 
-    /// The same, of a team's work of this priority.
+    /// The same for any work of a team at this priority.
     pub(crate) fn best_effort(&self, team: usize, priority: Priority) -> bool {
         let team = &self.context.config.platform.params.teams[team];
         priority == Priority::Low && team.cpus <= 0.0 && team.gpus <= 0.0
     }
 
+    /// Resources of an empty machine of this type; `None` if the type is unknown.
     pub(crate) fn capacity_of(&self, kind: &str) -> Option<Resources> {
-        let t = self.types.iter().find(|t| t.name == kind)?;
-        Some(Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb })
+        let machine_type = self.types.iter().find(|machine_type| machine_type.name == kind)?;
+        Some(Resources {
+            cpus: machine_type.cpus,
+            gpus: machine_type.gpus,
+            memory_gb: machine_type.memory_gb,
+        })
     }
 
+    /// Resources of a machine that no bound task uses.
     pub(crate) fn free_resources(&self, m: &Machine) -> Resources {
-        self.capacity_of(&m.kind).map_or(Resources::default(), |c| c.minus(&m.used))
+        let capacity = self.capacity_of(&m.kind);
+        capacity.map_or(Resources::default(), |capacity| capacity.minus(&m.used))
     }
 
-    /// Room of a machine for a job: what is held for gangs that are no less urgent is not for
-    /// others.
+    /// Free resources of a machine that a job may use.
     pub(crate) fn resources_for(&self, ix: MachineIndex, m: &Machine, job: &Job) -> Resources {
         self.without_gang_holds(self.free_resources(m), self.gang_holds.get(&ix), job)
     }
 
-    /// What of a machine's free room is a job's to use.
+    /// What a job may use of a machine's free resources: what is held for a gang of at least its
+    /// priority is excluded, and so is what scarce GPUs need beside them.
     pub(crate) fn without_gang_holds(
         &self,
         free: Resources,
         held: Option<&GangHold>,
         job: &Job,
     ) -> Resources {
-        let mut room = free;
-        if let Some(h) = held.filter(|h| h.priority >= job.priority) {
-            room = room.minus(&h.room);
+        if let Some(hold) = held.filter(|hold| hold.priority >= job.priority) {
+            free.minus(&hold.room)
         } else if job.spec.gpus <= 0.0 && job.priority < Priority::Production {
-            room = room.minus(&self.beside_gpus(&free));
+            free.minus(&self.beside_gpus(&free))
+        } else {
+            free
         }
-        room
     }
 
-    /// Type, zone and kind of machine that a job allows.
+    /// Whether a job allows machines of this type and zone, spot or not.
     pub(crate) fn allows(&self, spec: &JobSpec, kind: &str, zone: Option<u16>, spot: bool) -> bool {
         let zones = &self.context.config.platform.params.zones;
+        let is_wanted_zone =
+            |wanted: &String| zone.is_some_and(|zone| zones[zone as usize] == *wanted);
         (spec.spot || !spot)
-            && spec.types.as_ref().is_none_or(|t| t.iter().any(|n| n == kind))
-            && spec
-                .zone
-                .as_ref()
-                .is_none_or(|want| zone.is_some_and(|z| zones[z as usize] == *want))
+            && spec.types.as_ref().is_none_or(|types| types.iter().any(|name| name == kind))
+            && spec.zone.as_ref().is_none_or(is_wanted_zone)
     }
 
-    /// Whether one more task may be dealt to the team.
+    /// Whether a task that needs these resources may be placed for the team.
     pub(crate) fn within_quota(&self, team: usize, room: &Resources) -> bool {
         self.within_limit(team, self.teams[team].reserved, room)
     }
 
-    /// Whether the team may have one more task on machines, taking for granted that all
-    /// that may be there is. The records can hold more licences than the limit, after a
-    /// deal that came to stand unseen, so that this is asked again before every start.
+    /// Whether the team may have one more task on machines, if every unproven task runs. After a
+    /// placement whose write was indeterminate the records can hold more reservations than the
+    /// limit allows, so this is checked again before every start.
     pub(crate) fn may_start(&self, team: usize, room: &Resources) -> bool {
-        let mut there = self.teams[team].placed;
-        there.add(&self.teams[team].unproven, 1.0);
-        self.within_limit(team, there, room)
+        let mut possibly_running = self.teams[team].placed;
+        possibly_running.add(&self.teams[team].unproven, 1.0);
+        self.within_limit(team, possibly_running, room)
     }
 
     fn within_limit(&self, team: usize, used: Resources, more: &Resources) -> bool {
         let limit = &self.context.config.platform.params.teams[team];
-        let within = |used: f64, max: f64| max <= 0.0 || used <= max + 1e-6;
+        let within = |used: f64, max: f64| max <= 0.0 || used <= max + EPSILON;
         within(used.cpus + more.cpus, limit.cpus_max)
             && within(used.gpus + more.gpus, limit.gpus_max)
     }
 
-    /// Deals what may be dealt, higher priority first, then in order of acceptance; what
-    /// looking at machines may cost by now bounds it, and the next call goes on.
+    /// Places tasks of live jobs, higher priority first, then in the order in which they became
+    /// ready. The search budget bounds one pass; the next one goes on.
     pub(crate) fn place_all(&mut self) {
-        let now = self.context.now.steady_ms;
-        let mut open: Vec<(Priority, u8, u64, JobIndex)> = self
-            .jobs
-            .iter()
-            .filter(|(_, j)| {
-                j.state == JobState::Live && j.next < j.spec.tasks && !j.failing_everywhere()
-            })
-            .filter(|(_, j)| now >= j.placement_from_ms)
-            .map(|(ix, j)| (j.priority, j.lost, j.ready_ms, ix))
-            .collect();
-        if open.is_empty() {
+        let now_ms = self.context.now.steady_ms;
+        let jobs = self.jobs_to_place();
+        if jobs.is_empty() {
             return;
         }
-        open.sort_by_key(|(priority, lost, at, ix)| {
-            (std::cmp::Reverse(*priority), *lost, *at, *ix)
-        });
         let mut backlog = self.backlog();
-        for (priority, _, _, ix) in open {
+        for (priority, job_index) in jobs {
             if backlog.full(priority) {
                 continue;
             }
-            if !self.search_budget.left(now) {
+            if !self.search_budget.left(now_ms) {
                 self.placement_due = true;
                 return;
             }
-            let asks = |j: &Job| f64::from(j.asking(j.waiting)) * j.spec.cpus;
-            let before = self.jobs.get(ix).map_or(0.0, asks);
-            if self.place_job(ix) {
-                backlog.add(priority, self.jobs.get(ix).map_or(0.0, asks) - before);
+            let before = self.waiting_cpus(job_index);
+            if self.place_job(job_index) {
+                backlog.add(priority, self.waiting_cpus(job_index) - before);
             }
         }
     }
 
-    /// CPUs of tasks that wait in queues, against those of all usable machines.
+    /// Jobs with unplaced tasks in the order of placement.
+    fn jobs_to_place(&self) -> Vec<(Priority, JobIndex)> {
+        let now_ms = self.context.now.steady_ms;
+        let is_open = |job: &Job| {
+            job.state == JobState::Live
+                && job.next < job.spec.tasks
+                && !job.failing_everywhere()
+                && now_ms >= job.placement_from_ms
+        };
+        let mut jobs: Vec<(JobIndex, &Job)> =
+            self.jobs.iter().filter(|(_, job)| is_open(job)).collect();
+        jobs.sort_by_key(|(index, job)| (Reverse(job.priority), job.lost, job.ready_ms, *index));
+        jobs.into_iter().map(|(index, job)| (job.priority, index)).collect()
+    }
+
+    /// CPUs that a job's waiting tasks ask for.
+    fn waiting_cpus(&self, job_index: JobIndex) -> f64 {
+        let asked = |job: &Job| f64::from(job.asking(job.waiting)) * job.spec.cpus;
+        self.jobs.get(job_index).map_or(0.0, asked)
+    }
+
+    /// CPUs of the tasks that wait in queues, against those of all usable machines.
     pub(crate) fn backlog(&self) -> PlacementBacklog {
         let mut waiting: BTreeMap<Priority, f64> = BTreeMap::new();
-        for (_, j) in self.jobs.iter().filter(|(_, j)| j.waiting > 0) {
-            *waiting.entry(j.priority).or_default() += f64::from(j.asking(j.waiting)) * j.spec.cpus;
+        for (_, job) in self.jobs.iter().filter(|(_, job)| job.waiting > 0) {
+            *waiting.entry(job.priority).or_default() +=
+                f64::from(job.asking(job.waiting)) * job.spec.cpus;
         }
         let all = self
             .machines
             .iter()
-            .filter(|(_, m)| m.usable())
-            .filter_map(|(_, m)| self.capacity_of(&m.kind))
-            .map(|c| c.cpus)
+            .filter(|(_, machine)| machine.usable())
+            .filter_map(|(_, machine)| self.capacity_of(&machine.kind))
+            .map(|capacity| capacity.cpus)
             .sum();
         PlacementBacklog { waiting, all }
     }
 
-    /// Time that a job's image takes to be fetched on a type of machine.
+    /// Time to fetch a job's image on a machine type, in seconds.
     pub(crate) fn fetch_s(&self, spec: &JobSpec, kind: &str) -> f64 {
-        let rate = self.types.iter().find(|t| t.name == kind).map_or(0.0, |t| t.fetch_gb_per_s);
-        if rate > 0.0 {
-            spec.image_gb / rate
+        let machine_type = self.types.iter().find(|machine_type| machine_type.name == kind);
+        let gb_per_s = machine_type.map_or(0.0, |machine_type| machine_type.fetch_gb_per_s);
+        if gb_per_s > 0.0 {
+            spec.image_gb / gb_per_s
         } else {
             0.0
         }
     }
 
-    /// Longest time that the operators would have tasks of a class wait.
+    /// Longest wait of a task of this class by the operators' objectives, in seconds.
     pub(crate) fn may_wait_s(&self, class: &str) -> Option<f64> {
         let objectives = &self.context.config.platform.params.objectives;
-        let waits = objectives.iter().filter(|o| o.kind == "wait");
-        waits.filter(|o| o.class.as_deref() == Some(class)).find_map(|o| o.within_s)
+        let waits = objectives.iter().filter(|objective| objective.kind == "wait");
+        let mut of_class = waits.filter(|objective| objective.class.as_deref() == Some(class));
+        of_class.find_map(|objective| objective.within_s)
     }
 
-    /// How many machines a task of this job is probed to.
+    /// Number of probes of each task of this job.
     fn probe_count(&self, spec: &JobSpec) -> usize {
         if spec.estimate_s > self.context.config.operator.long_task_s {
-            1
-        } else {
-            // A share with all of its tasks' machines must fit one write.
-            let limits = self.limits();
-            let bytes = limits.value_kb * 1024.0 * (limits.txn_ops - 1) as f64;
-            let fit = bytes / (f64::from(TASKS_PER_CHUNK) * PROBE_BYTES);
-            self.context.config.operator.probes.min((fit as usize).max(1))
+            return 1;
         }
+        // A placement record with all probes of its tasks has to fit one transaction.
+        let limits = self.limits();
+        let transaction_bytes = limits.value_kb * 1024.0 * (limits.txn_ops - 1) as f64;
+        let max_probes = transaction_bytes / (f64::from(TASKS_PER_CHUNK) * PROBE_BYTES);
+        self.context.config.operator.probes.min((max_probes as usize).max(1))
     }
 
-    /// Deals as many of a job's tasks as licence and backlog allow. Says whether
-    /// anything was dealt.
+    /// Places as many of a job's tasks as quota and limits of one pass allow. Returns whether any
+    /// was placed.
     pub(crate) fn place_job(&mut self, ix: JobIndex) -> bool {
         let Some(job) = self.jobs.get(ix) else { return false };
         if job.spec.shape == JobKind::Gang {
@@ -211,79 +234,96 @@
         if !self.within_quota(team, &need) || !job.may_open() {
             return false;
         }
-        let mut field = self.field(ix);
-        if field.is_empty() {
+        let mut candidates = self.field(ix);
+        if candidates.is_empty() {
             return self.postpone_placement(ix);
         }
-        let count = self.probe_count(&spec);
-        if spec.together && self.jobs.get(ix).is_some_and(|j| j.zone.is_none()) {
-            let zone = field.roomiest_zone();
-            if let Some(j) = self.jobs.get_mut(ix) {
-                j.zone = zone;
+        let probe_count = self.probe_count(&spec);
+        if spec.together {
+            self.choose_job_zone(ix, &candidates);
+        }
+        let mut placed = 0;
+        while placed < MAX_PLACED_PER_PASS && self.within_quota(team, &need) {
+            let Some(task) = self.next_task_to_place(ix) else { break };
+            let key = TaskKey { job: ix, task };
+            let unplaced = self.jobs.task(key).map(|t| t.state) == Some(TaskState::Unplaced);
+            if unplaced && !self.place_task(key, &mut candidates, probe_count) {
+                break;
+            }
+            if let Some(job) = self.jobs.get_mut(ix) {
+                job.next = task + 1;
             }
+            placed += 1;
         }
-        let mut dealt = 0;
-        while dealt < DEAL_AT_ONCE && self.within_quota(team, &need) {
-            let Some(job) = self.jobs.get(ix) else { break };
+        placed > 0 || self.postpone_placement(ix)
+    }
+
+    /// Chooses the zone of a job whose tasks have to run together, unless it has one.
+    fn choose_job_zone(&mut self, job_index: JobIndex, candidates: &Candidates) {
+        let Some(job) = self.jobs.get_mut(job_index) else { return };
+        if job.zone.is_none() {
+            job.zone = candidates.roomiest_zone();
+        }
+    }
+
+    /// The next task of a job, past the chunks that are done, in a chunk that is open; `None` if
+    /// there is none or if no chunk may be opened for it.
+    fn next_task_to_place(&mut self, job_index: JobIndex) -> Option<u32> {
+        loop {
+            let job = self.jobs.get_mut(job_index)?;
             if job.next >= job.spec.tasks {
-                break;
+                return None;
             }
-            let (n, chunk) = (job.next, job.next / TASKS_PER_CHUNK);
-            if job.in_done_chunk(n) {
-                let last = (chunk + 1) * TASKS_PER_CHUNK;
-                let tasks = job.spec.tasks;
-                if let Some(j) = self.jobs.get_mut(ix) {
-                    j.next = last.min(tasks);
-                }
+            let chunk = job.next / TASKS_PER_CHUNK;
+            if job.in_done_chunk(job.next) {
+                job.next = ((chunk + 1) * TASKS_PER_CHUNK).min(job.spec.tasks);
                 continue;
             }
+            let task = job.next;
             if !job.chunks.contains_key(&chunk) {
                 if !job.may_open() {
-                    break;
+                    return None;
                 }
-                let len = job.chunk_len(chunk);
-                let fresh = self.new_chunk(len);
-                if let Some(j) = self.jobs.get_mut(ix) {
-                    j.chunks.insert(chunk, fresh);
-                }
-            }
-            let key = TaskKey { job: ix, task: n };
-            let untouched = self.jobs.task(key).map(|t| t.state) == Some(TaskState::Unplaced);
-            if untouched && !self.place_task(key, &mut field, count) {
-                break;
-            }
-            if let Some(j) = self.jobs.get_mut(ix) {
-                j.next = n + 1;
+                self.open_chunk(job_index, chunk);
             }
-            dealt += 1;
+            return Some(task);
+        }
+    }
+
+    /// Enters a chunk of unplaced tasks.
+    pub(crate) fn open_chunk(&mut self, job_index: JobIndex, chunk: u32) {
+        let Some(job) = self.jobs.get(job_index) else { return };
+        let len = job.chunk_len(chunk);
+        let new_chunk = self.new_chunk(len);
+        if let Some(job) = self.jobs.get_mut(job_index) {
+            job.chunks.insert(chunk, new_chunk);
         }
-        dealt > 0 || self.postpone_placement(ix)
     }
 
-    /// No machine can take a task of the job: it is not looked at again at every event.
-    fn postpone_placement(&mut self, ix: JobIndex) -> bool {
-        let later = self.context.now.steady_ms + self.context.config.write_batch_ms();
-        if let Some(j) = self.jobs.get_mut(ix) {
-            j.placement_from_ms = later;
+    /// No machine can take a task of the job: it is not tried again at every event.
+    fn postpone_placement(&mut self, job_index: JobIndex) -> bool {
+        let later_ms = self.context.now.steady_ms + self.context.config.write_batch_ms();
+        if let Some(job) = self.jobs.get_mut(job_index) {
+            job.placement_from_ms = later_ms;
         }
         false
     }
 
-    fn place_task(&mut self, key: TaskKey, field: &mut Candidates, count: usize) -> bool {
-        let Some(zone) = self.zone_for(key, field) else { return false };
-        let picks = field.choose(self, zone, count, &[]);
-        if picks.is_empty() {
+    fn place_task(&mut self, key: TaskKey, candidates: &mut Candidates, count: usize) -> bool {
+        let Some(zone) = self.zone_for(key, candidates) else { return false };
+        let machines = candidates.choose(self, zone, count, &[]);
+        if machines.is_empty() {
             return false;
         }
-        self.set_probes(key, picks, zone);
+        self.set_probes(key, machines, zone);
         self.set_task_state(key, TaskState::Waiting);
         self.mark_dirty(key.job, key.task / TASKS_PER_CHUNK);
         true
     }
 
-    /// Zone that the deal fixes for a task: `Some(None)` if its job has no zone
-    /// rule, `None` if no zone can take it now.
-    fn zone_for(&self, key: TaskKey, field: &Candidates) -> Option<Option<u16>> {
+    /// The zone that placement chooses for a task: `Some(None)` if its job has no zone rule, `None`
+    /// if no zone can take it now.
+    fn zone_for(&self, key: TaskKey, candidates: &Candidates) -> Option<Option<u16>> {
         let job = self.jobs.get(key.job)?;
         if job.spec.together {
             return job.zone.map(Some);
@@ -291,29 +331,29 @@
         if !job.spec.spread {
             return Some(None);
         }
-        let best = field.spread_zone(&self.zone_counts(key), job.spec.tasks.div_ceil(2))?;
-        Some(Some(best))
+        let max_per_zone = job.spec.tasks.div_ceil(2);
+        candidates.spread_zone(&self.zone_counts(key), max_per_zone).map(Some)
     }
 
-    /// Tasks of the job other than this one, by the zone that they are dealt to.
+    /// Tasks of the job other than this one, by the zone in which they are placed.
     fn zone_counts(&self, key: TaskKey) -> Vec<u32> {
         let mut counts = vec![0; self.context.config.platform.params.zones.len()];
         let Some(job) = self.jobs.get(key.job) else { return counts };
-        for (n, t) in job.tasks() {
-            if n == key.task || !t.state.reserved() {
+        for (number, task) in job.tasks() {
+            if number == key.task || !task.state.reserved() {
                 continue;
             }
-            match t.zone {
-                Some(z) => counts[z as usize] += 1,
-                // Nothing is known of where it is: it counts everywhere.
-                None => counts.iter_mut().for_each(|c| *c += 1),
+            match task.zone {
+                Some(zone) => counts[zone as usize] += 1,
+                // It may be in any zone, and so counts in each.
+                None => counts.iter_mut().for_each(|count| *count += 1),
             }
         }
         counts
     }
 
-    /// Gives a task the machines that it may start on, beside those where an
-    /// earlier owner may have started it.
+    /// Gives a task probes on these machines. Probes where an earlier leader may have started it
+    /// remain.
     pub(crate) fn set_probes(
         &mut self,
         key: TaskKey,
@@ -321,176 +361,198 @@
         zone: Option<u16>,
     ) {
         let Some(job) = self.jobs.get_mut(key.job) else { return };
-        let Some(c) = job.chunk_of(key.task) else { return };
-        let version = c.version + 1;
-        c.blocks_starts = true;
-        let Some(task) = c.tasks.get_mut((key.task % TASKS_PER_CHUNK) as usize) else { return };
+        let Some(chunk) = job.chunk_of(key.task) else { return };
+        let version = chunk.version + 1;
+        chunk.blocks_starts = true;
+        let Some(task) = chunk.tasks.get_mut((key.task % TASKS_PER_CHUNK) as usize) else { return };
         let old = std::mem::take(&mut task.probes);
         task.zone = zone;
+        let remaining = old.iter().filter(|p| p.unproven && !machines.contains(&p.machine));
         let mut probes: Vec<Probe> = Vec::with_capacity(machines.len());
-        for p in &old {
-            if p.unproven && !machines.contains(&p.machine) {
-                probes.push(*p);
-            }
-        }
+        probes.extend(remaining.copied());
         for machine in machines {
-            let kept = old.iter().find(|p| p.machine == machine).copied();
-            probes.push(kept.unwrap_or(Probe { machine, version, unproven: false }));
+            let known = old.iter().find(|probe| probe.machine == machine).copied();
+            probes.push(known.unwrap_or(Probe { machine, version, unproven: false }));
         }
-        let serve_by_proxy: Vec<MachineIndex> = probes.iter().map(|p| p.machine).collect();
-        task.probes = probes;
-        for p in old.iter().filter(|p| !serve_by_proxy.contains(&p.machine)) {
-            if let Some(m) = self.machines.get_mut(p.machine) {
-                m.queue.retain(|k| *k != key);
+        for dropped in old.iter().filter(|o| !probes.iter().any(|p| p.machine == o.machine)) {
+            if let Some(machine) = self.machines.get_mut(dropped.machine) {
+                machine.queue.retain(|queued| *queued != key);
             }
         }
+        task.probes = probes;
     }
 
-    /// Puts a waiting task into the queues of its machines.
+    /// Puts a waiting task into the queues of its probes' machines.
     pub(crate) fn enqueue(&mut self, key: TaskKey) {
         let Some(task) = self.jobs.task(key) else { return };
-        let machines: Vec<MachineIndex> = task.probes.iter().map(|p| p.machine).collect();
         let mut queued = false;
-        for ix in machines {
-            let Some(m) = self.machines.get_mut(ix) else { continue };
-            if !m.usable() {
+        for probe in &task.probes {
+            let Some(machine) = self.machines.get_mut(probe.machine) else { continue };
+            if !machine.usable() {
                 continue;
             }
             queued = true;
-            if !m.queue.contains(&key) {
-                m.queue.push(key);
+            if !machine.queue.contains(&key) {
+                machine.queue.push(key);
             }
-            self.machines_to_dispatch.insert(ix);
+            self.machines_to_dispatch.insert(probe.machine);
         }
         if !queued {
             self.reprobe_due = true;
         }
     }
 
-    /// Gives waiting tasks other machines where theirs are gone or full and others
-    /// have room. Costs a write, so it happens once a round or when supply changes.
+    /// Gives waiting tasks other machines where theirs are gone or full and others have free
+    /// capacity. This costs a write, so it runs once a round or when the supply changes.
     pub(crate) fn reprobe(&mut self) {
-        let now = self.context.now.steady_ms;
         self.reprobe_due = false;
-        let mut jobs: Vec<(Priority, u8, f64, JobIndex)> = Vec::new();
-        for (ix, job) in self.jobs.iter() {
-            let gang = job.spec.shape == JobKind::Gang;
-            if job.state == JobState::Live && job.waiting > 0 && !gang && job.may_try(now) {
-                jobs.push((job.priority, job.lost, job.remaining_s(), ix));
-            }
-        }
+        let jobs = self.jobs_to_reprobe();
         if jobs.is_empty() {
             return;
         }
-        if !self.search_budget.left(now) {
+        if !self.reprobe_jobs(jobs) {
             self.reprobe_due = true;
-            return;
         }
-        // As the queues have it.
-        jobs.sort_by(|a, b| {
-            let standing = (b.0, a.1).cmp(&(a.0, b.1));
-            standing.then(a.2.total_cmp(&b.2)).then(a.3.cmp(&b.3))
+    }
+
+    /// Jobs with waiting tasks in the order in which queues serve them.
+    fn jobs_to_reprobe(&self) -> Vec<JobIndex> {
+        let now_ms = self.context.now.steady_ms;
+        let is_concerned = |job: &Job| {
+            let gang = job.spec.shape == JobKind::Gang;
+            job.state == JobState::Live && job.waiting > 0 && !gang && job.may_try(now_ms)
+        };
+        let mut jobs: Vec<(JobIndex, &Job)> =
+            self.jobs.iter().filter(|(_, job)| is_concerned(job)).collect();
+        jobs.sort_by(|(a_index, a), (b_index, b)| {
+            let by_urgency = (b.priority, a.lost).cmp(&(a.priority, b.lost));
+            by_urgency.then(a.remaining_s().total_cmp(&b.remaining_s())).then(a_index.cmp(b_index))
         });
-        let roomy = self.roomy_machines();
-        let (mut looked, mut moved) = (0, 0);
-        for (_, _, _, ix) in jobs {
-            let Some(job) = self.jobs.get(ix) else { continue };
-            let most = job.asking(job.waiting) as usize;
-            let ready = |t: &Task| t.state == TaskState::Waiting && t.not_before_ms <= now;
-            let waiting = job.tasks().filter(|(_, t)| ready(t)).take(most);
-            let keys: Vec<TaskKey> = waiting.map(|(task, _)| TaskKey { job: ix, task }).collect();
-            if !self.search_budget.left(now) {
-                self.reprobe_due = true;
-                return;
+        jobs.into_iter().map(|(index, _)| index).collect()
+    }
+
+    /// Returns false if the limits of one pass did not suffice.
+    fn reprobe_jobs(&mut self, jobs: Vec<JobIndex>) -> bool {
+        let now_ms = self.context.now.steady_ms;
+        if !self.search_budget.left(now_ms) {
+            return false;
+        }
+        let free_capacity = self.roomy_machines();
+        let (mut checked, mut moved) = (0, 0);
+        for job_index in jobs {
+            let Some(keys) = self.tasks_to_reprobe(job_index) else { continue };
+            if !self.search_budget.left(now_ms) {
+                return false;
             }
-            // One more than a task can have among its own tells of one elsewhere.
-            let room = self.roomy_for(&roomy, ix, ELSEWHERE);
-            let mut field: Option<Candidates> = None;
+            let free_machines = self.roomy_for(&free_capacity, job_index, MAX_FREE_MACHINES);
+            let mut candidates: Option<Candidates> = None;
             for key in keys {
-                if looked >= LOOK_AT_ONCE || moved >= DEAL_AT_ONCE {
-                    self.reprobe_due = true;
-                    return;
+                if checked >= MAX_CHECKED_PER_PASS || moved >= MAX_PLACED_PER_PASS {
+                    return false;
+                }
+                checked += 1;
+                self.search_budget.spend(now_ms, 1);
+                if self.is_well_placed(key, &free_machines) {
+                    continue;
                 }
-                looked += 1;
-                self.search_budget.spend(now, 1);
-                if !self.served(key, &room) {
-                    if field.is_none() && !self.search_budget.left(now) {
-                        self.reprobe_due = true;
-                        return;
-                    }
-                    let field = field.get_or_insert_with(|| self.field(ix));
-                    moved += u32::from(self.reprobe_task(key, field));
+                if candidates.is_none() && !self.search_budget.left(now_ms) {
+                    return false;
                 }
+                let candidates = candidates.get_or_insert_with(|| self.field(job_index));
+                moved += u32::from(self.reprobe_task(key, candidates));
             }
         }
+        true
+    }
+
+    /// Waiting tasks of a job that may start now, as many as it asks machines for.
+    fn tasks_to_reprobe(&self, job_index: JobIndex) -> Option<Vec<TaskKey>> {
+        let now_ms = self.context.now.steady_ms;
+        let job = self.jobs.get(job_index)?;
+        let is_ready =
+            |task: &Task| task.state == TaskState::Waiting && task.not_before_ms <= now_ms;
+        let waiting = job.tasks().filter(|(_, task)| is_ready(task));
+        let asking = waiting.take(job.asking(job.waiting) as usize);
+        Some(asking.map(|(task, _)| TaskKey { job: job_index, task }).collect())
     }
 
-    /// Whether a waiting task is as well placed as it can be: a machine of its own has
-    /// room, or one lives and no other has any.
-    fn served(&mut self, key: TaskKey, room: &[MachineIndex]) -> bool {
+    /// Whether a waiting task is placed as well as it can be: a machine of its probes has free
+    /// capacity, or one may come to have it and no other machine has any.
+    fn is_well_placed(&mut self, key: TaskKey, free_machines: &[MachineIndex]) -> bool {
         // A machine may have become usable since the task began to wait.
         self.enqueue(key);
         let Some(job) = self.jobs.get(key.job) else { return true };
         let Some(task) = job.task(key.task) else { return true };
         let need = job.resources();
-        let (mut live, mut has_room) = (false, false);
-        for p in &task.probes {
-            let Some(m) = self.machines.get(p.machine).filter(|m| m.usable()) else { continue };
-            live |= self.may_come_free(m, job.priority, &need);
-            has_room |= self.resources_for(p.machine, m, job).fits(&need)
-                && !job.errors_on.contains(&p.machine);
+        let (mut may_come_free, mut is_free) = (false, false);
+        for probe in &task.probes {
+            let machine = self.machines.get(probe.machine);
+            let Some(machine) = machine.filter(|machine| machine.usable()) else { continue };
+            may_come_free |= self.may_come_free(machine, job.priority, &need);
+            is_free |= self.resources_for(probe.machine, machine, job).fits(&need)
+                && !job.errors_on.contains(&probe.machine);
         }
-        let elsewhere = |ix: &MachineIndex| !task.probes.iter().any(|p| p.machine == *ix);
-        has_room || live && !room.iter().any(elsewhere)
+        let is_elsewhere =
+            |other: &MachineIndex| !task.probes.iter().any(|probe| probe.machine == *other);
+        is_free || may_come_free && !free_machines.iter().any(is_elsewhere)
     }
 
-    /// Gives a waiting task other machines, if that helps.
-    fn reprobe_task(&mut self, key: TaskKey, field: &mut Candidates) -> bool {
+    /// Gives a waiting task other probes, if that helps. Returns whether it did.
+    fn reprobe_task(&mut self, key: TaskKey, candidates: &mut Candidates) -> bool {
         let Some(job) = self.jobs.get(key.job) else { return false };
         let Some(task) = job.task(key.task) else { return false };
-        let (spec, fixed, avoid) = (job.spec.clone(), job.zone, job.errors_on.clone());
-        let (priority, need) = (job.priority, job.resources());
-        let usable = |p: &&Probe| self.machines.get(p.machine).is_some_and(|m| m.usable());
-        let may_serve = |p: &Probe| {
-            let m = self.machines.get(p.machine).filter(|m| m.usable());
-            m.is_some_and(|m| self.may_come_free(m, priority, &need))
-        };
-        let live = task.probes.iter().any(may_serve);
-        if live && !field.roomy(None) {
+        let (spec, job_zone, avoid) = (job.spec.clone(), job.zone, job.errors_on.clone());
+        let has_prospects = self.has_prospects(job, task);
+        if has_prospects && !candidates.roomy(None) {
             return false;
         }
-        // What was chosen last has to stand before it is chosen anew: otherwise a task whose
-        // record waits for its turn would be given others for ever, and never start.
-        let acked = job.chunks.get(&(key.task / TASKS_PER_CHUNK)).map_or(0, |c| c.acked);
-        if task.probes.iter().filter(usable).any(|p| p.version > acked) {
+        if self.has_unrecorded_probe(job, key, task) {
             return false;
         }
-        let Some(zone) = self.zone_for(key, field).map(|z| z.or(fixed)) else { return false };
-        if !field.roomy(zone) && (live || !field.any_in(zone)) {
+        let Some(zone) = self.zone_for(key, candidates) else { return false };
+        let zone = zone.or(job_zone);
+        if !candidates.roomy(zone) && (has_prospects || !candidates.any_in(zone)) {
             return false;
         }
         let count = self.probe_count(&spec);
-        let mut picks = field.choose(self, zone, count, &avoid);
-        if picks.is_empty() {
-            picks = field.choose(self, zone, count, &[]);
+        let mut machines = candidates.choose(self, zone, count, &avoid);
+        if machines.is_empty() {
+            machines = candidates.choose(self, zone, count, &[]);
         }
-        if picks.is_empty() {
+        if machines.is_empty() {
             return false;
         }
-        self.set_probes(key, picks, zone);
+        self.set_probes(key, machines, zone);
         self.enqueue(key);
         self.mark_dirty(key.job, key.task / TASKS_PER_CHUNK);
         true
     }
 
-    /// Machines that waiting tasks of this job are probed to may bind now.
+    /// Whether a machine of the task's probes may come to have capacity for it.
+    fn has_prospects(&self, job: &Job, task: &Task) -> bool {
+        let need = job.resources();
+        task.probes.iter().any(|probe| {
+            let machine = self.machines.get(probe.machine).filter(|machine| machine.usable());
+            machine.is_some_and(|machine| self.may_come_free(machine, job.priority, &need))
+        })
+    }
+
+    /// Whether the stored record does not name a usable machine of the task's probes yet. Such a
+    /// task gets no other probes: if the write is late, it would get new ones again and again, and
+    /// never start.
+    fn has_unrecorded_probe(&self, job: &Job, key: TaskKey, task: &Task) -> bool {
+        let acked = job.chunks.get(&(key.task / TASKS_PER_CHUNK)).map_or(0, |chunk| chunk.acked);
+        task.probes.iter().any(|probe| {
+            let machine = self.machines.get(probe.machine);
+            machine.is_some_and(Machine::usable) && probe.version > acked
+        })
+    }
+
+    /// Lets the machines of all probes of the job's waiting tasks bind them.
     pub(crate) fn touch_probed(&mut self, ix: JobIndex) {
         let Some(job) = self.jobs.get(ix) else { return };
-        let machines: Vec<MachineIndex> = job
-            .tasks()
-            .filter(|(_, t)| t.state == TaskState::Waiting)
-            .flat_map(|(_, t)| t.probes.iter().map(|p| p.machine))
-            .collect();
-        self.machines_to_dispatch.extend(machines);
+        let waiting = job.tasks().filter(|(_, task)| task.state == TaskState::Waiting);
+        let probes = waiting.flat_map(|(_, task)| &task.probes);
+        self.machines_to_dispatch.extend(probes.map(|probe| probe.machine));
     }
 }
