--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -1,17 +1,16 @@
-//! The machines that tasks of one job may be dealt to, best first.
+//! Candidate selection: the machines on which tasks of one job may be placed, best first.
 //!
-//! Looking at all machines is what dealing costs, and it grows with the fleet. So it is
-//! done once for many tasks: machines lie in a heap for each zone, ordered by how well
-//! they serve, and a pick puts those that it took back in their new places. How many
-//! machines may be looked at in a while is bounded (`SearchBudget`), so that dealing never
-//! takes the time that running work needs.
+//! Looking at all machines is what placement costs, and the cost grows with the fleet. So it is done
+//! once for many tasks of a job: the machines are kept in one heap a zone, ordered by a score, and
+//! those that were chosen return to it with their new scores. How many machines may be looked at in
+//! a time is bounded ([`SearchBudget`]), so that placement never takes the processor time that
+//! running work needs.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
 use ordered_float::OrderedFloat;
 use quartzgate_wire::msg::{JobSpec, Priority};
-
 use rand::Rng;
 
 use crate::controller::Controller;
@@ -21,129 +20,142 @@
 use crate::storage::rate_limiter::RateLimiter;
 use crate::LoadState;
 
-/// Machines looked at in a second of a whole core, by rough measure.
+/// Machines that one core can look at in a second, roughly.
 const LOOKS_PER_CORE_S: f64 = 3e6;
-/// Share of the processor that dealing may take for looking at machines.
-const LOOKS_SHARE: f64 = 0.25;
-
-/// What dealing may look at: machines a second, in proportion to the processor.
+/// Part of the processor that placement may use for looking at machines.
+const PLACEMENT_CPU_FRACTION: f64 = 0.25;
+/// Part of that under moderate load.
+const PRESSED_FRACTION: f64 = 0.5;
+/// Part of that while requests are shed.
+const SHEDDING_FRACTION: f64 = 0.2;
+
+/// Rate limit of looks at machines, in proportion to the processor.
 pub(crate) struct SearchBudget {
     looks: RateLimiter,
-    /// Machines a second that a whole share of the processor would allow.
-    whole: f64,
+    /// Looks a second that the whole processor would allow.
+    max_looks_per_s: f64,
 }
 
 impl SearchBudget {
+    /// A budget for this many cores.
     pub fn new(cpu_share: f64) -> Self {
-        let whole = cpu_share.max(0.01) * LOOKS_PER_CORE_S;
-        SearchBudget { looks: RateLimiter::new(whole * LOOKS_SHARE), whole }
+        let max_looks_per_s = cpu_share.max(0.01) * LOOKS_PER_CORE_S;
+        let looks = RateLimiter::new(max_looks_per_s * PLACEMENT_CPU_FRACTION);
+        SearchBudget { looks, max_looks_per_s }
     }
 
-    /// Under load dealing gets less: reports go first.
+    /// Adapts the budget to the load of the process: heartbeats go before placement.
     pub fn fit(&mut self, state: LoadState) {
-        let part = match state {
+        let fraction = match state {
             LoadState::Normal => 1.0,
-            LoadState::Pressed => 0.5,
-            LoadState::Shedding => 0.2,
+            LoadState::Pressed => PRESSED_FRACTION,
+            LoadState::Shedding => SHEDDING_FRACTION,
         };
-        self.looks.set_rate(self.whole * LOOKS_SHARE * part);
+        self.looks.set_rate(self.max_looks_per_s * PLACEMENT_CPU_FRACTION * fraction);
     }
 
-    /// Whether so many machines may be looked at now. One look at the whole fleet is
-    /// allowed whenever the last is paid for, however large the fleet.
+    /// Whether machines may be looked at now. One look at the whole fleet is allowed as soon as the
+    /// last is paid for, however large the fleet is.
     pub fn left(&mut self, now_ms: u64) -> bool {
         self.looks.room(now_ms, 0.0) > 0.0
     }
 
+    /// Counts looks at so many machines.
     pub fn spend(&mut self, now_ms: u64, machines: usize) {
         self.looks.force(now_ms, machines as f64);
     }
 }
 
-/// A machine as the deal sees it.
+/// A machine on which tasks of the job may be placed.
 struct Candidate {
-    ix: MachineIndex,
+    index: MachineIndex,
     zone: Option<u16>,
+    /// Resources that the job may use now.
     free: Resources,
-    /// Room that the queue has not spoken for.
+    /// What of them is left beside the tasks in the machine's queue.
     spare: Resources,
+    /// Expected wait in its queue.
     wait_s: f64,
-    image: bool,
-    /// Fetching the image would take longer than the job's class may wait.
-    late: bool,
+    has_image: bool,
+    /// Fetching the image would take longer than tasks of the job's class should wait.
+    slow_fetch: bool,
     spot: bool,
     /// It has GPUs, which are scarce, and the job needs none.
     scarce: bool,
-    used_share: f64,
+    /// Used part of its CPUs.
+    used_fraction: f64,
+    /// Tasks in its queue.
     queued: usize,
-    /// Tasks that were picked for it since, by weight.
-    taken: f64,
+    /// Tasks of the job for which it was chosen since, weighted by how likely they run here.
+    chosen: f64,
+    /// Small random number that spreads the choice among equals.
     jitter: f64,
 }
 
+/// Score (the lower the better) and position in the list, in the order of a max-heap.
 type Scored = Reverse<(OrderedFloat<f64>, usize)>;
 
 /// What one zone offers the job.
 #[derive(Clone, Debug, Default)]
-struct ZoneRoom {
+struct ZoneCapacity {
     machines: u32,
-    /// Tasks that its spare room holds, and machines among them that have the image.
-    holds: u32,
-    images: u32,
+    /// Tasks that fit the spare resources of its machines.
+    fitting_tasks: u32,
+    /// Machines among those that have the image.
+    with_image: u32,
 }
 
+/// The candidates for the tasks of one job.
 pub(crate) struct Candidates {
     job: JobIndex,
     need: Resources,
-    spot: bool,
+    allows_spot: bool,
     list: Vec<Candidate>,
-    /// Places in `list` by zone, those of unknown zone last.
+    /// Positions in `list` by zone, those of unknown zone last.
     heaps: Vec<BinaryHeap<Scored>>,
-    zones: Vec<ZoneRoom>,
-}
-
-/// What the machines of a type are to a job.
-struct Kind<'a> {
-    name: &'a str,
-    all: Resources,
-    late: bool,
+    zones: Vec<ZoneCapacity>,
 }
 
 impl Candidates {
+    /// Whether there is no candidate at all.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// Machines that have room that nobody has spoken for, in this zone or in any.
-    pub fn roomy(&self, zone: Option<u16>) -> bool {
-        let within = |(z, _): &(usize, &ZoneRoom)| zone.is_none_or(|want| want as usize == *z);
-        self.zones.iter().enumerate().filter(within).any(|(_, z)| z.holds > 0)
+    /// Whether one more task fits the spare resources of a machine in this zone, or in any.
+    pub fn has_spare(&self, zone: Option<u16>) -> bool {
+        match zone {
+            Some(zone) => self.zones[zone as usize].fitting_tasks > 0,
+            None => self.zones.iter().any(|zone| zone.fitting_tasks > 0),
+        }
     }
 
+    /// Whether there is a candidate in this zone, or in any.
     pub fn any_in(&self, zone: Option<u16>) -> bool {
-        zone.map_or(!self.list.is_empty(), |z| self.zones[z as usize].machines > 0)
+        zone.map_or(!self.list.is_empty(), |zone| self.zones[zone as usize].machines > 0)
     }
 
-    /// Zone with the most room that nobody has spoken for.
-    pub fn roomiest_zone(&self) -> Option<u16> {
+    /// The zone whose spare resources hold most tasks.
+    pub fn zone_with_most_spare(&self) -> Option<u16> {
         let known = self.zones.len() as u16 - 1;
-        let offers = (0..known).filter(|z| self.zones[*z as usize].machines > 0);
-        offers.max_by_key(|z| self.zones[*z as usize].holds)
+        let with_machines = (0..known).filter(|zone| self.zones[*zone as usize].machines > 0);
+        with_machines.max_by_key(|zone| self.zones[*zone as usize].fitting_tasks)
     }
 
-    /// The zone for one more task of a job that is spread: the emptiest that has room
-    /// and may take one, rather where the image lies.
-    pub fn spread_zone(&self, counts: &[u32], most: u32) -> Option<u16> {
-        let open = (0..counts.len()).filter(|z| counts[*z] < most && self.zones[*z].machines > 0);
-        let best = open.max_by_key(|z| {
-            let room = &self.zones[*z];
-            (room.holds > 0, Reverse(counts[*z]), room.images > 0, room.holds)
+    /// The zone for one more task of a job that is spread: the one with the fewest of its tasks
+    /// that has spare resources and may take one more, preferably where the image is.
+    pub fn spread_zone(&self, counts: &[u32], max_per_zone: u32) -> Option<u16> {
+        let is_open = |zone: &usize| counts[*zone] < max_per_zone && self.zones[*zone].machines > 0;
+        let best = (0..counts.len()).filter(is_open).max_by_key(|zone| {
+            let capacity = &self.zones[*zone];
+            let fitting = capacity.fitting_tasks;
+            (fitting > 0, Reverse(counts[*zone]), capacity.with_image > 0, fitting)
         });
-        best.map(|z| z as u16)
+        best.map(|zone| zone as u16)
     }
 
-    /// The best machines for one more task, at most `count` of them, the first being
-    /// where it will most likely run.
+    /// The best machines for one more task, at most `count` of them, the first being the one where
+    /// it will most likely run.
     pub fn choose(
         &mut self,
         core: &Controller,
@@ -151,270 +163,342 @@
         count: usize,
         avoid: &[MachineIndex],
     ) -> Vec<MachineIndex> {
+        let chosen = self.pop_best(zone, count, avoid);
+        let weight_of_others = 0.5 / chosen.len().max(1) as f64;
+        for (rank, &(heap, position)) in chosen.iter().enumerate() {
+            let weight = if rank == 0 { 1.0 } else { weight_of_others };
+            self.take(heap, position, weight);
+            let score = self.score(core, position);
+            self.heaps[heap].push(Reverse((score, position)));
+        }
+        chosen.into_iter().map(|(_, position)| self.list[position].index).collect()
+    }
+
+    /// Takes the best candidates out of the heaps; returns the heap and the position of each.
+    fn pop_best(
+        &mut self,
+        zone: Option<u16>,
+        count: usize,
+        avoid: &[MachineIndex],
+    ) -> Vec<(usize, usize)> {
         let heaps: Vec<usize> = match zone {
-            Some(z) => vec![z as usize],
+            Some(zone) => vec![zone as usize],
             None => (0..self.heaps.len()).collect(),
         };
-        let (mut picks, mut passed) = (Vec::with_capacity(count), Vec::new());
-        while picks.len() < count {
+        let (mut chosen, mut avoided) = (Vec::with_capacity(count), Vec::new());
+        while chosen.len() < count {
             let tops = heaps.iter().filter_map(|h| self.heaps[*h].peek().map(|top| (top, *h)));
-            let Some(h) = tops.max_by_key(|(top, _)| **top).map(|(_, h)| h) else { break };
-            let Some(top) = self.heaps[h].pop() else { break };
-            let Reverse((_, at)) = top;
-            match avoid.contains(&self.list[at].ix) {
-                true => passed.push((h, top)),
-                false => picks.push((h, at)),
+            let best = tops.max_by_key(|(top, _)| **top);
+            let Some(heap) = best.map(|(_, heap)| heap) else { break };
+            let Some(top) = self.heaps[heap].pop() else { break };
+            let Reverse((_, position)) = top;
+            match avoid.contains(&self.list[position].index) {
+                true => avoided.push((heap, top)),
+                false => chosen.push((heap, position)),
             }
         }
-        passed.into_iter().for_each(|(h, top)| self.heaps[h].push(top));
-        let others = 0.5 / picks.len().max(1) as f64;
-        for (n, &(h, at)) in picks.iter().enumerate() {
-            self.take(h, at, if n == 0 { 1.0 } else { others });
-            let score = self.score(core, at);
-            self.heaps[h].push(Reverse((score, at)));
-        }
-        picks.into_iter().map(|(_, at)| self.list[at].ix).collect()
+        avoided.into_iter().for_each(|(heap, top)| self.heaps[heap].push(top));
+        chosen
     }
 
-    fn take(&mut self, zone: usize, at: usize, weight: f64) {
-        let (c, room) = (&mut self.list[at], &mut self.zones[zone]);
-        let (held, image) = (c.spare.holds(&self.need), c.image);
-        c.spare.add(&self.need, -weight);
-        c.taken += weight;
-        c.queued += 1;
-        let holds = c.spare.holds(&self.need);
-        room.holds -= held - holds;
-        if image && held > 0 && holds == 0 {
-            room.images -= 1;
+    /// Counts one more task for a candidate, by its weight.
+    fn take(&mut self, zone: usize, position: usize, weight: f64) {
+        let (candidate, capacity) = (&mut self.list[position], &mut self.zones[zone]);
+        let fitting_before = candidate.spare.holds(&self.need);
+        candidate.spare.add(&self.need, -weight);
+        candidate.chosen += weight;
+        candidate.queued += 1;
+        let fitting = candidate.spare.holds(&self.need);
+        capacity.fitting_tasks -= fitting_before - fitting;
+        if candidate.has_image && fitting_before > 0 && fitting == 0 {
+            capacity.with_image -= 1;
         }
     }
 
     /// How well a machine would serve one more task: the lower the better.
-    fn score(&self, core: &Controller, at: usize) -> OrderedFloat<f64> {
-        let c = &self.list[at];
-        let mut score = c.jitter;
-        if c.spare.fits(&self.need) {
-            // Room now: where the image lies, then cheap, then filling up machines.
-            score += match (c.image, c.late) {
+    fn score(&self, core: &Controller, position: usize) -> OrderedFloat<f64> {
+        let candidate = &self.list[position];
+        let mut score = candidate.jitter;
+        if candidate.spare.fits(&self.need) {
+            // Spare now: first where the image is, then the cheap ones, then bin packing.
+            score += match (candidate.has_image, candidate.slow_fetch) {
                 (true, _) => 0.0,
                 (_, false) => 1.0,
                 (_, true) => 4.0,
             };
-            // Ordinary room is dear: for what may do without, a short fetch is cheaper.
-            score += if self.spot && !c.spot { 2.0 } else { 0.0 };
-            score += if c.scarce { 2.5 } else { 0.0 };
-            score += 0.4 * (1.0 - c.used_share);
-        } else if self.preemptible_by_priority(core, c) {
-            score += 3.0 + if c.image { 0.0 } else { 2.0 };
-            score += 0.4 * c.queued as f64;
+            // On-demand machines are expensive: work that may run on spot rather fetches the image.
+            score += if self.allows_spot && !candidate.spot { 2.0 } else { 0.0 };
+            score += if candidate.scarce { 2.5 } else { 0.0 };
+            score += 0.4 * (1.0 - candidate.used_fraction);
+        } else if self.fits_after_preemption(core, candidate) {
+            score += 3.0 + if candidate.has_image { 0.0 } else { 2.0 };
+            score += 0.4 * candidate.queued as f64;
         } else {
-            let room = if c.free.fits(&self.need) { 5.0 } else { 10.0 };
-            score += room + c.wait_s + c.queued as f64;
+            let base = if candidate.free.fits(&self.need) { 5.0 } else { 10.0 };
+            score += base + candidate.wait_s + candidate.queued as f64;
         }
         OrderedFloat(score)
     }
 
-    /// Whether there is room for one more once lower priorities make way.
-    fn preemptible_by_priority(&self, core: &Controller, c: &Candidate) -> bool {
-        let (Some(job), Some(m)) = (core.jobs.get(self.job), core.machines.get(c.ix)) else {
+    /// Whether one more task fits once lower priorities are preempted.
+    fn fits_after_preemption(&self, core: &Controller, candidate: &Candidate) -> bool {
+        let (Some(job), Some(machine)) =
+            (core.jobs.get(self.job), core.machines.get(candidate.index))
+        else {
             return false;
         };
-        let mut room = c.free;
-        room.add(&self.need, -c.taken);
-        room.add(&m.preemptible_for(job.force()), 1.0);
-        room.fits(&self.need)
+        let mut attainable = candidate.free;
+        attainable.add(&self.need, -candidate.chosen);
+        attainable.add(&machine.preemptible_for(job.force()), 1.0);
+        attainable.fits(&self.need)
+    }
+
+    /// Scores all candidates, and counts what each zone offers.
+    fn build_heaps(&mut self, core: &Controller) {
+        let unknown_zone = self.zones.len() - 1;
+        let mut scored: Vec<Vec<Scored>> = vec![Vec::new(); self.zones.len()];
+        for position in 0..self.list.len() {
+            let candidate = &self.list[position];
+            let zone = candidate.zone.map_or(unknown_zone, usize::from);
+            let capacity = &mut self.zones[zone];
+            let fitting = candidate.spare.holds(&self.need);
+            capacity.machines += 1;
+            capacity.fitting_tasks += fitting;
+            capacity.with_image += u32::from(candidate.has_image && fitting > 0);
+            scored[zone].push(Reverse((self.score(core, position), position)));
+        }
+        self.heaps = scored.into_iter().map(BinaryHeap::from).collect();
     }
 }
 
+/// A machine type that a job allows.
+struct AllowedType<'a> {
+    name: &'a str,
+    capacity: Resources,
+    /// Fetching the image would take longer than tasks of the job's class should wait.
+    slow_fetch: bool,
+}
+
 impl Controller {
     /// Looks at all machines for a job's tasks.
-    pub(crate) fn field(&mut self, ix: JobIndex) -> Candidates {
-        let now = self.context.now.steady_ms;
-        self.search_budget.spend(now, self.machines.len());
+    pub(crate) fn candidates_for(&mut self, ix: JobIndex) -> Candidates {
+        let now_ms = self.context.now.steady_ms;
+        self.search_budget.spend(now_ms, self.machines.len());
         let zones = self.context.config.platform.params.zones.len();
-        let mut field = Candidates {
+        let mut candidates = Candidates {
             job: ix,
             need: Resources::default(),
-            spot: false,
+            allows_spot: false,
             list: Vec::new(),
             heaps: vec![BinaryHeap::new(); zones + 1],
-            zones: vec![ZoneRoom::default(); zones + 1],
+            zones: vec![ZoneCapacity::default(); zones + 1],
         };
         let mut rng = self.context.rng.clone();
-        let Some(job) = self.jobs.get(ix) else { return field };
-        (field.need, field.spot) = (job.resources(), job.spec.spot);
-        let kinds = self.kinds_for(&job.spec);
-        let want = self.zone_wanted(&job.spec);
-        let gpus_scarce = self.ratios.gpus_scarce() && job.spec.gpus <= 0.0;
-        for (mix, m) in self.machines.iter().filter(|(_, m)| m.usable()) {
-            let kind = kinds.iter().find(|k| k.name == m.kind);
-            let allowed = (job.spec.spot || !m.spot) && want.is_none_or(|z| m.zone == z);
-            let Some(kind) = kind.filter(|k| allowed && k.all.fits(&field.need)) else { continue };
-            // What services hold for good leaves no room for it.
-            if !kind.all.minus(&m.held_by_services(job.priority)).fits(&field.need) {
+        let Some(job) = self.jobs.get(ix) else { return candidates };
+        candidates.need = job.resources();
+        candidates.allows_spot = job.spec.spot;
+        let allowed_types = self.allowed_types(&job.spec);
+        let wanted_zone = self.wanted_zone(&job.spec);
+        for (machine_index, machine) in self.machines.iter().filter(|(_, m)| m.usable()) {
+            let is_allowed = (job.spec.spot || !machine.spot)
+                && wanted_zone.is_none_or(|zone| machine.zone == zone);
+            let allowed_type = allowed_types.iter().find(|t| t.name == machine.kind);
+            let fits = |t: &&AllowedType| is_allowed && t.capacity.fits(&candidates.need);
+            let Some(allowed_type) = allowed_type.filter(fits) else { continue };
+            if !fits_beside_services(machine, &allowed_type.capacity, job) {
                 continue;
             }
-            let (free, spare) = self.spare_room(mix, m, &kind.all, &field.need, Some(job));
-            let image = m.images.contains(&job.image);
-            field.list.push(Candidate {
-                ix: mix,
-                late: !image && kind.late,
-                zone: m.zone,
-                free,
-                spare,
-                wait_s: m.wait_s,
-                image,
-                spot: m.spot,
-                scarce: kind.all.gpus > 0.0 && gpus_scarce,
-                used_share: m.used.cpus / kind.all.cpus.max(1e-9),
-                queued: m.queue.len(),
-                taken: 0.0,
-                jitter: rng.random_range(0.0..0.01),
-            });
-        }
-        let mut scored: Vec<Vec<Scored>> = vec![Vec::new(); zones + 1];
-        for at in 0..field.list.len() {
-            let c = &field.list[at];
-            let z = c.zone.map_or(zones, usize::from);
-            let room = &mut field.zones[z];
-            let holds = c.spare.holds(&field.need);
-            room.machines += 1;
-            room.holds += holds;
-            room.images += u32::from(c.image && holds > 0);
-            scored[z].push(Reverse((field.score(self, at), at)));
+            let mut candidate = self.candidate(machine_index, machine, allowed_type, job);
+            candidate.jitter = rng.random_range(0.0..0.01);
+            candidates.list.push(candidate);
         }
-        field.heaps = scored.into_iter().map(BinaryHeap::from).collect();
+        candidates.build_heaps(self);
         self.context.rng = rng;
-        field
+        candidates
     }
 
-    /// Room that a machine has now, and what of it its queue has not spoken for. What is
-    /// full stays full, whatever its queue has spoken for.
-    fn spare_room(
+    /// A machine as a candidate for a job, without jitter.
+    fn candidate(
         &self,
-        ix: MachineIndex,
-        m: &Machine,
-        all: &Resources,
+        index: MachineIndex,
+        machine: &Machine,
+        allowed_type: &AllowedType,
+        job: &Job,
+    ) -> Candidate {
+        let capacity = &allowed_type.capacity;
+        let (free, spare) =
+            self.free_and_spare(index, machine, capacity, &job.resources(), Some(job));
+        let has_image = machine.images.contains(&job.image);
+        let gpus_scarce = self.ratios.gpus_scarce() && job.spec.gpus <= 0.0;
+        Candidate {
+            index,
+            zone: machine.zone,
+            free,
+            spare,
+            wait_s: machine.wait_s,
+            has_image,
+            slow_fetch: !has_image && allowed_type.slow_fetch,
+            spot: machine.spot,
+            scarce: capacity.gpus > 0.0 && gpus_scarce,
+            used_fraction: machine.used.cpus / capacity.cpus.max(1e-9),
+            queued: machine.queue.len(),
+            chosen: 0.0,
+            jitter: 0.0,
+        }
+    }
+
+    /// Resources that are free on a machine now, and what of them is left beside the tasks in its
+    /// queue. What does not fit any more stays so, whatever the rest of the queue asks for.
+    fn free_and_spare(
+        &self,
+        index: MachineIndex,
+        machine: &Machine,
+        capacity: &Resources,
         need: &Resources,
         job: Option<&Job>,
     ) -> (Resources, Resources) {
-        if !m.takes_work(self.context.now.steady_ms) {
+        if !machine.takes_work(self.context.now.steady_ms) {
             return (Resources::default(), Resources::default());
         }
-        let mut free = all.minus(&m.used);
-        match (job, self.gang_holds.get(&ix)) {
+        let mut free = capacity.minus(&machine.used);
+        match (job, self.gang_holds.get(&index)) {
             (Some(job), held) => free = self.without_gang_holds(free, held, job),
             (None, Some(held)) => free = free.minus(&held.room),
             (None, None) => {}
         }
         let mut spare = free;
-        for key in &m.queue {
+        for key in &machine.queue {
             if !spare.fits(need) {
                 break;
             }
-            let job = self.jobs.get(key.job).filter(|j| !j.failing_everywhere());
-            let Some(j) = job else { continue };
-            let probes = j.task(key.task).map_or(1, |t| t.probes.len()).max(1);
-            spare.add(&j.resources(), -1.0 / probes as f64);
+            let queued = self.jobs.get(key.job).filter(|job| !job.failing_everywhere());
+            let Some(queued) = queued else { continue };
+            let probes = queued.task(key.task).map_or(1, |task| task.probes.len()).max(1);
+            spare.add(&queued.resources(), -1.0 / probes as f64);
         }
         (free, spare)
     }
 
-    /// The types of machines that a job allows.
-    fn kinds_for<'a>(&'a self, spec: &JobSpec) -> Vec<Kind<'a>> {
-        let within_s = self.may_wait_s(&spec.class);
-        let named = |name: &String| spec.types.as_ref().is_none_or(|t| t.contains(name));
-        let kinds = self.types.iter().filter(|t| named(&t.name));
-        let kinds = kinds.map(|t| Kind {
+    /// The machine types that a job allows.
+    fn allowed_types<'a>(&'a self, spec: &JobSpec) -> Vec<AllowedType<'a>> {
+        let max_wait_s = self.may_wait_s(&spec.class);
+        let is_allowed = |name: &String| spec.types.as_ref().is_none_or(|t| t.contains(name));
+        let types = self.types.iter().filter(|t| is_allowed(&t.name));
+        let allowed = types.map(|t| AllowedType {
             name: &t.name,
-            all: Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb },
-            late: within_s.is_some_and(|w| self.fetch_s(spec, &t.name) > w),
+            capacity: Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb },
+            slow_fetch: max_wait_s.is_some_and(|max_s| self.fetch_s(spec, &t.name) > max_s),
         });
-        kinds.collect()
+        allowed.collect()
     }
 
-    /// The only zone that a job allows: `None` for any, `Some(None)` for one that the
-    /// settings don't know.
-    fn zone_wanted(&self, spec: &JobSpec) -> Option<Option<u16>> {
+    /// The only zone that a job allows: `None` for any, `Some(None)` for one that the settings
+    /// don't name.
+    fn wanted_zone(&self, spec: &JobSpec) -> Option<Option<u16>> {
         let zones = &self.context.config.platform.params.zones;
-        let place = |want: &String| zones.iter().position(|z| z == want).map(|z| z as u16);
-        spec.zone.as_ref().map(place)
+        let position = |wanted: &String| zones.iter().position(|zone| zone == wanted);
+        spec.zone.as_ref().map(|wanted| position(wanted).map(|zone| zone as u16))
     }
 
-    /// Machines that have room now that nobody has spoken for, for a quick look at
-    /// whether one could serve.
-    pub(crate) fn roomy_machines(&mut self) -> FreeCapacity {
-        let now = self.context.now.steady_ms;
-        // Little is looked at of each.
-        self.search_budget.spend(now, self.machines.len() / 4);
+    /// Spare resources of all machines, for a quick test whether one could serve a job.
+    pub(crate) fn free_capacity(&mut self) -> FreeCapacity {
+        let now_ms = self.context.now.steady_ms;
+        // Less is looked at than for candidates.
+        self.search_budget.spend(now_ms, self.machines.len() / 4);
         let least = Resources { cpus: 1e-3, gpus: 0.0, memory_gb: 0.0 };
-        let mut roomy = FreeCapacity::default();
-        for (ix, m) in self.machines.iter().filter(|(_, m)| m.usable()) {
-            let Some(all) = self.capacity_of(&m.kind) else { continue };
-            let (_, spare) = self.spare_room(ix, m, &all, &least, None);
+        let mut free_capacity = FreeCapacity::default();
+        for (index, machine) in self.machines.iter().filter(|(_, machine)| machine.usable()) {
+            let Some(capacity) = self.capacity_of(&machine.kind) else { continue };
+            let (_, spare) = self.free_and_spare(index, machine, &capacity, &least, None);
             if !spare.fits(&least) {
                 continue;
             }
-            let group = (m.kind.clone(), m.zone, m.spot);
-            let (most, machines) = roomy.groups.entry(group).or_default();
-            most.cpus = most.cpus.max(spare.cpus);
-            most.gpus = most.gpus.max(spare.gpus);
-            most.memory_gb = most.memory_gb.max(spare.memory_gb);
-            let mut beside = spare;
+            let mut beside_gpus = spare;
             if spare.gpus > 0.0 {
-                beside = spare.minus(&self.beside_gpus(&spare));
+                beside_gpus = spare.minus(&self.beside_gpus(&spare));
             }
-            machines.push(SpareCapacity { ix, room: spare, beside });
+            free_capacity.add(machine, SpareCapacity { machine: index, spare, beside_gpus });
         }
-        roomy
+        free_capacity
     }
 
-    /// The first so many machines with unspoken room that may serve a job.
-    pub(crate) fn roomy_for(
+    /// At most `count` machines with spare resources for a task of the job.
+    pub(crate) fn machines_with_spare(
         &mut self,
-        roomy: &FreeCapacity,
-        ix: JobIndex,
+        free_capacity: &FreeCapacity,
+        job_index: JobIndex,
         count: usize,
     ) -> Vec<MachineIndex> {
-        let Some(job) = self.jobs.get(ix) else { return Vec::new() };
-        let (need, mut looked, mut out) = (job.resources(), roomy.groups.len(), Vec::new());
-        // What scarce GPUs need beside them is not for what needs none.
-        let plain = need.gpus <= 0.0 && job.priority < Priority::Production;
-        for ((kind, zone, spot), (most, machines)) in &roomy.groups {
-            if !most.fits(&need) || !self.allows(&job.spec, kind, *zone, *spot) {
+        let Some(job) = self.jobs.get(job_index) else { return Vec::new() };
+        let need = job.resources();
+        let (mut looked, mut found) = (free_capacity.groups.len(), Vec::new());
+        // What scarce GPUs need beside them is not for work without GPUs.
+        let leaves_gpus = need.gpus <= 0.0 && job.priority < Priority::Production;
+        for (group, members) in &free_capacity.groups {
+            let is_allowed = self.allows(&job.spec, &group.kind, group.zone, group.spot);
+            if !members.max.fits(&need) || !is_allowed {
                 continue;
             }
-            for spare in machines {
+            for member in &members.machines {
                 looked += 1;
-                let room = if plain { &spare.beside } else { &spare.room };
-                if room.fits(&need) {
-                    out.push(spare.ix);
+                let usable = if leaves_gpus { &member.beside_gpus } else { &member.spare };
+                if usable.fits(&need) {
+                    found.push(member.machine);
                 }
-                if out.len() >= count {
+                if found.len() >= count {
                     break;
                 }
             }
         }
-        out.truncate(count);
-        let now = self.context.now.steady_ms;
-        self.search_budget.spend(now, looked / 8);
-        out
+        found.truncate(count);
+        self.search_budget.spend(self.context.now.steady_ms, looked / 8);
+        found
     }
 }
 
-/// Machines with unspoken room by type, zone and kind, with the most that any of a group has.
+/// Whether a task of the job fits a machine beside its services, which never end.
+fn fits_beside_services(machine: &Machine, capacity: &Resources, job: &Job) -> bool {
+    capacity.minus(&machine.held_by_services(job.priority)).fits(&job.resources())
+}
+
+/// Machines with spare resources, grouped by what jobs ask of a machine.
 #[derive(Default)]
 pub(crate) struct FreeCapacity {
-    groups: BTreeMap<Group, (Resources, Vec<SpareCapacity>)>,
+    groups: BTreeMap<MachineGroup, GroupCapacity>,
 }
 
-/// Unspoken room of a machine.
-struct SpareCapacity {
-    ix: MachineIndex,
-    room: Resources,
-    /// What of it is left beside what scarce GPUs need.
-    beside: Resources,
+impl FreeCapacity {
+    fn add(&mut self, machine: &Machine, capacity: SpareCapacity) {
+        let group =
+            MachineGroup { kind: machine.kind.clone(), zone: machine.zone, spot: machine.spot };
+        let members = self.groups.entry(group).or_default();
+        let max = &mut members.max;
+        max.cpus = max.cpus.max(capacity.spare.cpus);
+        max.gpus = max.gpus.max(capacity.spare.gpus);
+        max.memory_gb = max.memory_gb.max(capacity.spare.memory_gb);
+        members.machines.push(capacity);
+    }
 }
 
-/// Type, zone and kind of a machine.
-type Group = (String, Option<u16>, bool);
+/// Machines of one type and zone, all of them spot or none.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct MachineGroup {
+    kind: String,
+    zone: Option<u16>,
+    spot: bool,
+}
+
+/// The machines of a group, and the most of each resource that one of them has spare.
+#[derive(Default)]
+struct GroupCapacity {
+    max: Resources,
+    machines: Vec<SpareCapacity>,
+}
+
+/// Spare resources of a machine.
+struct SpareCapacity {
+    machine: MachineIndex,
+    spare: Resources,
+    /// What is left of them beside what scarce GPUs need.
+    beside_gpus: Resources,
+}
--- a/crates/core/src/placement/placer.rs
+++ b/crates/core/src/placement/placer.rs
@@ -234,7 +234,7 @@
         if !self.within_quota(team, &need) || !job.may_open() {
             return false;
         }
-        let mut candidates = self.field(ix);
+        let mut candidates = self.candidates_for(ix);
         if candidates.is_empty() {
             return self.postpone_placement(ix);
         }
@@ -262,7 +262,7 @@
     fn choose_job_zone(&mut self, job_index: JobIndex, candidates: &Candidates) {
         let Some(job) = self.jobs.get_mut(job_index) else { return };
         if job.zone.is_none() {
-            job.zone = candidates.roomiest_zone();
+            job.zone = candidates.zone_with_most_spare();
         }
     }
 
@@ -437,14 +437,15 @@
         if !self.search_budget.left(now_ms) {
             return false;
         }
-        let free_capacity = self.roomy_machines();
+        let free_capacity = self.free_capacity();
         let (mut checked, mut moved) = (0, 0);
         for job_index in jobs {
             let Some(keys) = self.tasks_to_reprobe(job_index) else { continue };
             if !self.search_budget.left(now_ms) {
                 return false;
             }
-            let free_machines = self.roomy_for(&free_capacity, job_index, MAX_FREE_MACHINES);
+            let free_machines =
+                self.machines_with_spare(&free_capacity, job_index, MAX_FREE_MACHINES);
             let mut candidates: Option<Candidates> = None;
             for key in keys {
                 if checked >= MAX_CHECKED_PER_PASS || moved >= MAX_PLACED_PER_PASS {
@@ -458,7 +459,7 @@
                 if candidates.is_none() && !self.search_budget.left(now_ms) {
                     return false;
                 }
-                let candidates = candidates.get_or_insert_with(|| self.field(job_index));
+                let candidates = candidates.get_or_insert_with(|| self.candidates_for(job_index));
                 moved += u32::from(self.reprobe_task(key, candidates));
             }
         }
@@ -503,7 +504,7 @@
         let Some(task) = job.task(key.task) else { return false };
         let (spec, job_zone, avoid) = (job.spec.clone(), job.zone, job.errors_on.clone());
         let has_prospects = self.has_prospects(job, task);
-        if has_prospects && !candidates.roomy(None) {
+        if has_prospects && !candidates.has_spare(None) {
             return false;
         }
         if self.has_unrecorded_probe(job, key, task) {
@@ -511,7 +512,7 @@
         }
         let Some(zone) = self.zone_for(key, candidates) else { return false };
         let zone = zone.or(job_zone);
-        if !candidates.roomy(zone) && (has_prospects || !candidates.any_in(zone)) {
+        if !candidates.has_spare(zone) && (has_prospects || !candidates.any_in(zone)) {
             return false;
         }
         let count = self.probe_count(&spec);
