--- /dev/null
+++ b/crates/core/src/jobs/transitions.rs
@@ -0,0 +1,207 @@
+//! Changes of state of tasks and jobs, and what follows from them.
+//!
+//! Invariant: the counts of jobs, the usage of teams and the used resources of machines always equal
+//! what the states of the tasks say. All changes go through [`Controller::set_task_state`] and
+//! [`Controller::set_job_state`].
+
+use crate::controller::Controller;
+use crate::fleet::fault_attribution::JobHealth;
+use crate::ids::{JobIndex, TaskKey};
+use crate::jobs::{JobState, Task, TaskState};
+use crate::storage::records::{RecordedStatus, TASKS_PER_CHUNK};
+
+impl Controller {
+    /// The one function that changes a task's state. It keeps the machines' used resources, the
+    /// teams' usage and the jobs' counts consistent with it.
+    pub(crate) fn set_task_state(&mut self, key: TaskKey, state: TaskState) {
+        let now_ms = self.context.now.steady_ms;
+        let Some(job) = self.jobs.get_mut(key.job) else { return };
+        let Some(task) = job.task_mut(key.task) else { return };
+        let old = std::mem::replace(&mut task.state, state);
+        if std::mem::discriminant(&old) != std::mem::discriminant(&state) {
+            task.since_ms = now_ms;
+        }
+        job.count_transition(&old, &state);
+        self.update_team_usage(key.job, &old, &state);
+        if old.machine() != state.machine() {
+            self.update_machine_usage(key, &old, &state);
+        }
+        if state == TaskState::Dropped {
+            self.record_writer.touch_job(key.job);
+        }
+        if state.is_done() && !old.is_done() {
+            self.set_job_health(key.job, JobHealth::Proven);
+        }
+        if state.is_waiting() && !old.is_waiting() {
+            self.enqueue(key);
+        }
+    }
+
+    /// Moves a task's resources between the sums of its team.
+    fn update_team_usage(&mut self, job_index: JobIndex, old: &TaskState, new: &TaskState) {
+        let Some(job) = self.jobs.get(job_index) else { return };
+        let resources = job.resources();
+        let usage = &mut self.teams[job.team];
+        let sign = |counted: bool| if counted { 1.0 } else { -1.0 };
+        if old.is_unproven() != new.is_unproven() {
+            usage.unproven.add(&resources, sign(new.is_unproven()));
+        }
+        if old.reserved() != new.reserved() {
+            usage.reserved.add(&resources, sign(new.reserved()));
+            self.placement_due = true;
+        }
+        if old.machine() != new.machine() {
+            if old.machine().is_some() {
+                usage.placed.add(&resources, -1.0);
+            }
+            if new.machine().is_some() {
+                usage.placed.add(&resources, 1.0);
+            }
+        }
+    }
+
+    /// Moves a task from the machine of its old state to that of its new one.
+    fn update_machine_usage(&mut self, key: TaskKey, old: &TaskState, new: &TaskState) {
+        let Some(job) = self.jobs.get(key.job) else { return };
+        let resources = job.resources();
+        let priority = job.priority as usize;
+        let preemptible = job.gives_way(job.priority);
+        if let Some((machine_index, _)) = old.machine() {
+            if let Some(machine) = self.machines.get_mut(machine_index) {
+                machine.tasks.remove(&key);
+                machine.used.add(&resources, -1.0);
+                machine.preemptible_by_priority[priority].add(&resources, -preemptible);
+                if machine.tasks.is_empty() {
+                    // Rounding errors of many additions end here.
+                    (machine.used, machine.preemptible_by_priority) = Default::default();
+                    machine.idle_since_ms = self.context.now.steady_ms;
+                }
+            }
+            self.machines_to_dispatch.insert(machine_index);
+        }
+        if let Some((machine_index, attempt)) = new.machine() {
+            if let Some(machine) = self.machines.get_mut(machine_index) {
+                machine.tasks.insert(key, attempt);
+                machine.used.add(&resources, 1.0);
+                machine.preemptible_by_priority[priority].add(&resources, preemptible);
+            }
+        }
+    }
+
+    /// The one function that changes a job's state. `Live` becomes `Waiting` for a job with
+    /// dependencies that have not ended, and a recorded end is final: no outcome of a call that
+    /// was in flight brings the job back.
+    pub(crate) fn set_job_state(&mut self, ix: JobIndex, state: JobState) {
+        let Some(job) = self.jobs.get_mut(ix) else { return };
+        let state = match state {
+            JobState::Live if !job.waits_on.is_empty() => JobState::Waiting,
+            other => other,
+        };
+        if job.state == state || matches!(job.state, JobState::Aborted | JobState::Done) {
+            return;
+        }
+        let old = std::mem::replace(&mut job.state, state);
+        match state {
+            JobState::Aborted => self.on_job_aborted(ix),
+            JobState::Done => self.on_job_done(ix),
+            // The user needs none of its tasks any more, whether or not the abort is recorded.
+            JobState::Doubtful => self.stop_tasks(ix),
+            JobState::Live if old == JobState::Aborting => self.touch_all(),
+            JobState::Live if old == JobState::Waiting => self.on_dependencies_done(ix),
+            _ => {}
+        }
+    }
+
+    /// Drops the tasks that are on no machine, and stops the others.
+    fn on_job_aborted(&mut self, job_index: JobIndex) {
+        let Some(job) = self.jobs.get(job_index) else { return };
+        tracing::info!(job = %job.id, "job aborted");
+        self.clear_unattributed_failures(job_index);
+        let Some(job) = self.jobs.get_mut(job_index) else { return };
+        job.aborted_ms = self.context.now.steady_ms;
+        let is_idle = |task: &Task| matches!(task.state, TaskState::Waiting | TaskState::Unplaced);
+        let idle_tasks: Vec<u32> =
+            job.tasks().filter(|(_, task)| is_idle(task)).map(|(number, _)| number).collect();
+        for task in idle_tasks {
+            self.set_task_state(TaskKey { job: job_index, task }, TaskState::Dropped);
+        }
+        self.stop_tasks(job_index);
+        self.remember_terminal_state(job_index, RecordedStatus::Aborted);
+        self.unlink(job_index);
+    }
+
+    fn on_job_done(&mut self, job_index: JobIndex) {
+        let Some(job) = self.jobs.get(job_index) else { return };
+        let now_ms = self.context.now.wall_ms;
+        tracing::debug!(
+            job = %job.id,
+            class = %job.spec.class,
+            tasks = job.spec.tasks,
+            age_ms = now_ms.saturating_sub(job.at_ms),
+            since_ready_ms = now_ms.saturating_sub(job.ready_ms),
+            deadline_s = job.spec.deadline_s,
+            dependencies = ?job.spec.dependencies,
+            "job done"
+        );
+        self.remember_terminal_state(job_index, RecordedStatus::Done);
+    }
+
+    /// Its last dependency is recorded as done: its tasks may be placed.
+    fn on_dependencies_done(&mut self, job_index: JobIndex) {
+        let Some(job) = self.jobs.get_mut(job_index) else { return };
+        job.ready_ms = self.context.now.wall_ms;
+        job.read_ms = self.context.now.steady_ms;
+        self.record_writer.touch_job(job_index);
+        self.placement_due = true;
+        self.preempt_due = true;
+    }
+
+    /// Sends commands to the machines that hold tasks of a job that must not run any more.
+    fn stop_tasks(&mut self, job_index: JobIndex) {
+        let Some(job) = self.jobs.get(job_index) else { return };
+        let occupied = job.tasks().filter_map(|(_, task)| task.state.machine());
+        self.machines_to_command.extend(occupied.map(|(machine, _)| machine));
+    }
+
+    fn remember_terminal_state(&mut self, job_index: JobIndex, status: RecordedStatus) {
+        if let Some(id) = self.jobs.get(job_index).map(|job| job.id.clone()) {
+            self.learn_terminal_state(&id, status);
+        }
+    }
+
+    /// A task has left its machine without being done: it waits again, or is dropped with its
+    /// aborted job. It stays unproven while an earlier leader may have started it elsewhere.
+    pub(crate) fn return_to_queue(&mut self, key: TaskKey) {
+        let Some(job) = self.jobs.get(key.job) else { return };
+        let aborted = job.state == JobState::Aborted;
+        let Some(task) = job.task(key.task) else { return };
+        let next = if task.probes.iter().any(|probe| probe.unproven) {
+            TaskState::Unproven
+        } else if aborted {
+            TaskState::Dropped
+        } else {
+            TaskState::Waiting
+        };
+        self.set_task_state(key, next);
+    }
+
+    /// A task is known to be done, from whatever source. Idempotent.
+    pub(crate) fn task_done(&mut self, key: TaskKey) {
+        let Some(job) = self.jobs.get_mut(key.job) else { return };
+        if matches!(job.state, JobState::Done | JobState::Finishing) {
+            return;
+        }
+        let Some(chunk) = job.chunk_of(key.task) else { return };
+        let version = chunk.version + 1;
+        let task = chunk.tasks.get((key.task % TASKS_PER_CHUNK) as usize);
+        if task.is_none_or(|task| task.state.is_done()) {
+            return;
+        }
+        self.set_task_state(key, TaskState::Done { version });
+        self.mark_dirty(key.job, key.task / TASKS_PER_CHUNK);
+        let completed = self.jobs.get(key.job).filter(|job| job.done >= job.spec.tasks);
+        if completed.is_some_and(|job| self.dependency_graph.needed(&job.id)) {
+            self.record_writer.hurry();
+        }
+    }
+}
