--- /dev/null
+++ b/crates/core/src/jobs/dependencies/walks.rs
@@ -0,0 +1,257 @@
+//! Walks: reads of records along the dependency graph on behalf of one request.
+//!
+//! A status query has to know whether a job is aborted through a dependency, and a submission
+//! whether all of its dependencies were accepted. Any controller can answer both from the records.
+//! The number of walks and the names that they hold are bounded.
+
+use std::collections::HashSet;
+
+use quartzgate_wire::http::Response;
+use quartzgate_wire::msg::{JobAnswer, JobKind, JobSpec, JobStatus};
+use quartzgate_wire::to_cbor;
+
+use super::DependencyGraph;
+use crate::controller::{Controller, InFlight};
+use crate::storage::records::{decode, JobRecord, RecordedStatus};
+use crate::{Outcome, RequestId};
+
+/// Reads of one walk in flight at a time.
+const MAX_WALK_READS: usize = 6;
+/// Rough size of a name in the memory of a walk.
+const BYTES_PER_WALK_NAME: usize = 64;
+
+/// What a walk is for.
+#[derive(Debug)]
+enum WalkPurpose {
+    /// To answer a status query for a job whose record says that it has not ended.
+    Status(JobAnswer),
+    /// To verify that all dependencies of a submission were accepted.
+    Admission(Box<JobSpec>),
+}
+
+/// Reads of records along the graph for one request.
+#[derive(Debug)]
+pub(super) struct DependencyWalk {
+    purpose: WalkPurpose,
+    /// Jobs whose records are still to be read.
+    unread: Vec<String>,
+    /// Jobs that were ever in `unread`.
+    seen: HashSet<String>,
+    reads_in_flight: usize,
+    /// A job that was read has not ended.
+    found_live: bool,
+    /// A job that was read is aborted.
+    found_aborted: bool,
+    /// Steady clock at which the request is answered as undecidable.
+    expires_ms: u64,
+}
+
+impl DependencyWalk {
+    /// Whether it is for a submission that names this job as a direct dependency.
+    fn admits_dependent_of(&self, id: &String) -> bool {
+        matches!(&self.purpose, WalkPurpose::Admission(spec) if spec.dependencies.contains(id))
+    }
+}
+
+impl DependencyGraph {
+    fn expired_walks(&self, now_ms: u64) -> Vec<RequestId> {
+        let expired = self.walks.iter().filter(|(_, walk)| now_ms >= walk.expires_ms);
+        expired.map(|(request, _)| *request).collect()
+    }
+}
+
+impl Controller {
+    /// Answers the requests whose walks took too long as undecidable at present.
+    pub(super) fn expire_walks(&mut self) {
+        for request in self.dependency_graph.expired_walks(self.context.now.steady_ms) {
+            self.dependency_graph.walks.remove(&request);
+            self.answer_busy(request);
+        }
+    }
+
+    /// Answers a status query for a job that its record calls live: it is aborted if one of its
+    /// dependencies is, and queued while one has not ended.
+    pub(crate) fn walk(&mut self, request: RequestId, answer: JobAnswer, named: Vec<String>) {
+        self.begin_walk(request, WalkPurpose::Status(answer), named)
+    }
+
+    /// Submits a job once all of its dependencies are known to have been accepted.
+    pub(crate) fn admit(&mut self, request: RequestId, spec: JobSpec) {
+        let unread =
+            spec.dependencies.iter().filter(|id| !self.is_valid_dependency(id)).cloned().collect();
+        self.begin_walk(request, WalkPurpose::Admission(Box::new(spec)), unread)
+    }
+
+    /// Whether memory knows that a job was accepted and is not a service.
+    fn is_valid_dependency(&self, id: &str) -> bool {
+        match self.terminal_jobs.get(id) {
+            // A service never ends as done.
+            Some(RecordedStatus::Done) => true,
+            Some(_) => false,
+            None => {
+                let job = self.jobs.find(id).and_then(|index| self.jobs.get(index));
+                job.is_some_and(|job| job.revision > 0 && job.spec.shape != JobKind::Service)
+            }
+        }
+    }
+
+    fn begin_walk(&mut self, request: RequestId, purpose: WalkPurpose, unread: Vec<String>) {
+        let walks = &self.dependency_graph.walks;
+        let names = walks.values().map(|walk| walk.seen.len()).sum::<usize>() + unread.len();
+        let too_many = walks.len() >= self.context.config.max_dependency_walks();
+        let too_large = names * BYTES_PER_WALK_NAME > self.context.config.max_held_bytes();
+        if too_many || too_large && !walks.is_empty() {
+            return self.answer_busy(request);
+        }
+        let walk = DependencyWalk {
+            purpose,
+            seen: unread.iter().cloned().collect(),
+            unread,
+            reads_in_flight: 0,
+            found_live: false,
+            found_aborted: false,
+            expires_ms: self.context.now.steady_ms + 3 * self.context.config.store_timeout_ms(),
+        };
+        self.dependency_graph.walks.insert(request, walk);
+        self.continue_walk(request);
+    }
+
+    /// Reads the next records, and answers the request once all were read.
+    fn continue_walk(&mut self, request: RequestId) {
+        loop {
+            let Some(walk) = self.dependency_graph.walks.get_mut(&request) else { return };
+            if walk.reads_in_flight >= MAX_WALK_READS {
+                return;
+            }
+            let Some(id) = walk.unread.pop() else { break };
+            match self.terminal_jobs.get(&id) {
+                Some(RecordedStatus::Done) => continue,
+                // The end of a direct dependency does not say whether it was a service: its
+                // record is read.
+                Some(_) if !walk.admits_dependent_of(&id) => {
+                    walk.found_aborted = true;
+                    if let WalkPurpose::Status(_) = walk.purpose {
+                        return self.end_walk_as_aborted(request);
+                    }
+                    continue;
+                }
+                _ => {}
+            }
+            walk.reads_in_flight += 1;
+            if !self.may_read_for_request() {
+                return self.give_up_walk(request);
+            }
+            let pending = InFlight::WalkRead { request, job: id.clone() };
+            self.look_up(&id, pending);
+        }
+        self.end_walk_if_complete(request);
+    }
+
+    fn end_walk_if_complete(&mut self, request: RequestId) {
+        let walk = self.dependency_graph.walks.get(&request);
+        if walk.is_none_or(|walk| walk.reads_in_flight > 0) {
+            return;
+        }
+        let Some(walk) = self.dependency_graph.walks.remove(&request) else { return };
+        match walk.purpose {
+            WalkPurpose::Status(mut answer) => {
+                if walk.found_live {
+                    answer.status = JobStatus::Queued;
+                }
+                self.answer(request, Response::new(200, to_cbor(&answer)))
+            }
+            WalkPurpose::Admission(spec) => {
+                self.submit_admitted(request, *spec, walk.found_aborted)
+            }
+        }
+    }
+
+    /// The job that a status query asks for has an aborted dependency.
+    fn end_walk_as_aborted(&mut self, request: RequestId) {
+        let Some(walk) = self.dependency_graph.walks.remove(&request) else { return };
+        let WalkPurpose::Status(answer) = walk.purpose else { return };
+        self.learn_terminal_state(&answer.id, RecordedStatus::Aborted);
+        if let Some(index) = self.jobs.find(&answer.id).filter(|_| self.leads()) {
+            self.abort_through_dependency(index);
+        }
+        self.answer_terminal(request, &answer.id, RecordedStatus::Aborted);
+    }
+
+    /// The request can't be decided now.
+    fn give_up_walk(&mut self, request: RequestId) {
+        self.dependency_graph.walks.remove(&request);
+        self.answer_busy(request);
+    }
+
+    /// Outcome of reading a record for a walk.
+    pub(crate) fn on_walk_read(&mut self, request: RequestId, id: String, outcome: Outcome) {
+        let read = self.read_outcome(outcome);
+        let Some(walk) = self.dependency_graph.walks.get_mut(&request) else { return };
+        walk.reads_in_flight -= 1;
+        let admits_dependent = walk.admits_dependent_of(&id);
+        let Ok(found) = read else { return self.give_up_walk(request) };
+        let Some(pair) = found else { return self.on_walk_record_missing(request, &id) };
+        let Some(record) = decode::<JobRecord>(&pair.value) else {
+            tracing::error!(job = %id, "the job's record can't be read; it is left as it is");
+            return self.give_up_walk(request);
+        };
+        if admits_dependent && record.is_service() {
+            return self.refuse_admission(request, "a job in prereqs is a service");
+        }
+        match record.status {
+            RecordedStatus::Live => self.on_walk_found_live(request, &id, record, pair.revision),
+            RecordedStatus::Done => self.learn_terminal_state(&id, RecordedStatus::Done),
+            RecordedStatus::Aborted => {
+                self.learn_terminal_state(&id, RecordedStatus::Aborted);
+                if self.leads() {
+                    self.learn_abort(&id, pair.revision);
+                }
+                if let Some(walk) = self.dependency_graph.walks.get_mut(&request) {
+                    walk.found_aborted = true;
+                    if let WalkPurpose::Status(_) = walk.purpose {
+                        return self.end_walk_as_aborted(request);
+                    }
+                }
+            }
+        }
+        self.continue_walk(request);
+    }
+
+    fn on_walk_record_missing(&mut self, request: RequestId, id: &String) {
+        let walk = self.dependency_graph.walks.get(&request);
+        if walk.is_some_and(|walk| walk.admits_dependent_of(id)) {
+            return self.refuse_admission(request, "a job in prereqs was never accepted");
+        }
+        tracing::error!(job = %id, "a dependency's record is missing");
+        self.give_up_walk(request);
+    }
+
+    /// Ends a walk for a submission that names a job which it must not depend on.
+    fn refuse_admission(&mut self, request: RequestId, reason: &str) {
+        let walk = self.dependency_graph.walks.remove(&request);
+        if let Some(WalkPurpose::Admission(spec)) = walk.map(|walk| walk.purpose) {
+            self.refuse(request, spec.id, 422, reason);
+        }
+    }
+
+    /// The dependencies of a job that has not ended are read as well.
+    fn on_walk_found_live(
+        &mut self,
+        request: RequestId,
+        id: &String,
+        record: JobRecord,
+        revision: u64,
+    ) {
+        let Some(walk) = self.dependency_graph.walks.get_mut(&request) else { return };
+        walk.found_live = true;
+        let dependencies = record.spec.as_ref().map(|spec| spec.dependencies.clone());
+        for dependency in dependencies.unwrap_or_default() {
+            if walk.seen.insert(dependency.clone()) {
+                walk.unread.push(dependency);
+            }
+        }
+        if walk.admits_dependent_of(id) && self.leads() {
+            self.adopt(id, record, revision);
+        }
+    }
+}
