--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -22,7 +22,7 @@
 use crate::membership::stall::ProcessStall;
 use crate::membership::{Membership, Role};
 use crate::placement::candidates::SearchBudget;
-use crate::placement::dispatch::DemandRatios;
+use crate::placement::demand_ratios::DemandRatios;
 use crate::placement::gangs::GangHold;
 use crate::recovery::Recovery;
 use crate::storage::feature_state::FeatureState;
--- /dev/null
+++ b/crates/core/src/placement/preemption.rs
@@ -0,0 +1,218 @@
+//! Preemption: stopping tasks so that waiting ones of higher priority can start, at the least cost in
+//! lost work.
+
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+
+use quartzgate_wire::msg::{JobKind, Priority, TaskStatus};
+
+use crate::controller::Controller;
+use crate::fleet::machines::Resources;
+use crate::ids::{JobIndex, MachineIndex, TaskKey};
+use crate::jobs::{Job, JobState, Task, TaskState};
+
+/// Waiting tasks for which others are preempted in one pass.
+const MAX_PREEMPTORS: usize = 1_024;
+
+/// Cost of preempting work of each priority beyond the work that is lost, in CPU seconds.
+const PREEMPTION_BASE_COST: [f64; 4] = [0.0, 1000.0, 2000.0, 3000.0];
+
+/// Weight of the CPU seconds of fetching an image against CPU seconds of lost work.
+const FETCH_COST_WEIGHT: f64 = 2.0;
+
+/// A task that may be preempted.
+struct Victim {
+    cost: f64,
+    key: TaskKey,
+    resources: Resources,
+}
+
+/// Tasks to preempt so that another fits on a machine.
+struct PreemptionPlan {
+    cost: f64,
+    machine: MachineIndex,
+    victims: Vec<TaskKey>,
+}
+
+impl Controller {
+    /// Makes capacity free for waiting tasks of higher priority by stopping others of lower
+    /// priority, at the least cost.
+    pub(crate) fn preempt(&mut self) {
+        // Capacity that is being freed for tasks before, by machine.
+        let mut promised: BTreeMap<MachineIndex, Resources> = BTreeMap::new();
+        for (priority, key) in self.preemptors() {
+            self.preempt_for(key, priority, &mut promised);
+        }
+    }
+
+    /// Waiting tasks that may preempt others, most urgent first, with their priorities.
+    fn preemptors(&self) -> Vec<(Priority, TaskKey)> {
+        let bound = self.jobs.iter().filter(|(_, job)| job.bound > 0);
+        let Some(lowest) = bound.map(|(_, job)| job.priority).min() else { return Vec::new() };
+        let mut jobs: Vec<(Priority, u64, JobIndex)> = Vec::new();
+        for (job_index, job) in self.jobs.iter() {
+            let gang = job.spec.shape == JobKind::Gang;
+            let idle = job.waiting == 0 || job.failing_everywhere();
+            if job.state != JobState::Live || idle || job.force() <= lowest || gang {
+                continue;
+            }
+            let is_waiting = |task: &&Task| task.state == TaskState::Waiting;
+            let first_waiting = job.tasks().map(|(_, task)| task).find(is_waiting);
+            jobs.push((job.force(), first_waiting.map_or(0, |task| task.arrived), job_index));
+        }
+        jobs.sort_by_key(|(priority, arrived, _)| (Reverse(*priority), *arrived));
+        let mut preemptors: Vec<(Priority, TaskKey)> = Vec::new();
+        for (priority, _, job_index) in jobs {
+            let Some(job) = self.jobs.get(job_index) else { continue };
+            for (number, task) in job.tasks() {
+                let key = TaskKey { job: job_index, task: number };
+                if task.probes.iter().any(|probe| self.startable(job, key, task, probe.machine)) {
+                    preemptors.push((priority, key));
+                }
+            }
+            // The rest follows in a later pass.
+            if preemptors.len() >= MAX_PREEMPTORS {
+                break;
+            }
+        }
+        preemptors
+    }
+
+    fn preempt_for(
+        &mut self,
+        key: TaskKey,
+        priority: Priority,
+        promised: &mut BTreeMap<MachineIndex, Resources>,
+    ) {
+        let Some(job) = self.jobs.get(key.job) else { return };
+        let Some(task) = job.task(key.task) else { return };
+        let need = job.resources();
+        let mut best: Option<PreemptionPlan> = None;
+        for probe in &task.probes {
+            if !self.may_preempt_on(job, key, task, priority, probe.machine) {
+                continue;
+            }
+            let taken = promised.get(&probe.machine);
+            let Some(plan) = self.plan_preemption(job, priority, probe.machine, taken) else {
+                continue;
+            };
+            if best.as_ref().is_none_or(|best| plan.cost < best.cost) {
+                best = Some(plan);
+            }
+        }
+        let Some(plan) = best else { return };
+        promised.entry(plan.machine).or_default().add(&need, 1.0);
+        for victim in plan.victims {
+            // Production work does not wait until others have saved a checkpoint.
+            let may_save = priority < Priority::Production;
+            self.stop_task_as(victim, "preempted by higher priority", may_save);
+        }
+    }
+
+    fn may_preempt_on(
+        &self,
+        job: &Job,
+        key: TaskKey,
+        task: &Task,
+        priority: Priority,
+        machine_index: MachineIndex,
+    ) -> bool {
+        let Some(machine) = self.machines.get(machine_index).filter(|m| m.usable()) else {
+            return false;
+        };
+        // Normal priority preempts the lowest alone: a cheap test before the costly one.
+        let mut attainable = self.free_resources(machine);
+        attainable.add(&machine.low(), 1.0);
+        let hopeless = priority == Priority::Normal && !attainable.fits(&job.resources());
+        !hopeless && self.startable(job, key, task, machine_index)
+    }
+
+    /// The cheapest victims on a machine that let a task of the job fit; `None` if it can't.
+    fn plan_preemption(
+        &self,
+        job: &Job,
+        priority: Priority,
+        machine_index: MachineIndex,
+        promised: Option<&Resources>,
+    ) -> Option<PreemptionPlan> {
+        let machine = self.machines.get(machine_index)?;
+        let need = job.resources();
+        let mut free = self.free_resources(machine);
+        let mut victims: Vec<Victim> = Vec::new();
+        for key in machine.tasks.keys() {
+            let Some(other) = self.jobs.get(key.job) else { continue };
+            let Some(task) = other.task(key.task) else { continue };
+            let resources = other.resources();
+            match task.state {
+                TaskState::Stopping { .. } => free.add(&resources, 1.0),
+                TaskState::On { .. } | TaskState::Starting { .. } if other.priority < priority => {
+                    victims.push(Victim {
+                        cost: self.preemption_cost(other, task),
+                        key: *key,
+                        resources,
+                    })
+                }
+                _ => {}
+            }
+        }
+        if let Some(promised) = promised {
+            free.add(promised, -1.0);
+        }
+        victims.sort_by(|a, b| a.cost.total_cmp(&b.cost));
+        let (mut cost, mut chosen) = (0.0, Vec::new());
+        for victim in victims {
+            if free.fits(&need) {
+                break;
+            }
+            free.add(&victim.resources, 1.0);
+            cost += victim.cost;
+            chosen.push(victim.key);
+        }
+        if !machine.images.contains(&job.image) {
+            cost += FETCH_COST_WEIGHT * job.spec.cpus * self.fetch_s(&job.spec, &machine.kind);
+        }
+        let plan = PreemptionPlan { cost, machine: machine_index, victims: chosen };
+        free.fits(&need).then_some(plan)
+    }
+
+    /// What it costs to stop a task, in CPU seconds of work.
+    fn preemption_cost(&self, job: &Job, task: &Task) -> f64 {
+        let TaskState::On { status: TaskStatus::Running, since_ms, .. } = task.state else {
+            return 0.0;
+        };
+        let running_s = (self.context.now.steady_ms - since_ms) as f64 / 1000.0;
+        // Progress since the last checkpoint, or the time that saving one takes.
+        let lost_s = match job.spec.checkpoint_interval_s {
+            interval_s if interval_s > 0.0 => {
+                (running_s % interval_s).min(job.spec.checkpoint_cost_s)
+            }
+            _ => running_s,
+        };
+        PREEMPTION_BASE_COST[job.priority as usize] + job.spec.cpus * lost_s
+    }
+
+    /// Stops a task, with time to save a checkpoint if that is worth it.
+    pub(crate) fn stop_task(&mut self, key: TaskKey, why: &str) {
+        self.stop_task_as(key, why, true)
+    }
+
+    /// Stops a task, with time to save a checkpoint if it may and if that is worth it.
+    fn stop_task_as(&mut self, key: TaskKey, why: &str, may_save: bool) {
+        let Some(job) = self.jobs.get(key.job) else { return };
+        if job.spec.shape == JobKind::Gang {
+            tracing::debug!(job = %job.id, why, "stopping the gang");
+            return self.stop_gang(key.job);
+        }
+        let Some(task) = job.task(key.task) else { return };
+        let TaskState::On { machine, attempt, status, since_ms } = task.state else { return };
+        let running_s = (self.context.now.steady_ms - since_ms) as f64 / 1000.0;
+        let interval_s = job.spec.checkpoint_interval_s;
+        let worth_saving = interval_s > 0.0
+            && status == TaskStatus::Running
+            && running_s % interval_s > job.spec.checkpoint_cost_s;
+        let grace = may_save && worth_saving;
+        tracing::debug!(job = %job.id, task = key.task, why, "stopping");
+        self.set_task_state(key, TaskState::Stopping { machine, attempt, grace });
+        self.machines_to_command.insert(machine);
+    }
+}
