--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -3,68 +3,20 @@
 //! Looking at all machines is what placement costs, and the cost grows with the fleet. So it is done
 //! once for many tasks of a job: the machines are kept in one heap a zone, ordered by a score, and
 //! those that were chosen return to it with their new scores. How many machines may be looked at in
-//! a time is bounded ([`SearchBudget`]), so that placement never takes the processor time that
+//! a time is bounded ([`super::search_budget`]), so that placement never takes the processor time that
 //! running work needs.
 
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BinaryHeap};
+use std::collections::BinaryHeap;
 
 use ordered_float::OrderedFloat;
-use quartzgate_wire::msg::{JobSpec, Priority};
+use quartzgate_wire::msg::JobSpec;
 use rand::Rng;
 
 use crate::controller::Controller;
 use crate::fleet::machines::{Machine, Resources};
 use crate::ids::{JobIndex, MachineIndex};
 use crate::jobs::Job;
-use crate::storage::rate_limiter::RateLimiter;
-use crate::LoadState;
-
-/// Machines that one core can look at in a second, roughly.
-const LOOKS_PER_CORE_S: f64 = 3e6;
-/// Part of the processor that placement may use for looking at machines.
-const PLACEMENT_CPU_FRACTION: f64 = 0.25;
-/// Part of that under moderate load.
-const PRESSED_FRACTION: f64 = 0.5;
-/// Part of that while requests are shed.
-const SHEDDING_FRACTION: f64 = 0.2;
-
-/// Rate limit of looks at machines, in proportion to the processor.
-pub(crate) struct SearchBudget {
-    looks: RateLimiter,
-    /// Looks a second that the whole processor would allow.
-    max_looks_per_s: f64,
-}
-
-impl SearchBudget {
-    /// A budget for this many cores.
-    pub fn new(cpu_share: f64) -> Self {
-        let max_looks_per_s = cpu_share.max(0.01) * LOOKS_PER_CORE_S;
-        let looks = RateLimiter::new(max_looks_per_s * PLACEMENT_CPU_FRACTION);
-        SearchBudget { looks, max_looks_per_s }
-    }
-
-    /// Adapts the budget to the load of the process: heartbeats go before placement.
-    pub fn fit(&mut self, state: LoadState) {
-        let fraction = match state {
-            LoadState::Normal => 1.0,
-            LoadState::Pressed => PRESSED_FRACTION,
-            LoadState::Shedding => SHEDDING_FRACTION,
-        };
-        self.looks.set_rate(self.max_looks_per_s * PLACEMENT_CPU_FRACTION * fraction);
-    }
-
-    /// Whether machines may be looked at now. One look at the whole fleet is allowed as soon as the
-    /// last is paid for, however large the fleet is.
-    pub fn left(&mut self, now_ms: u64) -> bool {
-        self.looks.room(now_ms, 0.0) > 0.0
-    }
-
-    /// Counts looks at so many machines.
-    pub fn spend(&mut self, now_ms: u64, machines: usize) {
-        self.looks.force(now_ms, machines as f64);
-    }
-}
 
 /// A machine on which tasks of the job may be placed.
 struct Candidate {
@@ -349,7 +301,7 @@
 
     /// Resources that are free on a machine now, and what of them is left beside the tasks in its
     /// queue. What does not fit any more stays so, whatever the rest of the queue asks for.
-    fn free_and_spare(
+    pub(super) fn free_and_spare(
         &self,
         index: MachineIndex,
         machine: &Machine,
@@ -399,106 +351,9 @@
         let position = |wanted: &String| zones.iter().position(|zone| zone == wanted);
         spec.zone.as_ref().map(|wanted| position(wanted).map(|zone| zone as u16))
     }
-
-    /// Spare resources of all machines, for a quick test whether one could serve a job.
-    pub(crate) fn free_capacity(&mut self) -> FreeCapacity {
-        let now_ms = self.context.now.steady_ms;
-        // Less is looked at than for candidates.
-        self.search_budget.spend(now_ms, self.machines.len() / 4);
-        let least = Resources { cpus: 1e-3, gpus: 0.0, memory_gb: 0.0 };
-        let mut free_capacity = FreeCapacity::default();
-        for (index, machine) in self.machines.iter().filter(|(_, machine)| machine.usable()) {
-            let Some(capacity) = self.capacity_of(&machine.kind) else { continue };
-            let (_, spare) = self.free_and_spare(index, machine, &capacity, &least, None);
-            if !spare.fits(&least) {
-                continue;
-            }
-            let mut beside_gpus = spare;
-            if spare.gpus > 0.0 {
-                beside_gpus = spare.minus(&self.beside_gpus(&spare));
-            }
-            free_capacity.add(machine, SpareCapacity { machine: index, spare, beside_gpus });
-        }
-        free_capacity
-    }
-
-    /// At most `count` machines with spare resources for a task of the job.
-    pub(crate) fn machines_with_spare(
-        &mut self,
-        free_capacity: &FreeCapacity,
-        job_index: JobIndex,
-        count: usize,
-    ) -> Vec<MachineIndex> {
-        let Some(job) = self.jobs.get(job_index) else { return Vec::new() };
-        let need = job.resources();
-        let (mut looked, mut found) = (free_capacity.groups.len(), Vec::new());
-        // What scarce GPUs need beside them is not for work without GPUs.
-        let leaves_gpus = need.gpus <= 0.0 && job.priority < Priority::Production;
-        for (group, members) in &free_capacity.groups {
-            let is_allowed = self.allows(&job.spec, &group.kind, group.zone, group.spot);
-            if !members.max.fits(&need) || !is_allowed {
-                continue;
-            }
-            for member in &members.machines {
-                looked += 1;
-                let usable = if leaves_gpus { &member.beside_gpus } else { &member.spare };
-                if usable.fits(&need) {
-                    found.push(member.machine);
-                }
-                if found.len() >= count {
-                    break;
-                }
-            }
-        }
-        found.truncate(count);
-        self.search_budget.spend(self.context.now.steady_ms, looked / 8);
-        found
-    }
 }
 
 /// Whether a task of the job fits a machine beside its services, which never end.
 fn fits_beside_services(machine: &Machine, capacity: &Resources, job: &Job) -> bool {
     capacity.minus(&machine.held_by_services(job.priority)).fits(&job.resources())
 }
-
-/// Machines with spare resources, grouped by what jobs ask of a machine.
-#[derive(Default)]
-pub(crate) struct FreeCapacity {
-    groups: BTreeMap<MachineGroup, GroupCapacity>,
-}
-
-impl FreeCapacity {
-    fn add(&mut self, machine: &Machine, capacity: SpareCapacity) {
-        let group =
-            MachineGroup { kind: machine.kind.clone(), zone: machine.zone, spot: machine.spot };
-        let members = self.groups.entry(group).or_default();
-        let max = &mut members.max;
-        max.cpus = max.cpus.max(capacity.spare.cpus);
-        max.gpus = max.gpus.max(capacity.spare.gpus);
-        max.memory_gb = max.memory_gb.max(capacity.spare.memory_gb);
-        members.machines.push(capacity);
-    }
-}
-
-/// Machines of one type and zone, all of them spot or none.
-#[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct MachineGroup {
-    kind: String,
-    zone: Option<u16>,
-    spot: bool,
-}
-
-/// The machines of a group, and the most of each resource that one of them has spare.
-#[derive(Default)]
-struct GroupCapacity {
-    max: Resources,
-    machines: Vec<SpareCapacity>,
-}
-
-/// Spare resources of a machine.
-struct SpareCapacity {
-    machine: MachineIndex,
-    spare: Resources,
-    /// What is left of them beside what scarce GPUs need.
-    beside_gpus: Resources,
-}
--- /dev/null
+++ b/crates/core/src/placement/probes.rs
@@ -0,0 +1,68 @@
+//! Probes: the machines that a task may be bound to, and the queues of these machines.
+//!
+//! Invariant: a probe where an earlier leader may have started the task remains until it is disproved.
+
+use crate::controller::Controller;
+use crate::ids::{JobIndex, MachineIndex, TaskKey};
+use crate::jobs::{Probe, TaskState};
+use crate::storage::records::TASKS_PER_CHUNK;
+
+impl Controller {
+    /// Gives a task probes on these machines. Probes where an earlier leader may have started it
+    /// remain.
+    pub(crate) fn set_probes(
+        &mut self,
+        key: TaskKey,
+        machines: Vec<MachineIndex>,
+        zone: Option<u16>,
+    ) {
+        let Some(job) = self.jobs.get_mut(key.job) else { return };
+        let Some(chunk) = job.chunk_of(key.task) else { return };
+        let version = chunk.version + 1;
+        chunk.blocks_starts = true;
+        let Some(task) = chunk.tasks.get_mut((key.task % TASKS_PER_CHUNK) as usize) else { return };
+        let old = std::mem::take(&mut task.probes);
+        task.zone = zone;
+        let remaining = old.iter().filter(|p| p.unproven && !machines.contains(&p.machine));
+        let mut probes: Vec<Probe> = Vec::with_capacity(machines.len());
+        probes.extend(remaining.copied());
+        for machine in machines {
+            let known = old.iter().find(|probe| probe.machine == machine).copied();
+            probes.push(known.unwrap_or(Probe { machine, version, unproven: false }));
+        }
+        for dropped in old.iter().filter(|o| !probes.iter().any(|p| p.machine == o.machine)) {
+            if let Some(machine) = self.machines.get_mut(dropped.machine) {
+                machine.queue.retain(|queued| *queued != key);
+            }
+        }
+        task.probes = probes;
+    }
+
+    /// Puts a waiting task into the queues of its probes' machines.
+    pub(crate) fn enqueue(&mut self, key: TaskKey) {
+        let Some(task) = self.jobs.task(key) else { return };
+        let mut queued = false;
+        for probe in &task.probes {
+            let Some(machine) = self.machines.get_mut(probe.machine) else { continue };
+            if !machine.usable() {
+                continue;
+            }
+            queued = true;
+            if !machine.queue.contains(&key) {
+                machine.queue.push(key);
+            }
+            self.machines_to_dispatch.insert(probe.machine);
+        }
+        if !queued {
+            self.reprobe_due = true;
+        }
+    }
+
+    /// Lets the machines of all probes of the job's waiting tasks bind them.
+    pub(crate) fn touch_probed(&mut self, ix: JobIndex) {
+        let Some(job) = self.jobs.get(ix) else { return };
+        let waiting = job.tasks().filter(|(_, task)| task.state == TaskState::Waiting);
+        let probes = waiting.flat_map(|(_, task)| &task.probes);
+        self.machines_to_dispatch.extend(probes.map(|probe| probe.machine));
+    }
+}
