--- a/crates/core/src/jobs/dependencies/propagation.rs
+++ b/crates/core/src/jobs/dependencies/propagation.rs
@@ -15,22 +15,22 @@
     /// The priority with which it preempts others: the inherited one only once the deadline that
     /// came with it is at risk. Until then it is merely first to get what becomes free, and no
     /// work is lost for it.
-    pub fn force(&self) -> Priority {
-        match self.pressed {
+    pub fn preemption_priority(&self) -> Priority {
+        match self.deadline_at_risk {
             true => self.priority,
             false => self.spec.priority,
         }
     }
 
     /// The deadline that its own user set.
-    pub fn own_due(&self) -> Option<Deadline> {
+    pub fn own_deadline(&self) -> Option<Deadline> {
         let (class, at_ms) = (self.spec.class.clone(), self.at_ms);
         self.spec.deadline_s.map(|due_s| Deadline { class, at_ms, due_s, tail_s: 0.0 })
     }
 
     /// Its own priority and deadline, without those of the jobs that depend on it.
     fn own_urgency(&self) -> Urgency {
-        Urgency { priority: self.spec.priority, deadline: self.own_due() }
+        Urgency { priority: self.spec.priority, deadline: self.own_deadline() }
     }
 }
 
@@ -91,7 +91,7 @@
 impl Controller {
     /// Expected time from when a job could start until its end is recorded, in seconds: all tasks
     /// at once, the fetch of an image, a heartbeat that reports the end and a write.
-    pub(crate) fn stage_s(&self, job: &Job) -> f64 {
+    pub(crate) fn expected_duration_s(&self, job: &Job) -> f64 {
         let fetches = self.types.iter().map(|machine| self.fetch_s(&job.spec, &machine.name));
         let fetch_s = fetches.fold(0.0, f64::max);
         let report_ms =
@@ -114,7 +114,7 @@
             if let Some(other) = inherited.remove(&index) {
                 urgency.raise(other);
             }
-            let for_dependencies = urgency.before(self.stage_s(job));
+            let for_dependencies = urgency.before(self.expected_duration_s(job));
             for dependency in job.waits_on.iter().filter_map(|id| self.jobs.find(id)) {
                 let entry = inherited.entry(dependency).or_insert(Urgency::LOWEST);
                 entry.raise(for_dependencies.clone());
@@ -163,14 +163,15 @@
     /// free on each machine consistent with it.
     fn set_urgency(&mut self, job_index: JobIndex, urgency: Urgency) {
         let Some(job) = self.jobs.get_mut(job_index) else { return };
-        job.due = urgency.deadline;
+        job.deadline = urgency.deadline;
         let new = urgency.priority;
         let old = std::mem::replace(&mut job.priority, new);
         if old == new {
             return;
         }
         let resources = job.resources();
-        let (old_fraction, new_fraction) = (job.gives_way(old), job.gives_way(new));
+        let (old_fraction, new_fraction) =
+            (job.preemptible_fraction(old), job.preemptible_fraction(new));
         for (machine_index, _) in job.tasks().filter_map(|(_, task)| task.state.machine()) {
             if let Some(machine) = self.machines.get_mut(machine_index) {
                 machine.preemptible_by_priority[old as usize].add(&resources, -old_fraction);
@@ -180,10 +181,11 @@
     }
 
     /// Whether a job with an inherited priority must start now for the deadline to be met.
-    pub(crate) fn pressed(&self, job: &Job) -> bool {
+    pub(crate) fn deadline_at_risk(&self, job: &Job) -> bool {
         let in_time = |deadline: &Deadline| {
-            self.context.now.wall_ms as f64 + self.stage_s(job) * 1000.0 < deadline.latest_ms()
+            self.context.now.wall_ms as f64 + self.expected_duration_s(job) * 1000.0
+                < deadline.latest_ms()
         };
-        job.priority > job.spec.priority && !job.due.as_ref().is_none_or(in_time)
+        job.priority > job.spec.priority && !job.deadline.as_ref().is_none_or(in_time)
     }
 }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -69,9 +69,9 @@
     /// Effective priority, see [`crate::jobs::dependencies`].
     pub priority: Priority,
     /// Effective deadline, see [`crate::jobs::dependencies`].
-    pub due: Option<Deadline>,
+    pub deadline: Option<Deadline>,
     /// The effective deadline is missed unless it starts now; updated each heartbeat round.
-    pub pressed: bool,
+    pub deadline_at_risk: bool,
     /// Chunks with tasks that were placed, by number.
     pub chunks: BTreeMap<u32, Chunk>,
     /// Ranges, both ends included, of chunks that the job's own record says are done.
@@ -113,7 +113,7 @@
     /// Steady clock at which its record was last read again.
     pub read_ms: u64,
     /// Objectives of its class that it can't meet any more; updated each heartbeat round.
-    pub lost: u8,
+    pub missed_objectives: u8,
     /// Highest ratio of demand to supply among its constraints; updated each heartbeat round.
     pub ratio: f64,
 }
@@ -139,8 +139,8 @@
             at_ms: submitted_ms,
             ready_ms: submitted_ms,
             waits_on: BTreeSet::new(),
-            due: None,
-            pressed: false,
+            deadline: None,
+            deadline_at_risk: false,
             chunks: BTreeMap::new(),
             done_chunks: Vec::new(),
             busy: false,
@@ -161,10 +161,10 @@
             aborted_ms: now_ms,
             deferred_until_ms: 0,
             read_ms: now_ms,
-            lost: 0,
+            missed_objectives: 0,
             ratio,
         };
-        job.due = job.own_due();
+        job.deadline = job.own_deadline();
         job
     }
 
@@ -175,7 +175,7 @@
 
     /// Fraction of its tasks' resources that preemption can free when it has this priority. The
     /// tasks of a gang are not preempted singly, unless the gang has the lowest priority.
-    pub fn gives_way(&self, priority: Priority) -> f64 {
+    pub fn preemptible_fraction(&self, priority: Priority) -> f64 {
         f64::from(u8::from(self.spec.shape != JobKind::Gang || priority == Priority::Low))
     }
 
--- a/crates/core/src/jobs/transitions.rs
+++ b/crates/core/src/jobs/transitions.rs
@@ -65,7 +65,7 @@
         let Some(job) = self.jobs.get(key.job) else { return };
         let resources = job.resources();
         let priority = job.priority as usize;
-        let preemptible = job.gives_way(job.priority);
+        let preemptible = job.preemptible_fraction(job.priority);
         if let Some((machine_index, _)) = old.machine() {
             if let Some(machine) = self.machines.get_mut(machine_index) {
                 machine.tasks.remove(&key);
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -201,7 +201,7 @@
         };
         let mut attainable = candidate.free;
         attainable.add(&self.need, -candidate.chosen);
-        attainable.add(&machine.preemptible_for(job.force()), 1.0);
+        attainable.add(&machine.preemptible_for(job.preemption_priority()), 1.0);
         attainable.fits(&self.need)
     }
 
--- a/crates/core/src/placement/demand_ratios.rs
+++ b/crates/core/src/placement/demand_ratios.rs
@@ -144,10 +144,12 @@
     fn update_job_urgency(&mut self) {
         for job_index in self.jobs.indexes() {
             let Some(job) = self.jobs.get(job_index) else { continue };
-            let (ratio, lost) = (self.ratio_of(&job.spec), self.missed_objectives(job));
-            let pressed = self.pressed(job);
+            let (ratio, missed_objectives) =
+                (self.ratio_of(&job.spec), self.missed_objectives(job));
+            let deadline_at_risk = self.deadline_at_risk(job);
             if let Some(job) = self.jobs.get_mut(job_index) {
-                (job.ratio, job.lost, job.pressed) = (ratio, lost, pressed);
+                (job.ratio, job.missed_objectives, job.deadline_at_risk) =
+                    (ratio, missed_objectives, deadline_at_risk);
             }
         }
     }
@@ -186,7 +188,7 @@
     /// How many of its class's deadline objectives the job can't meet any more, if what it waits
     /// for takes as long as estimated.
     fn missed_objectives(&self, job: &Job) -> u8 {
-        let Some(deadline) = &job.due else { return 0 };
+        let Some(deadline) = &job.deadline else { return 0 };
         let age_s = self.context.now.wall_ms.saturating_sub(deadline.at_ms) as f64 / 1000.0;
         let objectives = self.context.config.platform.params.objectives.iter();
         let of_class = objectives
--- a/crates/core/src/placement/dispatch.rs
+++ b/crates/core/src/placement/dispatch.rs
@@ -9,7 +9,7 @@
 use crate::fleet::machines::Machine;
 use crate::ids::{MachineIndex, TaskKey};
 use crate::jobs::{Job, JobState, Task, TaskState};
-use crate::placement::queue::{pick, QueueOrder, Standing};
+use crate::placement::queue::{pick, QueueOrder, QueuedProbe};
 use crate::storage::records::TASKS_PER_CHUNK;
 
 /// The outcome of one look at a machine's queue.
@@ -74,7 +74,7 @@
             return None;
         }
         let mut keys: Vec<TaskKey> = Vec::with_capacity(machine.queue.len());
-        let mut standings: Vec<Standing> = Vec::with_capacity(machine.queue.len());
+        let mut probes: Vec<QueuedProbe> = Vec::with_capacity(machine.queue.len());
         let mut elsewhere: Vec<MachineIndex> = Vec::new();
         for key in &machine.queue {
             let Some(job) = self.jobs.get(key.job) else { continue };
@@ -89,11 +89,11 @@
                 continue;
             }
             keys.push(*key);
-            standings.push(self.standing(job, task));
+            probes.push(self.queued_probe(job, task));
         }
         let slack_cap = self.context.config.operator.slack_cap;
         let order = self.queue_order(machine);
-        let picked = pick(&standings, order, slack_cap, |at| fits(&keys[at]));
+        let picked = pick(&probes, order, slack_cap, |at| fits(&keys[at]));
         let chosen = picked.as_ref().map(|picked| keys[picked.chosen]);
         let passed = picked.map_or(Vec::new(), |picked| picked.passed);
         let passed = passed.into_iter().map(|at| keys[at]).collect();
@@ -110,13 +110,13 @@
         )
     }
 
-    fn standing(&self, job: &Job, task: &Task) -> Standing {
+    fn queued_probe(&self, job: &Job, task: &Task) -> QueuedProbe {
         let team = &self.context.config.platform.params.teams[job.team];
         let placed = &self.teams[job.team].placed;
-        Standing {
+        QueuedProbe {
             priority: job.priority,
             guaranteed: team.cpus > 0.0 && placed.cpus + job.spec.cpus <= team.cpus + 1e-6,
-            lost: job.lost,
+            missed_objectives: job.missed_objectives,
             // The estimate of a task that failed is doubtful: it counts once more each time.
             remaining_s: match job.failing_everywhere() {
                 true => f64::INFINITY,
--- a/crates/core/src/placement/placer.rs
+++ b/crates/core/src/placement/placer.rs
@@ -127,7 +127,9 @@
         };
         let mut jobs: Vec<(JobIndex, &Job)> =
             self.jobs.iter().filter(|(_, job)| is_open(job)).collect();
-        jobs.sort_by_key(|(index, job)| (Reverse(job.priority), job.lost, job.ready_ms, *index));
+        jobs.sort_by_key(|(index, job)| {
+            (Reverse(job.priority), job.missed_objectives, job.ready_ms, *index)
+        });
         jobs.into_iter().map(|(index, job)| (job.priority, index)).collect()
     }
 
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -53,12 +53,16 @@
         for (job_index, job) in self.jobs.iter() {
             let gang = job.spec.shape == JobKind::Gang;
             let idle = job.waiting == 0 || job.failing_everywhere();
-            if job.state != JobState::Live || idle || job.force() <= lowest || gang {
+            if job.state != JobState::Live || idle || job.preemption_priority() <= lowest || gang {
                 continue;
             }
             let is_waiting = |task: &&Task| task.state == TaskState::Waiting;
             let first_waiting = job.tasks().map(|(_, task)| task).find(is_waiting);
-            jobs.push((job.force(), first_waiting.map_or(0, |task| task.arrived), job_index));
+            jobs.push((
+                job.preemption_priority(),
+                first_waiting.map_or(0, |task| task.arrived),
+                job_index,
+            ));
         }
         jobs.sort_by_key(|(priority, arrived, _)| (Reverse(*priority), *arrived));
         let mut preemptors: Vec<(Priority, TaskKey)> = Vec::new();
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -29,13 +29,13 @@
 
 /// What decides the position of a probe in a queue.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
+pub struct QueuedProbe {
     /// Effective priority of the job.
     pub priority: Priority,
     /// The task is within its team's guaranteed quota.
     pub guaranteed: bool,
     /// Objectives that the job can't meet any more.
-    pub lost: u8,
+    pub missed_objectives: u8,
     /// Work that the job has left, in seconds.
     pub remaining_s: f64,
     /// Highest ratio of demand to supply among the task's constraints.
@@ -46,14 +46,14 @@
     pub arrived: u64,
 }
 
-impl Standing {
+impl QueuedProbe {
     fn class(&self) -> (Priority, bool) {
         (self.priority, self.guaranteed)
     }
 
     /// Order of two probes, the one that binds first being less.
-    fn compare(&self, other: &Standing, order: QueueOrder, slack_cap: u32) -> Ordering {
-        let is_capped = |standing: &Standing| standing.slack >= slack_cap;
+    fn compare(&self, other: &QueuedProbe, order: QueueOrder, slack_cap: u32) -> Ordering {
+        let is_capped = |probe: &QueuedProbe| probe.slack >= slack_cap;
         let by_class = other.class().cmp(&self.class());
         by_class.then_with(|| match (is_capped(self), is_capped(other)) {
             (true, true) => self.arrived.cmp(&other.arrived),
@@ -63,7 +63,7 @@
         })
     }
 
-    fn compare_uncapped(&self, other: &Standing, order: QueueOrder) -> Ordering {
+    fn compare_uncapped(&self, other: &QueuedProbe, order: QueueOrder) -> Ordering {
         let shortest = self.remaining_s.total_cmp(&other.remaining_s);
         let scarcest = other.ratio.total_cmp(&self.ratio);
         let by_order = match order {
@@ -71,7 +71,10 @@
             QueueOrder::ScarcityFirst => scarcest.then(shortest),
         };
         // Jobs that can still meet their objectives go before those that miss them anyway.
-        self.lost.cmp(&other.lost).then(by_order).then(self.arrived.cmp(&other.arrived))
+        self.missed_objectives
+            .cmp(&other.missed_objectives)
+            .then(by_order)
+            .then(self.arrived.cmp(&other.arrived))
     }
 }
 
@@ -88,7 +91,7 @@
 /// A probe that was passed over `cap` times is not passed by any of its class or a lower one: if it
 /// does not fit, they wait.
 pub fn pick(
-    queue: &[Standing],
+    queue: &[QueuedProbe],
     order: QueueOrder,
     cap: u32,
     mut fits: impl FnMut(usize) -> bool,
@@ -108,12 +111,12 @@
 }
 
 /// Positions of the probes of the same class that arrived before the chosen one, in queue order.
-fn passed_by(queue: &[Standing], positions: &[usize], chosen: usize) -> Vec<usize> {
-    let chosen_standing = &queue[chosen];
+fn passed_by(queue: &[QueuedProbe], positions: &[usize], chosen: usize) -> Vec<usize> {
+    let chosen_probe = &queue[chosen];
     let is_passed = |position: &usize| {
         *position != chosen
-            && queue[*position].class() == chosen_standing.class()
-            && queue[*position].arrived < chosen_standing.arrived
+            && queue[*position].class() == chosen_probe.class()
+            && queue[*position].arrived < chosen_probe.arrived
     };
     positions.iter().copied().filter(is_passed).collect()
 }
--- a/crates/core/src/placement/reprobe.rs
+++ b/crates/core/src/placement/reprobe.rs
@@ -39,7 +39,8 @@
         let mut jobs: Vec<(JobIndex, &Job)> =
             self.jobs.iter().filter(|(_, job)| is_concerned(job)).collect();
         jobs.sort_by(|(a_index, a), (b_index, b)| {
-            let by_urgency = (b.priority, a.lost).cmp(&(a.priority, b.lost));
+            let by_urgency =
+                (b.priority, a.missed_objectives).cmp(&(a.priority, b.missed_objectives));
             by_urgency.then(a.remaining_s().total_cmp(&b.remaining_s())).then(a_index.cmp(b_index))
         });
         jobs.into_iter().map(|(index, _)| index).collect()
--- a/crates/core/tests/unit/queue.rs
+++ b/crates/core/tests/unit/queue.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn probe(remaining_s: f64, ratio: f64, slack: u32, arrived: u64) -> Standing {
-    let (priority, guaranteed, lost) = (Priority::Normal, false, 0);
-    Standing { priority, guaranteed, lost, remaining_s, ratio, slack, arrived }
+fn probe(remaining_s: f64, ratio: f64, slack: u32, arrived: u64) -> QueuedProbe {
+    let (priority, guaranteed, missed_objectives) = (Priority::Normal, false, 0);
+    QueuedProbe { priority, guaranteed, missed_objectives, remaining_s, ratio, slack, arrived }
 }
 
 /// Guards the switch to scarcity past both thresholds, and the way back.
@@ -39,7 +39,7 @@
             assert!(passed <= 5, "passed again at the cap in {order:?}");
         }
         assert_eq!(passed, 5);
-        // At the cap and without room, nobody of its standing slips past.
+        // At the cap and without resources, no probe of its class goes before it.
         let queue = [long, probe(1.0, 9.0, 0, 99)];
         assert_eq!(pick(&queue, order, 5, |p| p != 0), None);
     }
@@ -50,7 +50,7 @@
 #[test]
 fn what_can_be_in_time_goes_ahead_of_what_is_late() {
     let mut late = probe(1.0, 0.0, 0, 0);
-    late.lost = 1;
+    late.missed_objectives = 1;
     let queue = [late, probe(90.0, 0.0, 0, 1)];
     for order in [QueueOrder::ShortestFirst, QueueOrder::ScarcityFirst] {
         assert_eq!(pick(&queue, order, 5, |_| true).unwrap().chosen, 1);
