--- a/crates/core/src/storage/job_batches/index.rs
+++ b/crates/core/src/storage/job_batches/index.rs
@@ -1,6 +1,9 @@
-//! What stood in the pages at a revision of the state service, as one who does not write them
-//! knows it. It is made by reading them all once and kept by what has changed since, so that a
-//! look costs what has changed, not what there is.
+//! The contents of all batch records at one revision of the key-value store, as known to a
+//! controller that does not write them.
+//!
+//! The index is built by listing every batch record once and is kept up to date from the store's
+//! change log, so that a lookup costs as much as has changed since the one before and not as much
+//! as there is.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,100 +13,128 @@
 
 use crate::storage::records::{batch_number, decode, BatchRecord, JobRecord};
 
-/// One page: its jobs by name, and the rest as it was read.
-struct Held {
+/// One batch record: the ids of its jobs, decoded, and its value as it was read.
+struct IndexedBatch {
     revision: u64,
-    /// `None` if the page can't be read.
-    ids: Option<BTreeSet<String>>,
+    /// `None` if the record can't be decoded.
+    job_ids: Option<BTreeSet<String>>,
+    /// The record in CBOR. It is decoded again when a job of it is looked up, as that is rare.
     value: Vec<u8>,
 }
 
-/// What the pages say of a job.
+/// What the batch records say about one job.
 #[derive(Debug)]
-pub(super) enum Found {
-    Record(Box<JobRecord>),
-    /// It may be in a page that can't be read, or can't be read there.
-    Damaged,
+pub(super) enum IndexedJob {
+    /// A batch record holds the job: the record that it would have under a key of its own.
+    Found(Box<JobRecord>),
+    /// The job's entry can't be decoded, or a record that can't be decoded may hold it.
+    Unreadable,
+    /// No batch record holds the job.
     Absent,
 }
 
+/// All batch records at one revision of the store.
 #[derive(Default)]
-pub(super) struct Index {
-    /// The revision that it describes; 0 until all pages have been read.
-    rev: u64,
-    /// When it was last known to be so.
-    pub at_ms: u64,
-    held: BTreeMap<u64, Held>,
+pub(super) struct BatchIndex {
+    /// The store's revision that the index describes; 0 until the first listing began.
+    store_revision: u64,
+    /// Steady time at which the index was last known to be current.
+    verified_at_ms: u64,
+    batches: BTreeMap<u64, IndexedBatch>,
 }
 
-impl Index {
-    /// The revision after which to ask for changes, if it is young enough for that: what
-    /// changed in a long time would be more than what there is.
-    pub fn rev(&self, now_ms: u64, young_ms: u64) -> Option<u64> {
-        (self.rev > 0 && now_ms < self.at_ms + young_ms).then_some(self.rev)
+impl BatchIndex {
+    /// The revision after which to ask for changes, if the index was current less than
+    /// `max_age_ms` ago. For an older one the changes could be more than a new listing.
+    pub fn revision_to_update_from(&self, now_ms: u64, max_age_ms: u64) -> Option<u64> {
+        let recent = now_ms < self.verified_at_ms + max_age_ms;
+        (self.store_revision > 0 && recent).then_some(self.store_revision)
     }
 
-    fn set(&mut self, key: &str, value: &Value, revision: u64) {
-        let Some(number) = batch_number(key) else { return };
-        if self.held.get(&number).is_some_and(|h| h.revision >= revision) {
-            return;
-        }
-        let page: Option<BatchRecord> = decode(value);
-        if page.is_none() {
-            tracing::error!(number, "a page can't be read; jobs in it can't be told");
-        }
-        let ids = page.map(|p| p.ids().cloned().collect());
-        self.held.insert(number, Held { revision, ids, value: to_cbor(value) });
+    /// Whether the index was last known to be current more than `max_age_ms` ago.
+    pub fn older_than(&self, now_ms: u64, max_age_ms: u64) -> bool {
+        now_ms > self.verified_at_ms + max_age_ms
+    }
+
+    /// Notes that the index was current at `at_ms`, in steady time.
+    pub fn set_verified_at(&mut self, at_ms: u64) {
+        self.verified_at_ms = at_ms;
     }
 
-    /// Takes in some of a list of all pages; what changed while they were read comes with
-    /// the changes since the first.
-    pub fn read(&mut self, list: &KeyValueList) {
-        if self.rev == 0 {
-            self.rev = list.store_revision;
+    /// Adds one part of a listing of all batch records. The index takes the revision of the first
+    /// part, so that the next update brings what changed while the others were read.
+    pub fn add_listed(&mut self, list: &KeyValueList) {
+        if self.store_revision == 0 {
+            self.store_revision = list.store_revision;
+        }
+        for pair in &list.pairs {
+            self.insert(&pair.path, &pair.value, pair.revision);
         }
-        list.pairs.iter().for_each(|p| self.set(&p.path, &p.value, p.revision));
     }
 
-    /// Takes in what has changed.
-    pub fn follow(&mut self, changes: &ChangeLog) {
+    /// Applies the changes since the index's revision.
+    pub fn apply_changes(&mut self, changes: &ChangeLog) {
         for event in &changes.log {
             match (&event.set, &event.delete, &event.value) {
-                (Some(key), _, Some(value)) => self.set(key, value, event.revision),
-                (_, Some(key), _) => {
-                    let Some(number) = batch_number(key) else { continue };
-                    if self.held.get(&number).is_some_and(|h| h.revision < event.revision) {
-                        self.held.remove(&number);
-                    }
-                }
+                (Some(key), _, Some(value)) => self.insert(key, value, event.revision),
+                (_, Some(key), _) => self.remove(key, event.revision),
                 _ => {}
             }
         }
-        self.rev = self.rev.max(changes.store_revision);
+        self.store_revision = self.store_revision.max(changes.store_revision);
     }
 
-    /// The last page that was there: it is never taken away.
-    pub fn last(&self) -> u64 {
-        self.held.keys().next_back().copied().unwrap_or(0)
+    /// Number of the newest batch record, which is never deleted; 0 if there has been none.
+    pub fn last_number(&self) -> u64 {
+        self.batches.keys().next_back().copied().unwrap_or(0)
     }
 
-    pub fn find(&self, id: &str) -> Found {
-        let mut damaged = false;
-        for held in self.held.values() {
-            match &held.ids {
-                Some(ids) if ids.contains(id) => {
-                    let page: Option<BatchRecord> = from_cbor(&held.value).ok();
-                    let record = page.and_then(|p| p.get(id));
-                    return record.map_or(Found::Damaged, |r| Found::Record(Box::new(r)));
-                }
+    /// Looks for a job in all batch records.
+    pub fn find_job(&self, id: &str) -> IndexedJob {
+        let mut any_unreadable = false;
+        for batch in self.batches.values() {
+            match &batch.job_ids {
+                Some(ids) if ids.contains(id) => return batch.read_job(id),
                 Some(_) => {}
-                None => damaged = true,
+                None => any_unreadable = true,
             }
         }
-        if damaged {
-            Found::Damaged
+        if any_unreadable {
+            IndexedJob::Unreadable
         } else {
-            Found::Absent
+            IndexedJob::Absent
+        }
+    }
+
+    /// Takes in a record, unless a newer version of it is known.
+    fn insert(&mut self, key: &str, value: &Value, revision: u64) {
+        let Some(number) = batch_number(key) else { return };
+        if self.batches.get(&number).is_some_and(|known| known.revision >= revision) {
+            return;
+        }
+        let record: Option<BatchRecord> = decode(value);
+        if record.is_none() {
+            tracing::error!(number, "a batch record can't be decoded; lookups of its jobs fail");
+        }
+        let job_ids = record.map(|record| record.ids().cloned().collect());
+        self.batches.insert(number, IndexedBatch { revision, job_ids, value: to_cbor(value) });
+    }
+
+    /// Removes a record, unless a newer version of it is known.
+    fn remove(&mut self, key: &str, revision: u64) {
+        let Some(number) = batch_number(key) else { return };
+        if self.batches.get(&number).is_some_and(|known| known.revision < revision) {
+            self.batches.remove(&number);
+        }
+    }
+}
+
+impl IndexedBatch {
+    fn read_job(&self, id: &str) -> IndexedJob {
+        let batch: Option<BatchRecord> = from_cbor(&self.value).ok();
+        match batch.and_then(|batch| batch.get(id)) {
+            Some(record) => IndexedJob::Found(Box::new(record)),
+            None => IndexedJob::Unreadable,
         }
     }
 }
--- a/crates/core/src/storage/job_batches/mod.rs
+++ b/crates/core/src/storage/job_batches/mod.rs
@@ -36,7 +36,7 @@
 };
 use crate::{Outcome, RequestId};
 
-use index::{Found, Index};
+use index::{BatchIndex, IndexedJob};
 
 /// How a page stands to its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -79,7 +79,7 @@
 struct Look {
     wanted: Vec<BatchLookup>,
     /// What is read so far, if all pages are read.
-    whole: Option<Index>,
+    whole: Option<BatchIndex>,
     since: Option<String>,
 }
 
@@ -95,7 +95,7 @@
     /// Who asked after the present look began.
     queue: Vec<BatchLookup>,
     /// What is known of the pages of whoever leads.
-    index: Index,
+    index: BatchIndex,
     /// When the last look began: all who ask meanwhile share the next.
     looked_ms: u64,
     /// The last page of the look that answered last.
@@ -752,10 +752,11 @@
         if self.job_batches.look.is_some() {
             return;
         }
-        if now > self.job_batches.index.at_ms + self.context.config.lease_ms() {
-            self.job_batches.index = Index::default();
+        if self.job_batches.index.older_than(now, self.context.config.lease_ms()) {
+            self.job_batches.index = BatchIndex::default();
         }
-        let known = self.job_batches.index.rev(now, self.context.config.heartbeat_interval_ms());
+        let max_age_ms = self.context.config.heartbeat_interval_ms();
+        let known = self.job_batches.index.revision_to_update_from(now, max_age_ms);
         let pause = if known.is_some() {
             self.context.config.write_batch_ms() / 10
         } else {
@@ -767,7 +768,7 @@
         }
         self.job_batches.looked_ms = now;
         let wanted = std::mem::take(&mut self.job_batches.queue);
-        let whole = known.is_none().then(Index::default);
+        let whole = known.is_none().then(BatchIndex::default);
         self.job_batches.look = Some(Look { wanted, whole, since: None });
         match known {
             Some(rev) => {
@@ -803,7 +804,7 @@
         let (Some(list), Some(mut whole)) = (list, look.whole.take()) else {
             return self.look_failed(look);
         };
-        whole.read(&list);
+        whole.add_listed(&list);
         let end = list.pairs.last().map(|p| p.path.clone());
         if list.more && end.is_some() {
             (look.since, look.whole) = (end, Some(whole));
@@ -819,14 +820,14 @@
         match outcome {
             Outcome::Answer(r) if r.status == 200 => match from_cbor::<ChangeLog>(&r.body) {
                 Ok(changes) => {
-                    self.job_batches.index.follow(&changes);
+                    self.job_batches.index.apply_changes(&changes);
                     self.looked(look.wanted);
                 }
                 Err(_) => self.look_failed(look),
             },
             // It doesn't keep changes for that long: all pages are read.
             Outcome::Answer(r) if r.status == 410 => {
-                look.whole = Some(Index::default());
+                look.whole = Some(BatchIndex::default());
                 self.job_batches.look = Some(look);
                 self.read_on();
             }
@@ -842,23 +843,23 @@
     /// The pages are known as they stood after the questions came.
     fn looked(&mut self, wanted: Vec<BatchLookup>) {
         self.note_store_answer();
-        self.job_batches.index.at_ms = self.job_batches.looked_ms;
+        self.job_batches.index.set_verified_at(self.job_batches.looked_ms);
         for mut look in wanted {
-            match self.job_batches.index.find(&look.job) {
-                Found::Damaged => {
+            match self.job_batches.index.find_job(&look.job) {
+                IndexedJob::Unreadable => {
                     self.on_outcome(*look.then, Outcome::NotSent);
                     continue;
                 }
-                Found::Record(record) => look.found = Some(record),
-                Found::Absent if look.guarded => {
-                    self.job_batches.looked_last = self.job_batches.index.last();
+                IndexedJob::Found(record) => look.found = Some(record),
+                IndexedJob::Absent if look.guarded => {
+                    self.job_batches.looked_last = self.job_batches.index.last_number();
                     let absent = Outcome::Answer(Response::new(404, Vec::new()));
                     self.on_outcome(*look.then, absent);
                     continue;
                 }
-                Found::Absent => {}
+                IndexedJob::Absent => {}
             }
-            look.last = self.job_batches.index.last();
+            look.last = self.job_batches.index.last_number();
             // It may have got a record of its own while we looked.
             self.look_again(look);
         }
