--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -249,9 +249,12 @@
     ) {
         match self.read_outcome(outcome) {
             // No page that was looked through holds it; none may have come since.
-            Ok(None) => {
-                self.record_alone(id, spec, cancelled, Some(self.job_batches.looked_last + 1))
-            }
+            Ok(None) => self.record_alone(
+                id,
+                spec,
+                cancelled,
+                Some(self.job_batches.last_batch_checked() + 1),
+            ),
             Ok(Some(pair)) => self.answer_record(id, &spec.id, pair),
             Err(()) => self.answer_busy(id),
         }
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -26,7 +26,7 @@
 use crate::placement::gangs::GangHold;
 use crate::recovery::Recovery;
 use crate::storage::feature_state::FeatureState;
-use crate::storage::job_batches::{BatchLookup, JobBatches};
+use crate::storage::job_batches::{BatchCall, JobBatches};
 use crate::storage::placement_records::RecordLocation;
 use crate::storage::record_writer::{FlushItem, RecordWriter};
 use crate::storage::records::RecordedStatus;
@@ -68,13 +68,7 @@
     Step { record: ActivationRecord, epoch: u64 },
     Poll { request: RequestId, id: String },
     AloneRead { request: RequestId, spec: Box<JobSpec>, cancelled: bool },
-    LookFirst(BatchLookup),
-    LookLast(BatchLookup),
-    LookAbsent { look: BatchLookup, epoch: u64 },
-    PageScan,
-    PageChanges,
-    PageWrite { number: u64, epoch: u64 },
-    PageRead { number: u64, epoch: u64 },
+    Batch(BatchCall),
     Compare { compared: ValidatedRead, epoch: u64 },
     Forward { request: RequestId, sibling: usize, work: Box<UserRequest> },
     Beat { sibling: usize },
@@ -149,7 +143,6 @@
     pub(crate) lease_proxy: LeaseProxy,
     pub(crate) status_queries: StatusQueries,
     pub(crate) job_batches: JobBatches,
-    pub(crate) batch_reads_to_retry: Vec<u64>,
     pub(crate) mailbox: Mailbox,
     /// Workers of other zones: since when they report here, and when they were last sent
     /// to the leader.
@@ -221,7 +214,6 @@
             lease_proxy,
             status_queries: StatusQueries::default(),
             job_batches: JobBatches::default(),
-            batch_reads_to_retry: Vec::new(),
             mailbox: Mailbox::default(),
             out_of_zone_workers: BTreeMap::new(),
             stall,
@@ -398,11 +390,7 @@
             InFlight::AloneRead { request, spec, cancelled } => {
                 self.on_alone_read(request, *spec, cancelled, outcome)
             }
-            InFlight::LookFirst(look) => self.on_look_first(look, outcome),
-            InFlight::LookLast(look) => self.on_look_last(look, outcome),
-            InFlight::LookAbsent { look, epoch } => self.on_look_absent(look, epoch, outcome),
-            InFlight::PageScan => self.on_batch_scan(outcome),
-            InFlight::PageChanges => self.on_batch_changes(outcome),
+            InFlight::Batch(call) => self.on_batch_call(call, outcome),
             InFlight::Forward { request, sibling, work } => {
                 self.on_forwarded(request, sibling, *work, outcome)
             }
@@ -426,8 +414,6 @@
             // What follows concerns a memory that is gone if the epoch has changed.
             InFlight::Recovery { epoch }
             | InFlight::InboxWatch { epoch, .. }
-            | InFlight::PageWrite { epoch, .. }
-            | InFlight::PageRead { epoch, .. }
             | InFlight::InboxRead { epoch, .. }
             | InFlight::InboxList { epoch, .. }
             | InFlight::ReadAgain { epoch, .. }
@@ -443,8 +429,6 @@
             InFlight::InboxWatch { sent_ms, .. } => self.on_handoff_watch(sent_ms, outcome),
             InFlight::ChainRead { job, .. } => self.on_dependency_read(job, outcome),
             InFlight::ReadAgain { job, .. } => self.on_read_again(job, outcome),
-            InFlight::PageWrite { number, .. } => self.on_batch_written(number, outcome),
-            InFlight::PageRead { number, .. } => self.on_batch_read(number, outcome),
             InFlight::InboxRead { job, .. } => self.on_handoff_job_read(job, outcome),
             InFlight::InboxList { rev, .. } => self.on_handoff_list(rev, outcome),
             InFlight::Orders { machine, fencing_token, starts } => {
--- /dev/null
+++ b/crates/core/src/storage/job_batches/batch_lookup.rs
@@ -0,0 +1,368 @@
+//! Finds the record of a job under its own key or in the batch records.
+//!
+//! A lookup reads the job's own key first. If there is no record, the job may be in a batch:
+//!
+//! - the leader has every batch in memory, so that it only verifies that it still leads and that
+//!   the job has no record of its own;
+//! - any other controller brings its [`BatchIndex`] up to date, looks there, and reads the job's
+//!   own key once more, as the job may have got a record meanwhile.
+//!
+//! One scan of the batch records is in progress at a time; it serves all lookups that came before
+//! it began, and those that come later share the next. An answer is therefore never older than its
+//! question.
+
+use quartzgate_feature_gates::Feature;
+use quartzgate_wire::http::Response;
+use quartzgate_wire::msg::{ChangeLog, Guard, KeyValue, KeyValueList, Transaction};
+use quartzgate_wire::{from_cbor, to_cbor};
+
+use crate::config::Config;
+use crate::controller::{Controller, InFlight};
+use crate::jobs::JobState;
+use crate::storage::record_writer::write_outcome;
+use crate::storage::records::{encode, job_key, JobRecord, BATCH_PREFIX, EPOCH_KEY};
+use crate::{Outcome, Peer};
+
+use super::index::{BatchIndex, IndexedJob};
+use super::BatchCall;
+
+/// Batch records in one part of a listing.
+const BATCHES_PER_LIST: u32 = 60;
+/// A scan reads many records or waits for a busy store: its timeout, in ordinary ones.
+const SCAN_TIMEOUT_FACTOR: u64 = 3;
+/// An index that is up to date may be updated this many times as often as all records are listed.
+const UPDATES_PER_LISTING: u64 = 10;
+
+/// A lookup of one job's record.
+#[derive(Debug)]
+pub(crate) struct BatchLookup {
+    job_id: String,
+    /// The job's record as a batch record holds it, once it was found there.
+    batched_record: Option<Box<JobRecord>>,
+    /// Number of the newest batch that was checked.
+    last_batch: u64,
+    /// The caller writes under the condition that the job has no record of its own, so that its
+    /// own key is not read.
+    own_key_guarded: bool,
+    /// The call as whose outcome the record is reported, as if the job's own key had been read.
+    report_as: Box<InFlight>,
+}
+
+impl BatchLookup {
+    fn new(job_id: &str, own_key_guarded: bool, report_as: InFlight) -> Self {
+        BatchLookup {
+            job_id: job_id.to_string(),
+            batched_record: None,
+            last_batch: 0,
+            own_key_guarded,
+            report_as: Box::new(report_as),
+        }
+    }
+}
+
+/// A scan of the batch records, in progress.
+struct BatchScan {
+    lookups: Vec<BatchLookup>,
+    /// The index that a new listing builds; `None` while the present one is updated.
+    new_index: Option<BatchIndex>,
+    /// Last key of the listing so far.
+    listed_to: Option<String>,
+}
+
+/// How a scan that has begun reads the batch records.
+enum ScanMode {
+    /// Lists them all.
+    List,
+    /// Reads what has changed after a revision of the store.
+    Update { since: u64 },
+}
+
+/// Lookups of one controller, and its knowledge of the batch records. It does not depend on who
+/// leads.
+#[derive(Default)]
+pub(super) struct BatchLookups {
+    scan: Option<BatchScan>,
+    /// Lookups that arrived after the scan in progress began.
+    waiting: Vec<BatchLookup>,
+    index: BatchIndex,
+    /// Steady time at which the newest scan began; 0 before the first.
+    last_scan_ms: u64,
+    last_batch_checked: u64,
+}
+
+impl BatchLookups {
+    /// Number of the newest batch that the lookup answered last has covered.
+    pub fn last_batch_checked(&self) -> u64 {
+        self.last_batch_checked
+    }
+
+    /// Begins a scan for all lookups that wait, unless one is in progress or the one before began
+    /// too short a time ago.
+    fn begin_scan(&mut self, config: &Config, now_ms: u64) -> Option<ScanMode> {
+        if self.scan.is_some() {
+            return None;
+        }
+        if self.index.older_than(now_ms, config.lease_ms()) {
+            self.index = BatchIndex::default();
+        }
+        let mode = self.scan_mode(config, now_ms);
+        let min_interval_ms = match mode {
+            ScanMode::Update { .. } => config.write_batch_ms() / UPDATES_PER_LISTING,
+            ScanMode::List => config.write_batch_ms(),
+        };
+        let is_too_soon = self.last_scan_ms > 0 && now_ms < self.last_scan_ms + min_interval_ms;
+        if is_too_soon || self.waiting.is_empty() {
+            return None;
+        }
+        self.last_scan_ms = now_ms;
+        self.scan = Some(BatchScan {
+            lookups: std::mem::take(&mut self.waiting),
+            new_index: matches!(mode, ScanMode::List).then(BatchIndex::default),
+            listed_to: None,
+        });
+        Some(mode)
+    }
+
+    fn scan_mode(&self, config: &Config, now_ms: u64) -> ScanMode {
+        match self.index.revision_to_update_from(now_ms, config.heartbeat_interval_ms()) {
+            Some(since) => ScanMode::Update { since },
+            None => ScanMode::List,
+        }
+    }
+}
+
+impl Controller {
+    /// Reads a job's record: its own, or else as a batch record holds it. The outcome is that of
+    /// `then`, as if the job's own key had been read; a record from a batch has revision 0.
+    pub(crate) fn look_up(&mut self, job: &str, then: InFlight) {
+        if !self.has(Feature::BatchRecords) {
+            return self.read_own_record(job, then);
+        }
+        let lookup = BatchLookup::new(job, false, then);
+        self.read_own_record(job, InFlight::Batch(BatchCall::ReadJob(lookup)));
+    }
+
+    /// Looks in the batch records only, for a submission to be recorded without the leader: that
+    /// the job has no record of its own is a condition of that write.
+    pub(crate) fn look_up_in_batches(&mut self, job: &str, then: InFlight) {
+        self.queue_lookup(BatchLookup::new(job, true, then));
+    }
+
+    fn read_own_record(&mut self, job_id: &str, call: InFlight) {
+        self.call_store("GET", format!("/keys/{}", job_key(job_id)), Vec::new(), call);
+    }
+
+    /// Has the next scan serve a lookup; one more than the maximum fails at once.
+    fn queue_lookup(&mut self, lookup: BatchLookup) {
+        let max_waiting = self.context.config.max_batch_lookups();
+        if self.job_batches.lookups.waiting.len() >= max_waiting {
+            return self.fail_lookup(lookup);
+        }
+        self.job_batches.lookups.waiting.push(lookup);
+        self.scan_batches();
+    }
+
+    pub(super) fn on_job_read(&mut self, lookup: BatchLookup, outcome: Outcome) {
+        if !is_not_found(&outcome) {
+            return self.on_outcome(*lookup.report_as, outcome);
+        }
+        if let Some(record) = self.batched_record_in_memory(&lookup.job_id) {
+            return self.report_batched_record(&lookup.job_id, &record, *lookup.report_as);
+        }
+        if self.leads() && self.job_batches.is_complete() {
+            return self.verify_absence(lookup);
+        }
+        self.queue_lookup(lookup);
+    }
+
+    /// The record of a job that memory knows to be accepted in a batch: without a record of its
+    /// own, such a job is live.
+    fn batched_record_in_memory(&self, job_id: &str) -> Option<JobRecord> {
+        let job = self.jobs.find(job_id).and_then(|job| self.jobs.get(job))?;
+        if job.page.is_none() || job.state == JobState::Recording {
+            return None;
+        }
+        Some(JobRecord { at_ms: job.at_ms, ..self.job_record(job.spec.clone()) })
+    }
+
+    /// The leader has all batches in memory and none holds the job, which is true as long as it
+    /// leads: it verifies that, and that the job has no record of its own.
+    fn verify_absence(&mut self, mut lookup: BatchLookup) {
+        lookup.last_batch = self.job_batches.last_number;
+        let guards = vec![
+            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision },
+            Guard { path: job_key(&lookup.job_id), revision: 0 },
+        ];
+        let body = to_cbor(&Transaction { guards, apply: Vec::new() });
+        self.membership.reads.force(self.context.now.steady_ms, 1.0);
+        let call = BatchCall::VerifyAbsence { lookup, epoch: self.epoch() };
+        self.call_store("POST", "/multi".into(), body, InFlight::Batch(call));
+    }
+
+    pub(super) fn on_absence_verified(
+        &mut self,
+        lookup: BatchLookup,
+        epoch: u64,
+        outcome: Outcome,
+    ) {
+        let (status, answer) = write_outcome(&outcome);
+        // The job may have been submitted meanwhile.
+        let is_outdated = epoch != self.epoch() || self.jobs.find(&lookup.job_id).is_some();
+        match (status, answer) {
+            (200, Some(_)) if !is_outdated => self.report_absence(lookup),
+            (409, Some(answer)) if answer.failed.iter().any(|path| path == EPOCH_KEY) => {
+                if epoch == self.epoch() {
+                    self.step_down();
+                }
+                self.fail_lookup(lookup);
+            }
+            // The job has a record of its own by now.
+            (409, Some(_)) => self.reread_own_record(lookup),
+            (429 | 503, _) => {
+                self.on_store_throttled(status);
+                self.fail_lookup(lookup);
+            }
+            _ => self.fail_lookup(lookup),
+        }
+    }
+
+    /// Begins a scan of the batch records if lookups wait for one and it is due.
+    pub(crate) fn scan_batches(&mut self) {
+        let now_ms = self.context.now.steady_ms;
+        match self.job_batches.lookups.begin_scan(&self.context.config, now_ms) {
+            Some(ScanMode::Update { since }) => {
+                let target = format!("/changes?starts={BATCH_PREFIX}&since={since}&block_ms=0");
+                self.call_for_scan(target, BatchCall::Changes);
+            }
+            Some(ScanMode::List) => self.list_next_batches(),
+            None => {}
+        }
+    }
+
+    fn call_for_scan(&mut self, target: String, call: BatchCall) {
+        self.membership.reads.force(self.context.now.steady_ms, 1.0);
+        let timeout_ms = SCAN_TIMEOUT_FACTOR * self.context.config.store_timeout_ms();
+        let call = InFlight::Batch(call);
+        self.call(Peer::State, "GET", target, Vec::new(), timeout_ms, call);
+    }
+
+    /// Lists the batch records that follow those that the scan has listed.
+    fn list_next_batches(&mut self) {
+        let Some(scan) = &self.job_batches.lookups.scan else { return };
+        let mut target = format!("/keys?starts={BATCH_PREFIX}&most={BATCHES_PER_LIST}");
+        if let Some(listed_to) = &scan.listed_to {
+            target.push_str(&format!("&since={listed_to}"));
+        }
+        self.call_for_scan(target, BatchCall::List);
+    }
+
+    pub(super) fn on_batches_listed(&mut self, outcome: Outcome) {
+        let Some(mut scan) = self.job_batches.lookups.scan.take() else { return };
+        let list = match outcome {
+            Outcome::Answer(r) if r.status == 200 => from_cbor::<KeyValueList>(&r.body).ok(),
+            _ => None,
+        };
+        let (Some(list), Some(mut index)) = (list, scan.new_index.take()) else {
+            return self.fail_scan(scan);
+        };
+        index.add_listed(&list);
+        let last_key = list.pairs.last().map(|pair| pair.path.clone());
+        if list.more && last_key.is_some() {
+            scan.listed_to = last_key;
+            scan.new_index = Some(index);
+            self.job_batches.lookups.scan = Some(scan);
+            return self.list_next_batches();
+        }
+        self.job_batches.lookups.index = index;
+        self.finish_scan(scan.lookups);
+    }
+
+    pub(super) fn on_batch_changes(&mut self, outcome: Outcome) {
+        let Some(scan) = self.job_batches.lookups.scan.take() else { return };
+        match outcome {
+            Outcome::Answer(r) if r.status == 200 => match from_cbor::<ChangeLog>(&r.body) {
+                Ok(changes) => {
+                    self.job_batches.lookups.index.apply_changes(&changes);
+                    self.finish_scan(scan.lookups);
+                }
+                Err(_) => self.fail_scan(scan),
+            },
+            // The store's change log does not go back that far: all records are listed.
+            Outcome::Answer(r) if r.status == 410 => {
+                let new_index = Some(BatchIndex::default());
+                self.job_batches.lookups.scan = Some(BatchScan { new_index, ..scan });
+                self.list_next_batches();
+            }
+            _ => self.fail_scan(scan),
+        }
+    }
+
+    fn fail_scan(&mut self, scan: BatchScan) {
+        for lookup in scan.lookups {
+            self.fail_lookup(lookup);
+        }
+        self.scan_batches();
+    }
+
+    /// The index is as the store was at some moment after all these lookups arrived.
+    fn finish_scan(&mut self, lookups: Vec<BatchLookup>) {
+        self.note_store_answer();
+        let scan_began_ms = self.job_batches.lookups.last_scan_ms;
+        self.job_batches.lookups.index.set_verified_at(scan_began_ms);
+        for lookup in lookups {
+            self.look_up_in_index(lookup);
+        }
+        self.scan_batches();
+    }
+
+    fn look_up_in_index(&mut self, mut lookup: BatchLookup) {
+        let index = &self.job_batches.lookups.index;
+        lookup.last_batch = index.last_number();
+        match index.find_job(&lookup.job_id) {
+            IndexedJob::Unreadable => return self.fail_lookup(lookup),
+            IndexedJob::Absent if lookup.own_key_guarded => return self.report_absence(lookup),
+            IndexedJob::Absent => {}
+            IndexedJob::Found(record) => lookup.batched_record = Some(record),
+        }
+        // The job may have got a record of its own during the scan.
+        self.reread_own_record(lookup);
+    }
+
+    fn reread_own_record(&mut self, lookup: BatchLookup) {
+        let job_id = lookup.job_id.clone();
+        self.membership.reads.force(self.context.now.steady_ms, 1.0);
+        self.read_own_record(&job_id, InFlight::Batch(BatchCall::RereadJob(lookup)));
+    }
+
+    pub(super) fn on_job_reread(&mut self, lookup: BatchLookup, outcome: Outcome) {
+        self.job_batches.lookups.last_batch_checked = lookup.last_batch;
+        match lookup.batched_record {
+            Some(record) if is_not_found(&outcome) => {
+                self.report_batched_record(&lookup.job_id, &record, *lookup.report_as)
+            }
+            _ => self.on_outcome(*lookup.report_as, outcome),
+        }
+    }
+
+    /// Reports a job in a batch like a record that has no revision yet: whoever writes the job's
+    /// own record guards the write by there being none.
+    fn report_batched_record(&mut self, job_id: &str, record: &JobRecord, report_as: InFlight) {
+        let pair =
+            KeyValue { path: job_key(job_id), value: encode(record), revision: 0, lease_id: None };
+        self.on_outcome(report_as, Outcome::Answer(Response::new(200, to_cbor(&pair))));
+    }
+
+    fn report_absence(&mut self, lookup: BatchLookup) {
+        self.job_batches.lookups.last_batch_checked = lookup.last_batch;
+        let not_found = Outcome::Answer(Response::new(404, Vec::new()));
+        self.on_outcome(*lookup.report_as, not_found);
+    }
+
+    fn fail_lookup(&mut self, lookup: BatchLookup) {
+        self.on_outcome(*lookup.report_as, Outcome::NotSent);
+    }
+}
+
+fn is_not_found(outcome: &Outcome) -> bool {
+    matches!(outcome, Outcome::Answer(response) if response.status == 404)
+}
