--- /dev/null
+++ b/crates/core/tests/simulation/cluster.rs
@@ -0,0 +1,338 @@
+//! An in-memory cluster: controllers, state service, cloud, workers and users on one simulated
+//! clock, joined by a network that delays, loses, holds and reorders messages.
+//!
+//! The cluster knows the truth about every task and checks the invariants at every start, every
+//! write and every answer; it records each violation instead of failing at once, so that a test
+//! sees all of them. All randomness comes from the seed.
+
+mod clock;
+mod cloud;
+mod controllers;
+mod faults;
+mod invariants;
+mod network;
+mod state_service;
+mod users;
+mod workers;
+
+pub use faults::{Milestone, RandomDelay, ReachedMilestone, UnansweredWrite, WriteFault};
+pub use network::{Endpoint, LinkFault};
+pub use state_service::{LateRefusal, StateLimits, ThrottledKey};
+pub use users::spec_without_field;
+pub use workers::{InboundLoss, MidCallHang, Worker};
+
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
+use std::ops::RangeInclusive;
+
+use clock::ScheduledEvent;
+use controllers::ControllerProcess;
+use invariants::{AbortConfirmation, StartAfterAbort};
+use network::{FaultyLink, HeldCall, Requester};
+use quartzgate_ladder::Table;
+use quartzgate_wire::msg::{JobSpec, JobStatus, Rank, Shape};
+use quartzgate_wire::settings::Platform;
+use rand::rngs::SmallRng;
+use rand::SeedableRng;
+use state_service::StateService;
+use users::UserRequest;
+use workers::TaskStart;
+
+/// Interval of the workers' heartbeats.
+pub const REPORT_MS: u64 = 1_000;
+/// Length of a worker's lease.
+pub const LEASE_MS: u64 = 8_000;
+/// Time after a confirmed abort by which the job's tasks must be gone.
+pub const CANCEL_MS: u64 = 24_000;
+/// Memory of each machine.
+const MEMORY_GB: f64 = 32.0;
+
+/// The simulated cluster: its processes, its faults and what its users have seen.
+pub struct Cluster {
+    pub seed: u64,
+    rng: SmallRng,
+
+    // The clock.
+    pub now: u64,
+    queue: BinaryHeap<ScheduledEvent>,
+    last_sequence: u64,
+
+    // The controllers.
+    nodes: Vec<Option<ControllerProcess>>,
+    /// How often each controller has been started.
+    incarnations: Vec<u32>,
+    /// Revision of the state service at which each controller was last started.
+    started_at_revision: Vec<u64>,
+    /// 1 if the clocks of workers run slow and those of controllers apart, by 0.05%.
+    clock_skew: u64,
+
+    // Settings of the controllers.
+    team_cpu_limit: f64,
+    pub team_gpu_limit: f64,
+    /// Limits of the state service that the settings announce.
+    pub announced_limits: Option<serde_json::Value>,
+    /// Largest value that the state service takes, where it is not what `platform` says.
+    pub max_value_kb: Option<f64>,
+    /// Controllers that don't agree to the newest format, as the first version.
+    pub legacy_controllers: BTreeSet<usize>,
+    /// Controllers of another build, by the features that it knows.
+    pub feature_tables: BTreeMap<usize, &'static Table>,
+    /// Features that a controller's operators withhold.
+    pub withheld_features: BTreeMap<usize, Vec<String>>,
+    /// Number of controllers in a controller's settings, where it is not the real one.
+    pub configured_count: BTreeMap<usize, usize>,
+    /// All small jobs share batch records, not only while writes are scarce.
+    pub batch_small_jobs: bool,
+    /// Machines are kept however long they are idle.
+    pub keep_idle_machines: bool,
+
+    // The state service.
+    pub state: StateService,
+    /// Controller that sent the activation which is being applied.
+    activation_writer: Option<usize>,
+
+    // The network.
+    link_faults: Vec<FaultyLink>,
+    held_calls: Vec<HeldCall>,
+    pub message_loss: f64,
+    pub max_delay_ms: u64,
+    pending_requests: HashMap<(usize, u32, u64), Requester>,
+    next_request: u64,
+
+    // The cloud.
+    next_machine: u32,
+    /// The cloud provisions no machine.
+    pub scale_out_disabled: bool,
+    /// The cloud takes no machine back.
+    pub scale_in_disabled: bool,
+    /// Machines that the lagging list does not show yet.
+    pub unlisted_machines: BTreeSet<String>,
+    /// How long provisioned machines take to be up.
+    pub boot_ms: RangeInclusive<u64>,
+    /// How long the list takes to show a machine that is up.
+    pub list_lag_ms: u64,
+    /// Number of provisioning requests whose answers are still to be lost.
+    pub lost_provision_answers: u32,
+    /// Machines of each provisioning request, by its idempotency key.
+    provision_answers: BTreeMap<String, Vec<String>>,
+    /// GPUs of each machine.
+    pub machine_gpus: f64,
+
+    // The workers.
+    pub workers: BTreeMap<String, Worker>,
+    /// How long tasks run, by the name of the task or its job.
+    pub task_duration_ms: BTreeMap<String, u64>,
+    /// Rate at which a machine fetches images, shared by all that it fetches at a time; without
+    /// one, images are there at once.
+    pub fetch_gb_per_s: Option<f64>,
+    /// Jobs whose tasks fail wherever they run, with the number of failures so far.
+    pub failing_jobs: BTreeMap<String, u32>,
+    /// Machines whose heartbeats reach no controller, while orders reach them.
+    pub lost_heartbeats: BTreeSet<String>,
+    /// Machines whose heartbeats arrive, while what is sent to them is lost.
+    pub inbound_loss: BTreeMap<String, InboundLoss>,
+    /// Number of starts lost on the way to each machine of `inbound_loss`.
+    pub lost_starts: BTreeMap<String, u32>,
+    /// Duplicates of heartbeats that arrive late, at any controller.
+    pub duplicate_heartbeats: Option<RandomDelay>,
+    /// Share of heartbeats that are stored and replayed to every controller when a new leader is
+    /// elected.
+    pub stale_heartbeat_share: f64,
+    stale_heartbeats: Vec<Vec<u8>>,
+    /// Time after which a redirected worker tries the next controller, if not with its next
+    /// heartbeat.
+    pub redirect_delay_ms: Option<u64>,
+
+    // The users, and the truth that the invariants are checked against.
+    pub user_requests: Vec<UserRequest>,
+    /// Every job that was submitted.
+    pub jobs: BTreeMap<String, JobSpec>,
+    /// Last state of each accepted job that a user was told.
+    pub observed_status: BTreeMap<String, JobStatus>,
+    /// Tasks of each job that have run to their end.
+    pub completed_tasks: BTreeMap<String, BTreeSet<u32>>,
+    /// Every start of each task.
+    pub task_starts: BTreeMap<String, Vec<TaskStart>>,
+    /// When users were first told that a job is aborted.
+    pub abort_confirmed_at: BTreeMap<String, u64>,
+    abort_confirmed_by: BTreeSet<AbortConfirmation>,
+    /// Jobs whose abort was requested, whatever came of it.
+    abort_requested: BTreeSet<String>,
+    /// Starts that were sent after a user had been told that their job is aborted.
+    pub starts_after_abort: Vec<StartAfterAbort>,
+    /// Submissions that must be refused, and the status that they must get.
+    must_refuse: BTreeMap<String, u16>,
+    /// Users query all controllers, and submit again, within milliseconds of each news of a job.
+    pub query_on_change: bool,
+    /// Share of jobs that are aborted at the moment of their last completion.
+    pub abort_at_completion: f64,
+    pub milestones: Vec<ReachedMilestone>,
+    pub violations: Vec<String>,
+}
+
+impl Cluster {
+    /// `nodes` controllers and `workers` machines of 8 CPUs in alternating zones. The team may use
+    /// `team_cpu_limit` CPUs, any number if it is 0.
+    pub fn new(nodes: usize, workers: usize, team_cpu_limit: f64, seed: u64) -> Cluster {
+        let mut cluster = Cluster {
+            seed,
+            rng: SmallRng::seed_from_u64(seed),
+            now: 1,
+            queue: BinaryHeap::new(),
+            last_sequence: 0,
+            nodes: Vec::new(),
+            incarnations: vec![0; nodes],
+            started_at_revision: vec![0; nodes],
+            clock_skew: seed % 2,
+            team_cpu_limit,
+            team_gpu_limit: 0.0,
+            announced_limits: None,
+            max_value_kb: None,
+            legacy_controllers: BTreeSet::new(),
+            feature_tables: BTreeMap::new(),
+            withheld_features: BTreeMap::new(),
+            configured_count: BTreeMap::new(),
+            batch_small_jobs: false,
+            keep_idle_machines: false,
+            state: StateService::default(),
+            activation_writer: None,
+            link_faults: Vec::new(),
+            held_calls: Vec::new(),
+            message_loss: 0.0,
+            max_delay_ms: 4,
+            pending_requests: HashMap::new(),
+            next_request: 1,
+            next_machine: 0,
+            scale_out_disabled: true,
+            scale_in_disabled: false,
+            unlisted_machines: BTreeSet::new(),
+            boot_ms: 3_000..=3_000,
+            list_lag_ms: 0,
+            lost_provision_answers: 0,
+            provision_answers: BTreeMap::new(),
+            machine_gpus: 0.0,
+            workers: BTreeMap::new(),
+            task_duration_ms: BTreeMap::new(),
+            fetch_gb_per_s: None,
+            failing_jobs: BTreeMap::new(),
+            lost_heartbeats: BTreeSet::new(),
+            inbound_loss: BTreeMap::new(),
+            lost_starts: BTreeMap::new(),
+            duplicate_heartbeats: None,
+            stale_heartbeat_share: 0.0,
+            stale_heartbeats: Vec::new(),
+            redirect_delay_ms: None,
+            user_requests: Vec::new(),
+            jobs: BTreeMap::new(),
+            observed_status: BTreeMap::new(),
+            completed_tasks: BTreeMap::new(),
+            task_starts: BTreeMap::new(),
+            abort_confirmed_at: BTreeMap::new(),
+            abort_confirmed_by: BTreeSet::new(),
+            abort_requested: BTreeSet::new(),
+            starts_after_abort: Vec::new(),
+            must_refuse: BTreeMap::new(),
+            query_on_change: false,
+            abort_at_completion: 0.0,
+            milestones: Vec::new(),
+            violations: Vec::new(),
+        };
+        for node in 0..nodes {
+            cluster.nodes.push(None);
+            cluster.start_controller(node);
+        }
+        for _ in 0..workers {
+            cluster.add_worker();
+        }
+        cluster
+    }
+
+    /// Three controllers and some machines, after all features have been activated and
+    /// `settle_ms` more.
+    pub fn activated(workers: usize, team_cpu_limit: f64, seed: u64, settle_ms: u64) -> Cluster {
+        let mut cluster = Cluster::new(3, workers, team_cpu_limit, seed);
+        cluster.run_until_fully_activated();
+        cluster.run_for_ms(settle_ms);
+        cluster
+    }
+}
+
+/// The platform settings of one controller.
+fn platform(node: usize, nodes: usize, team_cpu_limit: f64) -> Platform {
+    let siblings: Vec<_> = (0..nodes)
+        .filter(|n| *n != node)
+        .map(|n| {
+            serde_json::json!({
+                "node": format!("n{n}"), "domain": "a", "addr": format!("10.0.0.{}:81", n + 1)
+            })
+        })
+        .collect();
+    serde_json::from_value(serde_json::json!({
+        "node": format!("n{node}"), "domain": "a",
+        "client_listen": format!("10.0.0.{}:80", node + 1),
+        "mesh_addr": format!("10.0.0.{}:81", node + 1),
+        "siblings": siblings,
+        "outside": {"cloud": "10.1.0.1:1", "state": "10.1.0.2:1"},
+        "facts": {
+            "count": nodes, "zones": ["a", "b"],
+            "teams": [{
+                "name": "t", "cpus": 0.0, "cpus_max": team_cpu_limit, "gpus": 0.0, "gpus_max": 0.0
+            }],
+            "objectives": [],
+            "workers": {"report_s": REPORT_MS as f64 / 1e3, "lease_s": LEASE_MS as f64 / 1e3,
+                        "gang_wait_s": 20.0, "gang_peer_s": 3.0, "cancel_s": CANCEL_MS as f64 / 1e3},
+            "state": {"rps": 200.0, "write_rps": 40.0, "value_kb": 8.0, "txn_ops": 12},
+            "cloud": {"rps": 8.0, "list_lag_s": 2.0},
+            "resources": {"cpu_share": 0.1, "mem_mb": 64.0, "max_sockets": 500},
+            "clock_off_ms": 100.0
+        }
+    }))
+    .unwrap()
+}
+
+/// A job of some tasks, each of which takes half a machine's CPUs.
+pub fn job(id: &str, shape: Shape, tasks: u32) -> JobSpec {
+    JobSpec {
+        id: id.into(),
+        class: "c".into(),
+        team: "t".into(),
+        shape,
+        rank: if shape == Shape::Service { Rank::Production } else { Rank::Normal },
+        tasks,
+        cpus: 4.0,
+        gpus: 0.0,
+        memory_gb: 4.0,
+        image: "i".into(),
+        image_gb: 1.0,
+        types: None,
+        zone: None,
+        together: false,
+        spread: false,
+        spot: true,
+        estimate_s: 5.0,
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
+        dependencies: Vec::new(),
+    }
+}
+
+/// The same job, depending on others.
+pub fn with_dependencies(mut spec: JobSpec, dependencies: &[&str]) -> JobSpec {
+    spec.dependencies = dependencies.iter().map(|id| id.to_string()).collect();
+    spec
+}
+
+/// Name of the n-th job.
+pub fn job_id(n: u32) -> String {
+    format!("wk-{n:06}")
+}
+
+/// Name of the n-th machine.
+pub fn machine_name(n: usize) -> String {
+    format!("vm-{n:06}")
+}
+
+/// The job that a task belongs to, by the task's name.
+fn job_of(task: &str) -> &str {
+    task.rsplit_once('/').map_or("", |(job, _)| job)
+}
--- /dev/null
+++ b/crates/core/tests/simulation/cluster/cloud.rs
@@ -0,0 +1,98 @@
+//! The cloud: machine types, the lagging list of machines, provisioning and returns.
+
+use super::clock::SimulationEvent;
+use super::workers::addr_of;
+use super::{machine_name, Cluster, MEMORY_GB};
+use quartzgate_core::Call;
+use quartzgate_wire::http::Response;
+use quartzgate_wire::msg::{
+    CloudStatus, HireRequest, ListedMachine, MachineList, MachineNames, MachineType, MachineTypes,
+};
+use quartzgate_wire::{from_cbor, to_cbor};
+use rand::Rng;
+
+/// Machines of one provisioning request at most.
+const MAX_PROVISIONED: u32 = 4;
+
+impl Cluster {
+    pub(super) fn on_cloud_call(&mut self, call: &Call) -> Response {
+        let path = call.target.split('?').next().unwrap();
+        match (call.method, path) {
+            ("GET", "/machine_types") => self.machine_types(),
+            ("GET", _) => self.machine_list(),
+            ("POST", "/machines/return") => self.take_machines_back(call),
+            _ => self.provision_machines(call),
+        }
+    }
+
+    fn machine_types(&self) -> Response {
+        let machine_type = MachineType {
+            name: "k8".into(),
+            cpus: 8.0,
+            gpus: self.machine_gpus,
+            memory_gb: MEMORY_GB,
+            cache_gb: 50.0,
+            fetch_gb_per_s: 1.0,
+            price: 0.4,
+            spot_price: 0.1,
+            boot_s: 3.0,
+            zones: vec!["a".into(), "b".into()],
+        };
+        Response::new(200, to_cbor(&MachineTypes { types: vec![machine_type] }))
+    }
+
+    fn machine_list(&self) -> Response {
+        let machines = self
+            .workers
+            .iter()
+            .filter(|(name, _)| !self.unlisted_machines.contains(*name))
+            .filter(|(_, worker)| self.now >= worker.booted_at_ms + self.list_lag_ms)
+            .map(|(name, worker)| ListedMachine {
+                name: name.clone(),
+                addr: addr_of(name),
+                kind: worker.kind.clone(),
+                zone: worker.zone.clone(),
+                spot: worker.spot,
+                status: CloudStatus::Running,
+                age_s: match self.list_lag_ms {
+                    0 => 50.0,
+                    _ => (self.now - worker.booted_at_ms) as f64 / 1e3 + 0.1,
+                },
+            })
+            .collect();
+        Response::new(200, to_cbor(&MachineList { machines, more: false }))
+    }
+
+    fn take_machines_back(&mut self, call: &Call) -> Response {
+        if self.scale_in_disabled {
+            return Response::new(503, Vec::new());
+        }
+        let names: MachineNames = from_cbor(&call.body).unwrap();
+        for name in names.machines {
+            self.workers.remove(&name);
+        }
+        Response::new(200, Vec::new())
+    }
+
+    /// Provisions machines, once for each idempotency key.
+    fn provision_machines(&mut self, call: &Call) -> Response {
+        let request: HireRequest = from_cbor(&call.body).unwrap();
+        if self.scale_out_disabled {
+            return Response::new(503, Vec::new());
+        }
+        if let Some(known) = self.provision_answers.get(&request.hire) {
+            return Response::new(200, to_cbor(&MachineNames { machines: known.clone() }));
+        }
+        let mut machines = Vec::new();
+        for _ in 0..request.count.min(MAX_PROVISIONED) {
+            let name = machine_name(self.next_machine as usize);
+            self.next_machine += 1;
+            let zone = request.zone.clone();
+            let ms = self.rng.random_range(self.boot_ms.clone());
+            self.schedule_after(ms, SimulationEvent::MachineUp { machine: name.clone(), zone });
+            machines.push(name);
+        }
+        self.provision_answers.insert(request.hire, machines.clone());
+        Response::new(200, to_cbor(&MachineNames { machines }))
+    }
+}
--- /dev/null
+++ b/crates/core/tests/simulation/cluster/invariants.rs
@@ -0,0 +1,469 @@
+//! The invariants: what is checked at each start, each write and each answer, and what must hold
+//! once all faults are over.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::workers::HeldTask;
+use super::{job_of, Cluster, Worker, CANCEL_MS, LEASE_MS, MEMORY_GB};
+use quartzgate_core::records::{
+    read_share, JobRecord, PageRecord, RecordedStatus, View, FORMAT, PAGES, SHARES, VIEW,
+};
+use quartzgate_core::Call;
+use quartzgate_ladder::{Ladder, StandingRecord, Stands};
+use quartzgate_wire::from_cbor;
+use quartzgate_wire::msg::{Change, JobSpec, JobStatus, Order, OrdersRequest, Shape, Transaction};
+
+/// How long a job may wait, faults over, while a machine that fits has free capacity.
+const MAX_WAIT_MS: u64 = 90_000;
+/// How long controllers may take, faults over, to answer for an accepted job.
+const MAX_ANSWER_MS: u64 = 75_000;
+/// Rounding error allowed in sums of resources.
+const EPSILON: f64 = 1e-6;
+
+/// A controller process has told a user that a job is aborted.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct AbortConfirmation {
+    pub node: usize,
+    pub incarnation: u32,
+    pub job: String,
+}
+
+/// A start that was sent after its job's abort had been confirmed to a user.
+#[derive(Clone, Debug)]
+#[allow(dead_code, reason = "shown by assertions that fail")]
+pub struct StartAfterAbort {
+    pub task: String,
+    pub by: usize,
+    pub after_ms: u64,
+}
+
+/// Resources in use on a machine.
+struct Usage {
+    cpus: f64,
+    memory_gb: f64,
+}
+
+impl Cluster {
+    /// No invariant has been violated so far.
+    pub fn check_invariants(&self) {
+        assert!(self.violations.is_empty(), "seed {}: {:#?}", self.seed, self.violations);
+    }
+
+    pub(super) fn violation(&mut self, what: String) {
+        self.violations.push(what);
+    }
+
+    // Starts.
+
+    /// A task is about to start on a machine.
+    pub(super) fn check_start(&mut self, machine: &str, task: &str, spec: &JobSpec) {
+        self.check_runs_once(machine, task);
+        let (now, aborted) = (self.now, self.abort_confirmed_at.get(&spec.id).copied());
+        if aborted.is_some_and(|at| now > at + CANCEL_MS) {
+            self.violation(format!("ran_cancelled {task} at {now}"));
+        }
+        self.check_dependencies_are_done(task, spec);
+        self.check_cpu_quota(spec);
+        self.check_gpu_quota(spec);
+        self.check_spread(machine, task, spec);
+        self.check_placement_constraints(machine, spec);
+    }
+
+    /// `ran_twice`: a task is alive on one machine only.
+    fn check_runs_once(&mut self, machine: &str, task: &str) {
+        let now = self.now;
+        let holds = |worker: &Worker| {
+            worker.holds_tasks(now) && worker.tasks.get(task).is_some_and(HeldTask::is_live)
+        };
+        let others = self.workers.iter().filter(|(name, w)| *name != machine && holds(w));
+        let twice = |(other, _): (&String, &Worker)| {
+            format!("ran_twice {task}: {machine} while on {other} at {now}")
+        };
+        let found: Vec<String> = others.map(twice).collect();
+        self.violations.extend(found);
+    }
+
+    /// `too_early`: a task starts when all dependencies of its job are done, and recorded so.
+    fn check_dependencies_are_done(&mut self, task: &str, spec: &JobSpec) {
+        let now = self.now;
+        for dependency in &spec.dependencies {
+            let all = self.jobs.get(dependency).map_or(0, |job| job.tasks as usize);
+            if self.completed_tasks.get(dependency).map_or(0, BTreeSet::len) < all {
+                self.violation(format!("too_early {task}: {dependency} is not done at {now}"));
+            }
+            if self.recorded_status(dependency) != Some(RecordedStatus::Done) {
+                self.violation(format!("{task} starts before {dependency}'s end is on record"));
+            }
+        }
+    }
+
+    /// `quota`: the team's tasks stay within its limit of CPUs.
+    fn check_cpu_quota(&mut self, spec: &JobSpec) {
+        let now = self.now;
+        let used: f64 = self
+            .workers
+            .values()
+            .filter(|worker| worker.holds_tasks(now))
+            .flat_map(Worker::live_tasks)
+            .filter_map(|(task, _)| self.jobs.get(job_of(task)))
+            .map(|job| job.cpus)
+            .sum();
+        if self.team_cpu_limit > 0.0 && used + spec.cpus > self.team_cpu_limit + EPSILON {
+            self.violation(format!("quota: {} CPUs at {now}", used + spec.cpus));
+        }
+    }
+
+    /// `quota`: the team's tasks stay within its limit of GPUs.
+    fn check_gpu_quota(&mut self, spec: &JobSpec) {
+        let now = self.now;
+        let used: f64 = self
+            .workers
+            .values()
+            .filter(|worker| worker.holds_tasks(now))
+            .flat_map(Worker::live_tasks)
+            .map(|(task, _)| self.jobs[job_of(task)].gpus)
+            .sum();
+        if self.team_gpu_limit > 0.0 && used + spec.gpus > self.team_gpu_limit + EPSILON {
+            self.violation(format!("quota: {} GPUs at {now}", used + spec.gpus));
+        }
+    }
+
+    /// `wrong_place`: no zone holds more than half of the tasks of a job with `spread`.
+    fn check_spread(&mut self, machine: &str, task: &str, spec: &JobSpec) {
+        if !spec.spread {
+            return;
+        }
+        let zone = self.workers[machine].zone.clone();
+        let there = self
+            .workers
+            .values()
+            .filter(|worker| worker.zone == zone && worker.holds_tasks(self.now))
+            .flat_map(Worker::live_tasks)
+            .filter(|(other, _)| job_of(other) == spec.id)
+            .count() as u32;
+        if there + 1 > spec.tasks.div_ceil(2) {
+            self.violation(format!("wrong_place {task}: {} in {zone}", there + 1));
+        }
+    }
+
+    /// `wrong_place`: a task starts only where its job allows it.
+    fn check_placement_constraints(&mut self, machine: &str, spec: &JobSpec) {
+        let worker = &self.workers[machine];
+        let zone = worker.zone.clone();
+        if !allows(spec, worker) {
+            self.violation(format!("wrong_place {}: {machine} in {zone}", spec.id));
+        }
+        let elsewhere = |(name, worker): (&String, &Worker)| {
+            name != machine
+                && worker.zone != zone
+                && worker.holds_tasks(self.now)
+                && worker.live_tasks().any(|(task, _)| job_of(task) == spec.id)
+        };
+        if spec.together && self.workers.iter().any(elsewhere) {
+            let id = &spec.id;
+            self.violation(format!("wrong_place {id}: {machine}, others in another zone"));
+        }
+    }
+
+    // Aborts.
+
+    /// `ran_cancelled`: no task lives longer than `cancel_s` after its job's confirmed abort.
+    pub(super) fn check_not_aborted(&mut self, machine: &str, task: &str, held: &HeldTask) {
+        let (now, aborted) = (self.now, self.abort_confirmed_at.get(job_of(task)).copied());
+        if aborted.is_some_and(|at| now > at + CANCEL_MS) && held.is_live() {
+            self.violation(format!("ran_cancelled {task} still on {machine} at {now}"));
+        }
+    }
+
+    /// `ran_cancelled`: the same of a whole job, at the moment at which its tasks must be gone.
+    pub(super) fn check_aborted_job_is_gone(&mut self, job: &str) {
+        let now = self.now;
+        let mut found = Vec::new();
+        for (name, worker) in self.workers.iter().filter(|(_, w)| w.holds_tasks(now)) {
+            for (task, _) in worker.live_tasks().filter(|(task, _)| job_of(task) == job) {
+                found.push(format!("ran_cancelled {task} still on {name} at {now}"));
+            }
+        }
+        self.violations.extend(found);
+    }
+
+    /// Notes starts of jobs whose abort has been confirmed to a user.
+    pub(super) fn note_starts_after_abort(&mut self, by: usize, call: &Call) {
+        if call.target != "/orders" {
+            return;
+        }
+        let request = from_cbor::<OrdersRequest>(&call.body);
+        for order in request.map_or(Vec::new(), |request| request.orders) {
+            let Order::Start { task, .. } = order else { continue };
+            if let Some(at) = self.abort_confirmed_at.get(job_of(&task)) {
+                let after_ms = self.now - at;
+                self.check_start_after_abort(by, &task, after_ms);
+                self.starts_after_abort.push(StartAfterAbort { task, by, after_ms });
+            }
+        }
+    }
+
+    /// A start is sent after its job's abort was confirmed: never by the process that has
+    /// confirmed it, and by one that cannot know of it only as long as it may command at all.
+    fn check_start_after_abort(&mut self, by: usize, task: &str, after_ms: u64) {
+        let (incarnation, job) = (self.incarnations[by], job_of(task).to_string());
+        let confirmation = AbortConfirmation { node: by, incarnation, job };
+        let knew = self.abort_confirmed_by.contains(&confirmation);
+        if knew || after_ms > CANCEL_MS - LEASE_MS {
+            self.violation(format!(
+                "{task} started by n{by} {after_ms} ms after its abort, confirmed there: {knew}"
+            ));
+        }
+    }
+
+    // Writes.
+
+    /// Activations only add, one step at a time, by the leader, and only what every controller
+    /// supports that is alive as far as the state service knows.
+    pub(super) fn check_activation(&mut self, txn: &Transaction) {
+        for change in &txn.apply {
+            let Change::Set { set, value, .. } = change else { continue };
+            if set != FORMAT {
+                continue;
+            }
+            let old = self.activated_format();
+            let new: StandingRecord = value.deserialized().unwrap();
+            let steps = new.version - old.version.min(new.version)
+                + new.features.difference(&old.features).count() as u32;
+            if self.activation_writer != self.leader() {
+                let writer = self.activation_writer;
+                self.violation(format!("{new:?} was set by {writer:?}, not the leader"));
+            }
+            if !new.covers(&old) || steps != 1 {
+                self.violation(format!("{new:?} was set over {old:?}"));
+            }
+            for node in 0..self.nodes.len() {
+                if self.is_known_alive(node) && !self.supports(node, &new) {
+                    self.violation(format!("{new:?} was set while n{node} lacks it"));
+                }
+            }
+        }
+    }
+
+    /// A controller runs, and the key on its lease is of its present process.
+    fn is_known_alive(&self, node: usize) -> bool {
+        let key = self.state.keys.get(&format!("members/n{node}"));
+        let is_current = key.is_some_and(|k| k.revision > self.started_at_revision[node]);
+        self.is_up(node) && is_current
+    }
+
+    fn supports(&self, node: usize, activated: &StandingRecord) -> bool {
+        let ladder = Ladder::new(self.feature_table(node), BTreeSet::new());
+        let understood = ladder.understand(Some(activated.clone()));
+        matches!(understood, Stands::At(_)) && !self.legacy_controllers.contains(&node)
+    }
+
+    /// An accepted job is stored in a batch record or in a record of its own, and its placement
+    /// in one place only.
+    pub(super) fn check_jobs_stored_once(&mut self) {
+        let mut batched = BTreeSet::new();
+        for (_, stored) in self.state.keys.iter().filter(|(key, _)| key.starts_with(PAGES)) {
+            match stored.value.deserialized::<PageRecord>() {
+                Ok(record) => batched.extend(record.ids().cloned()),
+                Err(_) => return,
+            }
+        }
+        let mut found = Vec::new();
+        for id in self.observed_status.keys() {
+            let own = self.state.keys.get(&format!("jobs/{id}"));
+            if own.is_none() && !batched.contains(id) {
+                found.push(format!("{id} stands nowhere"));
+            }
+            let record = own.and_then(|own| own.value.deserialized::<JobRecord>().ok());
+            let inline = record.is_some_and(|record| record.share.is_some());
+            if inline && self.state.keys.contains_key(&format!("shares/{id}/0/0")) {
+                found.push(format!("the share of {id} stands in two places"));
+            }
+        }
+        self.violations.extend(found);
+    }
+
+    /// No placement is ever written by the leader of an earlier epoch.
+    pub(super) fn check_writer_epoch(&mut self, txn: &Transaction) {
+        let stored = self.state.keys.get(VIEW);
+        let view = stored.and_then(|stored| stored.value.deserialized::<View>().ok());
+        let epoch = view.map_or(0, |view| view.epoch);
+        for change in &txn.apply {
+            let Change::Set { set, value, .. } = change else { continue };
+            let share = read_share(set, value, 1).map(|share| share.record);
+            if set.starts_with(SHARES) && share.is_some_and(|share| share.epoch < epoch) {
+                self.violation(format!("{set} written by a leader of an earlier epoch"));
+            }
+        }
+    }
+
+    /// How a job is recorded, if it has a record of its own.
+    pub fn recorded_status(&self, id: &str) -> Option<RecordedStatus> {
+        let stored = self.state.keys.get(&format!("jobs/{id}"))?;
+        stored.value.deserialized::<JobRecord>().ok().map(|record| record.status)
+    }
+
+    // Once all faults are over.
+
+    /// Faults over: no accepted job is lost, and none waits beside free capacity.
+    pub fn assert_recovered(&mut self) {
+        self.assert_no_accepted_job_is_lost();
+        self.assert_no_job_waits_beside_free_capacity();
+        self.check_invariants();
+    }
+
+    /// Faults over: every job that was accepted and not aborted is answered for within 75 s by
+    /// every controller that is ready, however often it has to be asked.
+    pub fn assert_no_accepted_job_is_lost(&mut self) {
+        let until_ms = self.now + MAX_ANSWER_MS;
+        let ready = self.ready_controllers();
+        let kept = self.observed_status.keys().filter(|id| !self.abort_requested.contains(*id));
+        let mut open: Vec<(usize, String)> =
+            kept.flat_map(|id| ready.iter().map(|node| (*node, id.clone()))).collect();
+        let mut answers: Vec<u16> = Vec::new();
+        while !open.is_empty() && self.now < until_ms {
+            let requests: Vec<usize> =
+                open.iter().map(|(node, id)| self.query(*node, id)).collect();
+            self.run_for_ms(2_000);
+            let left = open.into_iter().zip(requests);
+            let left = left.filter(|(_, request)| self.status_code(*request) != 200);
+            (open, answers) =
+                left.map(|(query, request)| (query, self.status_code(request))).unzip();
+        }
+        assert!(
+            open.is_empty(),
+            "seed {}: not answered for within 75 s: {open:?}, {answers:?}",
+            self.seed
+        );
+        self.check_invariants();
+    }
+
+    /// The controllers that say that they are ready.
+    fn ready_controllers(&mut self) -> Vec<usize> {
+        let up: Vec<usize> = (0..self.nodes.len()).filter(|node| self.is_up(*node)).collect();
+        let requests: Vec<usize> =
+            up.iter().map(|node| self.send_request(*node, "GET", "/ready", vec![])).collect();
+        self.run_for_ms(1_000);
+        let ready = up.into_iter().zip(requests);
+        let ready = ready.filter(|(_, request)| self.status_code(*request) == 200);
+        ready.map(|(node, _)| node).collect()
+    }
+
+    /// Faults over: no job waits for 90 s while a machine that fits has free capacity and its
+    /// team is under its quota. Ends as soon as none waits so.
+    pub fn assert_no_job_waits_beside_free_capacity(&mut self) {
+        let mut waiting_since: BTreeMap<String, u64> = BTreeMap::new();
+        loop {
+            let waiting = self.jobs_waiting_beside_free_capacity();
+            waiting_since.retain(|id, _| waiting.contains(id));
+            if waiting.is_empty() {
+                return;
+            }
+            for id in waiting {
+                let began = *waiting_since.entry(id.clone()).or_insert(self.now);
+                assert!(
+                    self.now < began + MAX_WAIT_MS,
+                    "seed {}: {id} waits beside room for {} ms",
+                    self.seed,
+                    self.now - began
+                );
+            }
+            self.run_for_ms(500);
+        }
+    }
+
+    /// Accepted jobs with a task that has not ended and is on no machine, though machines that fit
+    /// have free capacity for what the job needs at once, and its team is under its quota.
+    fn jobs_waiting_beside_free_capacity(&self) -> Vec<String> {
+        let open = self.observed_status.iter();
+        let open = open.filter(|(_, status)| !matches!(status, JobStatus::Done));
+        open.filter(|(id, _)| self.waits_beside_free_capacity(id))
+            .map(|(id, _)| id.clone())
+            .collect()
+    }
+
+    fn waits_beside_free_capacity(&self, id: &str) -> bool {
+        let Some(spec) = self.jobs.get(id) else { return false };
+        if !self.may_run(id) {
+            return false;
+        }
+        let live = self.live_tasks(id).len() as u32;
+        let ended = self.completed_tasks.get(id).map_or(0, BTreeSet::len) as u32;
+        let unplaced = spec.tasks.saturating_sub(ended).saturating_sub(live);
+        if unplaced == 0 {
+            return false;
+        }
+        let places = self.places_by_zone(spec);
+        let places = match spec.together {
+            true => places.values().max().copied().unwrap_or(0),
+            false => places.values().sum(),
+        };
+        let needed = if spec.shape == Shape::Gang { unplaced } else { 1 };
+        places >= needed && self.is_within_quota(spec, needed)
+    }
+
+    /// The job and those that it depends on are not aborted and do not fail, and those are done.
+    fn may_run(&self, id: &str) -> bool {
+        let ends_otherwise =
+            |id: &str| self.abort_requested.contains(id) || self.failing_jobs.contains_key(id);
+        let is_done = |id: &String| self.observed_status.get(id) == Some(&JobStatus::Done);
+        let dependencies = self.transitive_dependencies(id);
+        !ends_otherwise(id)
+            && !dependencies.iter().any(|id| ends_otherwise(id))
+            && dependencies.iter().all(is_done)
+    }
+
+    /// For how many more tasks of a job there is free capacity, by zone.
+    fn places_by_zone(&self, spec: &JobSpec) -> BTreeMap<String, u32> {
+        let live = self.live_tasks(&spec.id);
+        let zone_of = |machine: &String| &self.workers[machine].zone;
+        let bound_zone = live.first().filter(|_| spec.together).map(|live| zone_of(&live.machine));
+        let healthy = |worker: &&Worker| {
+            !worker.dead && worker.hung_until_ms <= self.now && !worker.fails_all_tasks
+        };
+        let mut places: BTreeMap<String, u32> = BTreeMap::new();
+        for worker in self.workers.values().filter(healthy) {
+            if allows(spec, worker) && bound_zone.is_none_or(|zone| *zone == worker.zone) {
+                let used = self.usage_of(worker);
+                let fits = ((worker.cpus - used.cpus + EPSILON) / spec.cpus)
+                    .min((MEMORY_GB - used.memory_gb + EPSILON) / spec.memory_gb)
+                    .floor()
+                    .max(0.0);
+                *places.entry(worker.zone.clone()).or_default() += fits as u32;
+            }
+        }
+        if spec.spread {
+            for (zone, count) in &mut places {
+                let there = live.iter().filter(|live| zone_of(&live.machine) == zone).count();
+                let allowed = spec.tasks.div_ceil(2).saturating_sub(there as u32);
+                *count = (*count).min(allowed);
+            }
+        }
+        places
+    }
+
+    fn usage_of(&self, worker: &Worker) -> Usage {
+        let jobs = worker.live_tasks().map(|(task, _)| &self.jobs[job_of(task)]);
+        jobs.fold(Usage { cpus: 0.0, memory_gb: 0.0 }, |used, job| Usage {
+            cpus: used.cpus + job.cpus,
+            memory_gb: used.memory_gb + job.memory_gb,
+        })
+    }
+
+    /// The team may use what some more tasks need. GPUs are not counted here: a job that needs
+    /// some is taken to have none.
+    fn is_within_quota(&self, spec: &JobSpec, tasks: u32) -> bool {
+        let holding = self.workers.values().filter(|worker| worker.holds_tasks(self.now));
+        let used: f64 = holding.map(|worker| self.usage_of(worker).cpus).sum();
+        let needed = f64::from(tasks) * spec.cpus;
+        let limit = self.team_cpu_limit;
+        (limit <= 0.0 || used + needed <= limit + EPSILON) && spec.gpus <= 0.0
+    }
+}
+
+/// A job may run on a machine, by its zone, type and kind of lease.
+fn allows(spec: &JobSpec, worker: &Worker) -> bool {
+    let zone = spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone);
+    let kind = spec.types.as_ref().is_none_or(|types| types.contains(&worker.kind));
+    zone && kind && (spec.spot || !worker.spot)
+}
--- /dev/null
+++ b/crates/core/tests/simulation/cluster/state_service.rs
@@ -0,0 +1,484 @@
+//! The state service: keys, transactions, leases and watches, and its faults.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::clock::SimulationEvent;
+use super::network::HeldCall;
+use super::{Cluster, Endpoint, Milestone, RandomDelay, UnansweredWrite, WriteFault};
+use ciborium::value::Value;
+use quartzgate_core::records::{FORMAT, FORMAT_NODES, INBOX, PAGES, POST, VIEW};
+use quartzgate_core::{Call, CallId, Outcome};
+use quartzgate_wire::http::Response;
+use quartzgate_wire::msg::{
+    Change, ChangeEvent, ChangeLog, LeaseAnswer, LeaseRequest, Pair, PairList, Transaction,
+    TransactionAnswer,
+};
+use quartzgate_wire::{from_cbor, to_cbor};
+use rand::Rng;
+
+/// Interval at which an open watch looks for changes.
+const WATCH_STEP_MS: u64 = 10;
+
+/// The value of a key.
+#[derive(Clone, Debug)]
+pub struct StoredValue {
+    pub value: Value,
+    /// Revision of the transaction that set it.
+    pub revision: u64,
+    /// The lease that the key expires with.
+    pub lease: Option<u64>,
+}
+
+/// A value that was set at some time.
+#[derive(Clone, Debug)]
+pub struct WrittenValue {
+    pub key: String,
+    pub value: Value,
+}
+
+/// Limits that the state service enforces.
+#[derive(Clone, Copy, Debug)]
+pub struct StateLimits {
+    /// Largest value, in bytes of JSON.
+    pub max_value_bytes: usize,
+    /// Most changes of a transaction, and a quarter of its most conditions.
+    pub max_changes: usize,
+    /// Changes a second; any number if it is 0.
+    pub changes_per_s: f64,
+}
+
+impl StateLimits {
+    const NONE: StateLimits =
+        StateLimits { max_value_bytes: usize::MAX, max_changes: usize::MAX, changes_per_s: 0.0 };
+}
+
+/// One controller's transactions are answered 503 after so long, without being applied.
+#[derive(Clone, Copy, Debug)]
+pub struct LateRefusal {
+    pub node: usize,
+    pub after_ms: u64,
+}
+
+/// The next write that sets this key is answered 429 after so long.
+#[derive(Clone, Debug)]
+pub struct ThrottledKey {
+    pub key: String,
+    pub after_ms: u64,
+}
+
+struct StateLease {
+    expires_ms: u64,
+    ttl_ms: u64,
+}
+
+/// The state service's data, faults and counters.
+#[derive(Default)]
+pub struct StateService {
+    pub keys: BTreeMap<String, StoredValue>,
+    pub revision: u64,
+    change_log: Vec<ChangeEvent>,
+    leases: BTreeMap<u64, StateLease>,
+    next_lease: u64,
+    rate_tokens: f64,
+    rate_tokens_at_ms: u64,
+
+    // Faults.
+    /// It answers 503 to everybody; open watches wait.
+    pub down: bool,
+    /// Controllers that get 503 while the others are served.
+    pub refused_nodes: BTreeSet<usize>,
+    pub late_refusal: Option<LateRefusal>,
+    pub throttled_key: Option<ThrottledKey>,
+    /// Number of transactions that are still to be applied without an answer.
+    pub unanswered_writes: u32,
+    /// Share of transactions that are applied without an answer.
+    pub lost_answer_share: f64,
+    /// Transactions that get no answer and are applied later, after newer ones.
+    pub delayed_writes: Option<RandomDelay>,
+    pub write_faults: Vec<WriteFault>,
+    /// Requests take up to so much longer to arrive, and answers to come back.
+    pub extra_latency_ms: u64,
+    /// Activations are held until links are healed.
+    pub hold_activations: bool,
+    /// Writes of mailboxes are refused.
+    pub rejects_mailboxes: bool,
+    /// Watches of the handoff queue receive nothing.
+    pub handoff_watch_silent: bool,
+    /// Sets of keys that contain this are refused as malformed.
+    pub refused_key_part: Option<String>,
+    pub limits: Option<StateLimits>,
+    /// Number of changes that are retained; a watch of earlier ones gets 410.
+    pub retained_changes: Option<u64>,
+    /// Most keys in one answer.
+    pub max_list_keys: Option<usize>,
+
+    // Counters.
+    pub writes: u64,
+    pub requests: u64,
+    /// Scans of all batch records.
+    pub batch_scans: u64,
+    /// Writes that were refused for their size.
+    pub refused_for_size: u64,
+    /// Writes that were refused for their rate.
+    pub refused_for_rate: u64,
+    /// Every value that was set, in order.
+    pub write_log: Vec<WrittenValue>,
+}
+
+/// Whether a change sets a key.
+fn sets(change: &Change, key: &str) -> bool {
+    matches!(change, Change::Set { set, .. } if set == key)
+}
+
+/// Whether a change sets a key with this prefix.
+fn sets_under(change: &Change, prefix: &str) -> bool {
+    matches!(change, Change::Set { set, .. } if set.starts_with(prefix))
+}
+
+/// The value of an argument of a query.
+fn argument(query: &str, name: &str) -> Option<String> {
+    let prefix = format!("{name}=");
+    query.split('&').find_map(|part| part.strip_prefix(&prefix[..]).map(String::from))
+}
+
+impl Cluster {
+    pub(super) fn on_state_call(&mut self, from: usize, incarnation: u32, call: Call) {
+        self.state.requests += 1;
+        self.expire_leases();
+        if self.state.down || self.state.refused_nodes.contains(&from) {
+            // Open watches wait through an outage.
+            if call.target.starts_with("/changes") {
+                return;
+            }
+            let refusal = Response::new(503, Vec::new());
+            return self.answer_state_call(from, incarnation, call.id, refusal);
+        }
+        let target = call.target.clone();
+        let (path, query) = target.split_once('?').unwrap_or((&target, ""));
+        let response = if path == "/keys" {
+            self.list_keys(query)
+        } else if let Some(key) = path.strip_prefix("/keys/") {
+            self.read_key(key)
+        } else if path == "/multi" {
+            return self.on_transaction(HeldCall { from, incarnation, call });
+        } else if path == "/leases" {
+            self.grant_lease(&call.body)
+        } else if let Some(rest) = path.strip_prefix("/leases/") {
+            self.renew_lease(rest.trim_end_matches("/renew").parse().unwrap())
+        } else {
+            return self.open_watch(from, incarnation, call.id, query);
+        };
+        self.answer_state_call(from, incarnation, call.id, response);
+    }
+
+    fn answer_state_call(
+        &mut self,
+        node: usize,
+        incarnation: u32,
+        call: CallId,
+        response: Response,
+    ) {
+        self.send_answer(node, incarnation, call, response, &Endpoint::StateService);
+    }
+
+    fn list_keys(&mut self, query: &str) -> Response {
+        let starts = argument(query, "starts").unwrap();
+        let since = argument(query, "since").unwrap_or_default();
+        self.state.batch_scans += u64::from(starts == PAGES && since.is_empty());
+        let max_keys = self.state.max_list_keys.unwrap_or(usize::MAX);
+        let found = |key: &String| key.starts_with(&starts) && *key > since;
+        let more = self.state.keys.keys().filter(|key| found(key)).count() > max_keys;
+        let pairs: Vec<Pair> = self
+            .state
+            .keys
+            .iter()
+            .filter(|(key, _)| found(key))
+            .take(max_keys)
+            .map(|(key, stored)| Pair {
+                path: key.clone(),
+                value: stored.value.clone(),
+                stamp: stored.revision,
+                permit: None,
+            })
+            .collect();
+        let list = PairList { pairs, more, ledger_rev: self.state.revision };
+        Response::new(200, to_cbor(&list))
+    }
+
+    fn read_key(&self, key: &str) -> Response {
+        let Some(stored) = self.state.keys.get(key) else { return Response::new(404, Vec::new()) };
+        let pair = Pair {
+            path: key.into(),
+            value: stored.value.clone(),
+            stamp: stored.revision,
+            permit: stored.lease,
+        };
+        Response::new(200, to_cbor(&pair))
+    }
+
+    fn grant_lease(&mut self, body: &[u8]) -> Response {
+        let ttl_ms = from_cbor::<LeaseRequest>(body).unwrap().ttl_ms;
+        self.state.next_lease += 1;
+        let permit = self.state.next_lease;
+        let lease = StateLease { expires_ms: self.now + ttl_ms, ttl_ms };
+        self.state.leases.insert(permit, lease);
+        Response::new(200, to_cbor(&LeaseAnswer { permit }))
+    }
+
+    fn renew_lease(&mut self, permit: u64) -> Response {
+        let now = self.now;
+        match self.state.leases.get_mut(&permit) {
+            Some(lease) => {
+                lease.expires_ms = now + lease.ttl_ms;
+                Response::new(200, Vec::new())
+            }
+            None => Response::new(404, Vec::new()),
+        }
+    }
+
+    /// A controller's transaction arrives: its faults, then its execution.
+    fn on_transaction(&mut self, arrived: HeldCall) {
+        let HeldCall { from, incarnation, call } = arrived;
+        let txn: Transaction = from_cbor(&call.body).unwrap();
+        let changes = || txn.apply.iter();
+        // The first version announces no formats.
+        let announces = changes().any(|change| sets_under(change, FORMAT_NODES));
+        if self.legacy_controllers.contains(&from) && announces {
+            let answer = TransactionAnswer { ledger_rev: self.state.revision, failed: Vec::new() };
+            let response = Response::new(200, to_cbor(&answer));
+            return self.answer_state_call(from, incarnation, call.id, response);
+        }
+        if let Some((status, after_ms)) = self.refusal_by_fault(from, &txn) {
+            let outcome = Outcome::Answer(Response::new(status, Vec::new()));
+            let event =
+                SimulationEvent::Outcome { node: from, incarnation, call: call.id, outcome };
+            return self.schedule_after(after_ms, event);
+        }
+        let activates = changes().any(|change| sets(change, FORMAT));
+        if self.state.hold_activations && activates {
+            return self.held_calls.push(HeldCall { from, incarnation, call });
+        }
+        if let Some(outcome) = self.take_write_fault(&txn) {
+            self.reach(Milestone::WriteUnanswered);
+            return match outcome {
+                UnansweredWrite::AppliedAtOnce => self.apply_unanswered(from, txn),
+                UnansweredWrite::AppliedAfterMs(ms) => {
+                    self.schedule_after(ms, SimulationEvent::DelayedWrite { from, txn })
+                }
+            };
+        }
+        if let Some(delay) = self.state.delayed_writes {
+            if self.rng.random_bool(delay.share) {
+                self.reach(Milestone::WriteUnanswered);
+                let ms = self.rng.random_range(delay.from_ms..=delay.to_ms);
+                return self.schedule_after(ms, SimulationEvent::DelayedWrite { from, txn });
+            }
+        }
+        if activates {
+            self.activation_writer = Some(from);
+        }
+        let response = self.apply_transaction(txn);
+        if self.state.unanswered_writes > 0 {
+            self.state.unanswered_writes -= 1;
+            return;
+        }
+        self.answer_state_call(from, incarnation, call.id, response);
+    }
+
+    /// The status with which a fault refuses a transaction, and after how long.
+    fn refusal_by_fault(&mut self, from: usize, txn: &Transaction) -> Option<(u16, u64)> {
+        let changes = || txn.apply.iter();
+        if let Some(late) = self.state.late_refusal.filter(|late| late.node == from) {
+            return Some((503, late.after_ms));
+        }
+        if self.state.rejects_mailboxes && changes().any(|change| sets_under(change, POST)) {
+            return Some((503, 1));
+        }
+        let concerned =
+            |throttled: &mut ThrottledKey| changes().any(|change| sets(change, &throttled.key));
+        let throttled = self.state.throttled_key.take_if(concerned)?;
+        Some((429, throttled.after_ms))
+    }
+
+    /// Somebody else sets a key.
+    pub fn overwrite_key(&mut self, key: &str, value: Value) {
+        let set = Change::Set { set: key.into(), value, permit: None };
+        self.apply_transaction(Transaction { guards: Vec::new(), apply: vec![set] });
+    }
+
+    /// Damages or replaces the value of an existing key; its revision stays.
+    pub fn damage_value(&mut self, key: &str, value: Value) {
+        self.state.keys.get_mut(key).unwrap().value = value;
+    }
+
+    fn open_watch(&mut self, node: usize, incarnation: u32, call: CallId, query: &str) {
+        let since: u64 = argument(query, "since").unwrap().parse().unwrap();
+        let block_ms: u64 = argument(query, "block_ms").unwrap().parse().unwrap();
+        if self.state.retained_changes.is_some_and(|n| since + n < self.state.revision) {
+            let gone = Response::new(410, Vec::new());
+            return self.answer_state_call(node, incarnation, call, gone);
+        }
+        let starts = argument(query, "starts").unwrap();
+        self.answer_watch(node, incarnation, call, starts, since, self.now + block_ms);
+    }
+
+    /// Answers a watch if there is something to tell or its time is up; else looks again later.
+    pub(super) fn answer_watch(
+        &mut self,
+        node: usize,
+        incarnation: u32,
+        call: CallId,
+        starts: String,
+        since: u64,
+        until: u64,
+    ) {
+        self.expire_leases();
+        let silent = self.state.handoff_watch_silent && starts == INBOX;
+        let log = if silent { Vec::new() } else { self.changes_since(&starts, since) };
+        let unavailable = self.state.down || self.state.refused_nodes.contains(&node);
+        if unavailable || log.is_empty() && self.now < until {
+            let event = SimulationEvent::WatchEnd { node, incarnation, call, starts, since, until };
+            return self.schedule_after(WATCH_STEP_MS, event);
+        }
+        let body = to_cbor(&ChangeLog { ledger_rev: self.state.revision, log });
+        self.answer_state_call(node, incarnation, call, Response::new(200, body));
+    }
+
+    fn changes_since(&self, prefix: &str, since: u64) -> Vec<ChangeEvent> {
+        let log = &self.state.change_log;
+        log.iter()
+            .skip(log.partition_point(|event| event.stamp <= since))
+            .filter(|event| {
+                let key = event.set.as_ref().or(event.delete.as_ref()).unwrap();
+                key.starts_with(prefix)
+            })
+            .cloned()
+            .collect()
+    }
+
+    /// Applies a transaction if its conditions hold and the limits allow it.
+    pub(super) fn apply_transaction(&mut self, txn: Transaction) -> Response {
+        let failed = self.failed_conditions(&txn);
+        if !failed.is_empty() {
+            let answer = TransactionAnswer { ledger_rev: self.state.revision, failed };
+            return Response::new(409, to_cbor(&answer));
+        }
+        if let Some(status) = self.refusal_by_limits(&txn) {
+            return Response::new(status, Vec::new());
+        }
+        let lease_is_gone = |change: &Change| matches!(change, Change::Set { permit: Some(p), .. } if !self.state.leases.contains_key(p));
+        if txn.apply.iter().any(lease_is_gone) {
+            return Response::new(400, Vec::new());
+        }
+        self.check_writer_epoch(&txn);
+        self.check_activation(&txn);
+        if txn.apply.iter().any(|change| sets(change, VIEW)) {
+            self.reach(Milestone::LeaderElected);
+            self.replay_stale_heartbeats();
+        }
+        if !txn.apply.is_empty() {
+            self.state.revision += 1;
+        }
+        let revision = self.state.revision;
+        for change in txn.apply {
+            self.state.apply_change(change, revision);
+        }
+        self.check_jobs_stored_once();
+        let answer = TransactionAnswer { ledger_rev: revision, failed: Vec::new() };
+        Response::new(200, to_cbor(&answer))
+    }
+
+    /// Keys whose revisions are not those that a transaction expects.
+    fn failed_conditions(&self, txn: &Transaction) -> Vec<String> {
+        let revision_of = |key: &String| self.state.keys.get(key).map_or(0, |s| s.revision);
+        let failed = txn.guards.iter().filter(|guard| revision_of(&guard.path) != guard.stamp);
+        failed.map(|guard| guard.path.clone()).collect()
+    }
+
+    /// The status with which the limits refuse a transaction whose conditions hold.
+    fn refusal_by_limits(&mut self, txn: &Transaction) -> Option<u16> {
+        let limits = self.state.limits.unwrap_or(StateLimits::NONE);
+        let refused_key_part = self.state.refused_key_part.as_ref();
+        let is_malformed = |key: &String| refused_key_part.is_some_and(|part| key.contains(part));
+        let size = |value: &Value| serde_json::to_string(value).unwrap().len();
+        let is_refused = |change: &Change| match change {
+            Change::Set { set, value, .. } => {
+                is_malformed(set) || size(value) > limits.max_value_bytes
+            }
+            Change::Delete { .. } => false,
+        };
+        let max_conditions = limits.max_changes.saturating_mul(4);
+        if txn.apply.iter().any(is_refused)
+            || txn.apply.len() > limits.max_changes
+            || txn.guards.len() > max_conditions
+        {
+            self.state.refused_for_size += 1;
+            return Some(400);
+        }
+        let rate = limits.changes_per_s;
+        if rate > 0.0 {
+            let passed_s = (self.now - self.state.rate_tokens_at_ms) as f64 / 1e3;
+            self.state.rate_tokens = (self.state.rate_tokens + passed_s * rate).min(rate);
+            self.state.rate_tokens_at_ms = self.now;
+            if self.state.rate_tokens < txn.apply.len() as f64 {
+                self.state.refused_for_rate += 1;
+                return Some(429);
+            }
+            self.state.rate_tokens -= txn.apply.len() as f64;
+        }
+        None
+    }
+
+    /// Deletes the keys of expired leases. During an outage no lease expires.
+    pub(super) fn expire_leases(&mut self) {
+        let now = self.now;
+        if self.state.down {
+            for lease in self.state.leases.values_mut() {
+                lease.expires_ms = lease.expires_ms.max(now + lease.ttl_ms);
+            }
+            return;
+        }
+        let expired = self.state.leases.iter().filter(|(_, lease)| lease.expires_ms < now);
+        let expired: Vec<u64> = expired.map(|(permit, _)| *permit).collect();
+        for permit in expired {
+            self.state.leases.remove(&permit);
+            let keys = self.state.keys.iter().filter(|(_, stored)| stored.lease == Some(permit));
+            let keys: Vec<String> = keys.map(|(key, _)| key.clone()).collect();
+            for delete in keys {
+                let apply = vec![Change::Delete { delete }];
+                self.apply_transaction(Transaction { guards: Vec::new(), apply });
+            }
+        }
+    }
+}
+
+impl StateService {
+    /// Replaces a value past all transactions, at the present revision.
+    pub fn insert_value(&mut self, key: &str, value: Value) {
+        self.insert_value_at(key, value, self.revision);
+    }
+
+    /// Replaces a value past all transactions, as if it had been set at this revision.
+    pub fn insert_value_at(&mut self, key: &str, value: Value, revision: u64) {
+        self.keys.insert(key.into(), StoredValue { value, revision, lease: None });
+    }
+
+    fn apply_change(&mut self, change: Change, revision: u64) {
+        if let Change::Set { set, value, .. } = &change {
+            self.write_log.push(WrittenValue { key: set.clone(), value: value.clone() });
+        }
+        self.writes += 1;
+        let event = match change {
+            Change::Set { set, value, permit } => {
+                let stored = StoredValue { value: value.clone(), revision, lease: permit };
+                self.keys.insert(set.clone(), stored);
+                ChangeEvent { set: Some(set), delete: None, value: Some(value), stamp: revision }
+            }
+            Change::Delete { delete } => {
+                self.keys.remove(&delete);
+                ChangeEvent { set: None, delete: Some(delete), value: None, stamp: revision }
+            }
+        };
+        self.change_log.push(event);
+    }
+}
--- /dev/null
+++ b/crates/core/tests/simulation/cluster/workers.rs
@@ -0,0 +1,674 @@
+//! The workers: their heartbeats and leases, what they execute, and how their tasks go on.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+use super::clock::SimulationEvent;
+use super::network::{HeldCall, Requester};
+use super::{job_of, machine_name, Cluster, Endpoint, Milestone, LEASE_MS, REPORT_MS};
+use quartzgate_core::Event;
+use quartzgate_wire::http::{Request, Response};
+use quartzgate_wire::msg::{
+    Cause, JobSpec, Order, OrdersRequest, Redirect, Report, ReportAnswer, ReportTask, Shape,
+    TaskStatus,
+};
+use quartzgate_wire::{from_cbor, to_cbor};
+use rand::Rng;
+
+/// Time after which a worker stops waiting for the answer to a heartbeat.
+const ANSWER_TIMEOUT_MS: u64 = 4_000;
+/// Interval at which a worker's agent looks after its tasks.
+const WORKER_STEP_MS: u64 = 50;
+/// How long a task runs if a test says nothing else.
+const DEFAULT_TASK_MS: u64 = 2_000;
+/// Status by which a worker notes that no answer came.
+const NO_ANSWER: u16 = 0;
+/// Status by which a worker notes that its controller is down.
+const CONNECTION_REFUSED: u16 = 1;
+/// Machines in one network of the simulated addresses.
+const MACHINES_PER_NETWORK: u32 = 250;
+
+/// What does not reach a machine whose heartbeats arrive.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct InboundLoss {
+    pub answers: bool,
+    pub orders: bool,
+}
+
+/// A task as its machine holds it.
+#[derive(Clone, Debug)]
+pub struct HeldTask {
+    pub attempt: u64,
+    pub status: TaskStatus,
+    pub cause: Option<Cause>,
+    pub ends_ms: u64,
+}
+
+impl HeldTask {
+    /// The task has not exited.
+    pub fn is_live(&self) -> bool {
+        self.status != TaskStatus::Exited
+    }
+}
+
+/// A live task and the machine that holds it.
+#[derive(Clone, Debug)]
+pub struct LiveTask {
+    #[allow(dead_code, reason = "shown by assertions that fail")]
+    pub task: String,
+    pub machine: String,
+}
+
+/// A start of a task.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct TaskStart {
+    pub machine: String,
+    pub at_ms: u64,
+}
+
+/// A machine hangs within its next call of more orders than these.
+#[derive(Clone, Copy, Debug)]
+pub struct MidCallHang {
+    pub after_orders: usize,
+    pub for_ms: u64,
+}
+
+/// Orders of a call within which a machine hung, and the agent epoch that they are for.
+#[derive(Default)]
+struct InterruptedOrders {
+    agent_epoch: u64,
+    orders: Vec<Order>,
+}
+
+/// A machine with its agent.
+pub struct Worker {
+    pub zone: String,
+    pub kind: String,
+    pub cpus: f64,
+    pub spot: bool,
+    pub agent_epoch: u64,
+    pub sequence: u64,
+    pub fencing_token: u64,
+    /// The controller that its heartbeats go to.
+    pub controller: usize,
+    pub lease_start_ms: u64,
+    /// Length of its lease by a clock that may be slow.
+    pub lease_ms: u64,
+    pub tasks: BTreeMap<String, HeldTask>,
+    pub dead: bool,
+    pub hung_until_ms: u64,
+    /// Every task that it starts fails.
+    pub fails_all_tasks: bool,
+    awaits_answer: bool,
+    pub hang_mid_call: Option<MidCallHang>,
+    interrupted: InterruptedOrders,
+    /// Calls that arrived while it hung.
+    queued_calls: Vec<HeldCall>,
+    pub(super) booted_at_ms: u64,
+    images: BTreeSet<String>,
+    /// What is still to be fetched of other images, in GB.
+    fetching_gb: BTreeMap<String, f64>,
+    fetched_at_ms: u64,
+}
+
+impl Worker {
+    /// Its tasks are still on it: it is alive, and its lease has not expired.
+    pub(super) fn holds_tasks(&self, now: u64) -> bool {
+        !self.dead && now <= self.lease_start_ms + self.lease_ms
+    }
+
+    pub(super) fn live_tasks(&self) -> impl Iterator<Item = (&String, &HeldTask)> {
+        self.tasks.iter().filter(|(_, held)| held.is_live())
+    }
+
+    fn must_fetch(&mut self, spec: &JobSpec, images_are_fetched: bool) -> bool {
+        let lacks = images_are_fetched && !self.images.contains(&spec.image);
+        if lacks {
+            self.fetching_gb.entry(spec.image.clone()).or_insert(spec.image_gb);
+        }
+        lacks
+    }
+}
+
+impl Cluster {
+    /// Adds a machine, in the zones' turn.
+    pub fn add_worker(&mut self) -> String {
+        let n = self.next_machine;
+        self.next_machine += 1;
+        let name = machine_name(n as usize);
+        let zone = ["a", "b"][n as usize % 2];
+        self.boot(&name, zone, false);
+        name
+    }
+
+    pub(super) fn boot(&mut self, name: &str, zone: &str, spot: bool) {
+        let worker = Worker {
+            zone: zone.into(),
+            kind: "k8".into(),
+            cpus: 8.0,
+            spot,
+            agent_epoch: 1,
+            sequence: 0,
+            fencing_token: 0,
+            controller: 0,
+            lease_start_ms: self.now,
+            lease_ms: LEASE_MS + self.clock_skew * LEASE_MS / 2_000,
+            tasks: BTreeMap::new(),
+            dead: false,
+            hung_until_ms: 0,
+            fails_all_tasks: false,
+            awaits_answer: false,
+            hang_mid_call: None,
+            interrupted: InterruptedOrders::default(),
+            queued_calls: Vec::new(),
+            booted_at_ms: self.now,
+            images: BTreeSet::new(),
+            fetching_gb: BTreeMap::new(),
+            fetched_at_ms: self.now,
+        };
+        self.workers.insert(name.into(), worker);
+        self.schedule_after(10, SimulationEvent::HeartbeatDue { machine: name.into() });
+        self.schedule_after(WORKER_STEP_MS, SimulationEvent::WorkerStep { machine: name.into() });
+    }
+
+    /// A machine loses all its tasks and is back after so long, under its name and address, in a
+    /// new agent epoch.
+    pub fn reboot_machine(&mut self, name: &str, ms: u64) {
+        let Some(worker) = self.workers.get_mut(name) else { return };
+        worker.dead = true;
+        worker.tasks.clear();
+        worker.agent_epoch += 1;
+        self.schedule_after(ms, SimulationEvent::MachineRebooted { machine: name.into() });
+    }
+
+    pub(super) fn on_machine_rebooted(&mut self, machine: String) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(&machine) else { return };
+        worker.dead = false;
+        worker.awaits_answer = false;
+        worker.lease_start_ms = now;
+        self.schedule_after(1, SimulationEvent::HeartbeatDue { machine: machine.clone() });
+        self.schedule_after(2, SimulationEvent::WorkerStep { machine });
+    }
+
+    /// Lets a machine hang for so long.
+    pub fn hang_machine(&mut self, name: &str, ms: u64) {
+        let until_ms = self.now + ms;
+        self.workers.get_mut(name).unwrap().hung_until_ms = until_ms;
+    }
+
+    /// Ends a machine for good.
+    pub fn kill_machine(&mut self, name: &str) {
+        self.workers.get_mut(name).unwrap().dead = true;
+    }
+
+    /// Tasks of a job that are on machines now.
+    pub fn live_tasks(&self, job: &str) -> Vec<LiveTask> {
+        let prefix = format!("{job}/");
+        let mut live = Vec::new();
+        for (machine, worker) in self.workers.iter().filter(|(_, worker)| !worker.dead) {
+            for (task, _) in worker.live_tasks().filter(|(task, _)| task.starts_with(&prefix)) {
+                live.push(LiveTask { task: task.clone(), machine: machine.clone() });
+            }
+        }
+        live
+    }
+
+    /// A worker's next heartbeat.
+    pub fn heartbeat_of(&mut self, name: &str) -> Option<Report> {
+        let worker = self.workers.get_mut(name)?;
+        worker.sequence += 1;
+        let tasks = worker.tasks.iter().map(|(task, held)| ReportTask {
+            task: task.clone(),
+            attempt: held.attempt,
+            status: held.status,
+            cause: held.cause,
+            saved: None,
+        });
+        Some(Report {
+            machine: name.into(),
+            addr: addr_of(name),
+            kind: worker.kind.clone(),
+            zone: worker.zone.clone(),
+            spot: worker.spot,
+            tenure: worker.agent_epoch,
+            seq: worker.sequence,
+            token: worker.fencing_token,
+            notice_s: None,
+            tasks: tasks.collect(),
+        })
+    }
+
+    /// A worker sends its heartbeat and schedules the next.
+    pub(super) fn send_heartbeat(&mut self, name: &str) {
+        let jitter_ms = self.rng.random_range(0..REPORT_MS / 2);
+        let now = self.now;
+        let Some(worker) = self.workers.get(name) else { return };
+        if worker.dead {
+            return;
+        }
+        let next = SimulationEvent::HeartbeatDue { machine: name.into() };
+        self.schedule_after(REPORT_MS * 3 / 4 + jitter_ms, next);
+        let worker = self.workers.get_mut(name).unwrap();
+        if now < worker.hung_until_ms || worker.awaits_answer {
+            return;
+        }
+        worker.awaits_answer = true;
+        let node = worker.controller;
+        let body = to_cbor(&self.heartbeat_of(name).unwrap());
+        self.duplicate_heartbeat(&body);
+        self.answer_heartbeat_after(name, ANSWER_TIMEOUT_MS, NO_ANSWER);
+        if self.lost_heartbeats.contains(name) {
+            return;
+        }
+        if !self.is_up(node) {
+            return self.answer_heartbeat_after(name, 1, CONNECTION_REFUSED);
+        }
+        let (worker, controller) = (Endpoint::Worker(name.into()), Endpoint::Controller(node));
+        if self.link_fault(&worker, &controller).is_none()
+            && !self.rng.random_bool(self.message_loss)
+        {
+            let delay_ms = self.random_delay_ms();
+            let machine = name.to_string();
+            let event = SimulationEvent::HeartbeatArrives { machine, node, sent_ms: now, body };
+            self.schedule_after(delay_ms, event);
+        }
+    }
+
+    /// A worker notes after so long what became of a heartbeat that it sends now.
+    fn answer_heartbeat_after(&mut self, name: &str, ms: u64, status: u16) {
+        let (machine, sent_ms) = (name.to_string(), self.now);
+        let event = SimulationEvent::HeartbeatAnswer { machine, sent_ms, status, body: Vec::new() };
+        self.schedule_after(ms, event);
+    }
+
+    /// A heartbeat arrives at a controller.
+    pub(super) fn deliver_heartbeat(
+        &mut self,
+        machine: String,
+        node: usize,
+        sent_ms: u64,
+        body: Vec<u8>,
+    ) {
+        let worker = Endpoint::Worker(machine.clone());
+        if !self.is_up(node) || self.link_fault(&worker, &Endpoint::Controller(node)).is_some() {
+            return;
+        }
+        self.request_checkin(node, Requester::Worker { machine, sent_ms }, body);
+    }
+
+    pub(super) fn deliver_duplicate_heartbeat(&mut self, node: usize, body: Vec<u8>) {
+        if self.is_up(node) {
+            self.request_checkin(node, Requester::Nobody, body);
+        }
+    }
+
+    fn request_checkin(&mut self, node: usize, requester: Requester, body: Vec<u8>) {
+        let id = self.register_request(node, requester);
+        let (method, target) = ("POST".into(), "/checkin".into());
+        let request = Request { method, target, body, close: false };
+        self.handle_event(node, Event::Client { id, request });
+    }
+
+    /// The answer to a heartbeat arrives, or the worker stops waiting for it.
+    pub(super) fn on_heartbeat_answer(
+        &mut self,
+        name: &str,
+        sent_ms: u64,
+        status: u16,
+        body: &[u8],
+    ) {
+        let now = self.now;
+        let timeout_ms = sent_ms + ANSWER_TIMEOUT_MS;
+        let lost = self.inbound_loss.get(name).is_some_and(|loss| loss.answers)
+            && status > CONNECTION_REFUSED;
+        let Some(worker) = self.workers.get_mut(name).filter(|_| !lost) else { return };
+        if worker.dead || !worker.awaits_answer || now > timeout_ms || now < worker.hung_until_ms {
+            if now >= timeout_ms && status == NO_ANSWER {
+                worker.awaits_answer = false;
+            }
+            return;
+        }
+        if status == NO_ANSWER && now < timeout_ms {
+            return;
+        }
+        worker.awaits_answer = false;
+        match status {
+            200 => {
+                let Ok(answer) = from_cbor::<ReportAnswer>(body) else { return };
+                if answer.token < worker.fencing_token {
+                    return;
+                }
+                worker.fencing_token = answer.token;
+                worker.lease_start_ms = worker.lease_start_ms.max(sent_ms);
+                self.execute_orders(name, answer.orders);
+            }
+            421 => self.follow_redirect(name, body),
+            _ => self.try_next_controller(name),
+        }
+    }
+
+    fn follow_redirect(&mut self, name: &str, body: &[u8]) {
+        let leader = from_cbor::<Redirect>(body).ok().and_then(|redirect| redirect.owner);
+        let leader = leader.and_then(|node| node.trim_start_matches('n').parse::<usize>().ok());
+        let worker = self.workers.get_mut(name).unwrap();
+        match leader {
+            Some(node) if node != worker.controller => {
+                worker.controller = node;
+                self.schedule_after(100, SimulationEvent::HeartbeatDue { machine: name.into() });
+            }
+            _ => {
+                self.try_next_controller(name);
+                if let Some(ms) = self.redirect_delay_ms {
+                    self.schedule_after(ms, SimulationEvent::HeartbeatDue { machine: name.into() });
+                }
+            }
+        }
+    }
+
+    fn try_next_controller(&mut self, name: &str) {
+        let nodes = self.nodes.len();
+        let worker = self.workers.get_mut(name).unwrap();
+        worker.controller = (worker.controller + 1) % nodes;
+    }
+
+    /// A controller's call arrives at a worker.
+    pub(super) fn on_worker_call(&mut self, name: &str, arrived: HeldCall) {
+        if self.inbound_loss.get(name).is_some_and(|loss| loss.orders) {
+            return self.count_lost_starts(name, &arrived);
+        }
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(name) else { return };
+        if worker.dead {
+            return;
+        }
+        if now < worker.hung_until_ms {
+            worker.queued_calls.push(arrived);
+            return;
+        }
+        self.expire_worker_lease(name);
+        let HeldCall { from, incarnation, call } = arrived;
+        let mut status = 200;
+        if call.target == "/orders" {
+            let request: OrdersRequest = from_cbor(&call.body).unwrap();
+            let worker = self.workers.get_mut(name).unwrap();
+            if request.token < worker.fencing_token || request.tenure != worker.agent_epoch {
+                status = 409;
+            } else {
+                worker.fencing_token = request.token;
+                self.execute_orders(name, request.orders);
+            }
+        }
+        let body = to_cbor(&self.heartbeat_of(name).unwrap());
+        let response = Response::new(status, body);
+        self.send_answer(from, incarnation, call.id, response, &Endpoint::Worker(name.into()));
+    }
+
+    fn count_lost_starts(&mut self, name: &str, lost: &HeldCall) {
+        let request = from_cbor::<OrdersRequest>(&lost.call.body);
+        let orders = request.map_or(Vec::new(), |request| request.orders);
+        let starts = orders.iter().filter(|order| matches!(order, Order::Start { .. })).count();
+        *self.lost_starts.entry(name.to_string()).or_default() += starts as u32;
+    }
+
+    fn execute_orders(&mut self, name: &str, mut orders: Vec<Order>) {
+        let now = self.now;
+        let worker = self.workers.get_mut(name).unwrap();
+        let hangs = |hang: &mut MidCallHang| orders.len() > hang.after_orders;
+        if let Some(hang) = worker.hang_mid_call.take_if(hangs) {
+            let agent_epoch = worker.agent_epoch;
+            let orders = orders.split_off(hang.after_orders);
+            worker.interrupted = InterruptedOrders { agent_epoch, orders };
+            worker.hung_until_ms = now + hang.for_ms;
+        }
+        for order in orders {
+            match order {
+                Order::Start { task, attempt } => self.start_task(name, task, attempt),
+                Order::Stop { task, attempt, .. } => self.stop_task(name, &task, attempt),
+                Order::Forget { task, attempt } => self.forget_task(name, &task, attempt),
+            }
+        }
+    }
+
+    fn stop_task(&mut self, name: &str, task: &str, attempt: u64) {
+        let worker = self.workers.get_mut(name).unwrap();
+        if let Some(held) = worker.tasks.get_mut(task) {
+            if held.attempt == attempt && held.is_live() {
+                held.status = TaskStatus::Exited;
+                held.cause = Some(Cause::Stopped);
+            }
+        }
+    }
+
+    fn forget_task(&mut self, name: &str, task: &str, attempt: u64) {
+        let worker = self.workers.get_mut(name).unwrap();
+        let exited = |held: &HeldTask| held.attempt == attempt && !held.is_live();
+        if worker.tasks.get(task).is_some_and(exited) {
+            worker.tasks.remove(task);
+            self.reach(Milestone::ExitCleared);
+        }
+    }
+
+    fn start_task(&mut self, name: &str, task: String, attempt: u64) {
+        let now = self.now;
+        let Some(spec) = self.jobs.get(job_of(&task)).cloned() else { return };
+        if let Some(held) = self.workers[name].tasks.get(&task) {
+            if held.attempt == attempt || held.is_live() {
+                return;
+            }
+        }
+        self.check_start(name, &task, &spec);
+        let ends_ms = now + self.remaining_ms(&spec, &task);
+        let job_fails = self.failing_jobs.get_mut(&spec.id).map(|failed| *failed += 1).is_some();
+        let images_are_fetched = self.fetch_gb_per_s.is_some();
+        let jobs = &self.jobs;
+        let worker = self.workers.get_mut(name).unwrap();
+        let used: f64 = worker
+            .live_tasks()
+            .filter_map(|(task, _)| jobs.get(job_of(task)))
+            .map(|j| j.cpus)
+            .sum();
+        let (status, cause) = if used + spec.cpus > worker.cpus + 1e-6 {
+            (TaskStatus::Exited, Some(Cause::NoRoom))
+        } else if worker.fails_all_tasks || job_fails {
+            (TaskStatus::Exited, Some(Cause::Error))
+        } else if worker.must_fetch(&spec, images_are_fetched) {
+            (TaskStatus::Fetching, None)
+        } else if spec.shape == Shape::Gang {
+            (TaskStatus::Waiting, None)
+        } else {
+            (TaskStatus::Running, None)
+        };
+        worker.tasks.insert(task.clone(), HeldTask { attempt, status, cause, ends_ms });
+        if status != TaskStatus::Exited {
+            let start = TaskStart { machine: name.into(), at_ms: now };
+            self.task_starts.entry(task).or_default().push(start);
+        }
+    }
+
+    /// How long a task still runs once it has its image: a result that exists is there at once,
+    /// and a replica runs on.
+    fn remaining_ms(&self, spec: &JobSpec, task: &str) -> u64 {
+        let index = task.rsplit_once('/').and_then(|(_, n)| n.parse::<u32>().ok());
+        let completed = self.completed_tasks.get(&spec.id);
+        let is_completed = index.is_some_and(|n| completed.is_some_and(|all| all.contains(&n)));
+        match (is_completed, spec.shape) {
+            (true, _) => 0,
+            (_, Shape::Service) => u64::MAX / 2,
+            _ => self.full_duration_ms(task),
+        }
+    }
+
+    /// How long a task runs in all.
+    fn full_duration_ms(&self, task: &str) -> u64 {
+        let durations = &self.task_duration_ms;
+        let duration = durations.get(task).or(durations.get(job_of(task)));
+        duration.copied().unwrap_or(DEFAULT_TASK_MS)
+    }
+
+    /// A worker whose lease has expired drops its tasks and begins a new agent epoch.
+    fn expire_worker_lease(&mut self, name: &str) {
+        let now = self.now;
+        let worker = self.workers.get_mut(name).unwrap();
+        if now > worker.lease_start_ms + worker.lease_ms {
+            worker.tasks.clear();
+            worker.agent_epoch += 1;
+            worker.lease_start_ms = now;
+        }
+    }
+
+    /// A worker's agent looks after its lease, calls that waited, images and tasks, and sends a
+    /// heartbeat if a task has changed.
+    pub(super) fn worker_step(&mut self, name: &str) {
+        let now = self.now;
+        let Some(worker) = self.workers.get(name) else { return };
+        if worker.dead {
+            return;
+        }
+        self.schedule_after(WORKER_STEP_MS, SimulationEvent::WorkerStep { machine: name.into() });
+        if now < self.workers[name].hung_until_ms {
+            return;
+        }
+        self.expire_worker_lease(name);
+        self.resume_after_hang(name);
+        let mut changed = self.fetch_images(name);
+        let tasks: Vec<String> = self.workers[name].tasks.keys().cloned().collect();
+        for task in tasks {
+            changed |= self.advance_task(name, &task);
+        }
+        if changed && !self.workers[name].awaits_answer {
+            self.schedule_after(10, SimulationEvent::HeartbeatDue { machine: name.into() });
+        }
+    }
+
+    /// Executes the orders of an interrupted call, if they are for the present agent epoch, and
+    /// answers the calls that arrived while the machine hung.
+    fn resume_after_hang(&mut self, name: &str) {
+        let worker = self.workers.get_mut(name).unwrap();
+        let interrupted = std::mem::take(&mut worker.interrupted);
+        if interrupted.agent_epoch == worker.agent_epoch {
+            self.execute_orders(name, interrupted.orders);
+        }
+        let queued = std::mem::take(&mut self.workers.get_mut(name).unwrap().queued_calls);
+        for call in queued {
+            self.on_worker_call(name, call);
+        }
+    }
+
+    /// A task runs on; whether its status has changed.
+    fn advance_task(&mut self, name: &str, task: &str) -> bool {
+        let now = self.now;
+        let held = self.workers[name].tasks[task].clone();
+        let spec = self.jobs[job_of(task)].clone();
+        self.check_not_aborted(name, task, &held);
+        let mut next = held.clone();
+        if spec.shape == Shape::Gang && held.is_live() {
+            let is_whole = self.gang_size(&spec, held.attempt) == spec.tasks;
+            if held.status == TaskStatus::Waiting && is_whole {
+                next.status = TaskStatus::Running;
+                next.ends_ms = now + self.full_duration_ms(task);
+            } else if held.status == TaskStatus::Running && !is_whole {
+                next.status = TaskStatus::Exited;
+                next.cause = Some(Cause::Peers);
+            }
+        }
+        if next.status == TaskStatus::Running && now >= next.ends_ms {
+            next.status = TaskStatus::Exited;
+            next.cause = Some(Cause::Done);
+            self.complete_task(&spec, task);
+        }
+        let changed = next.status != held.status;
+        if changed {
+            self.workers.get_mut(name).unwrap().tasks.insert(task.into(), next);
+        }
+        changed
+    }
+
+    /// Tasks of a gang's attempt that are alive or done, as the others notice it: a machine that
+    /// hangs is like a dead one.
+    fn gang_size(&self, spec: &JobSpec, attempt: u64) -> u32 {
+        let responsive = |worker: &&super::Worker| !worker.dead && worker.hung_until_ms <= self.now;
+        let tasks = self.workers.values().filter(responsive).flat_map(|worker| &worker.tasks);
+        let counts = |(task, held): &(&String, &HeldTask)| {
+            job_of(task) == spec.id
+                && held.attempt == attempt
+                && (held.is_live() || held.cause == Some(Cause::Done))
+        };
+        tasks.filter(counts).count() as u32
+    }
+
+    /// A task has run to its end; a gang is done with its first.
+    fn complete_task(&mut self, spec: &JobSpec, task: &str) {
+        let index: u32 = task.rsplit_once('/').unwrap().1.parse().unwrap();
+        self.completed_tasks.entry(spec.id.clone()).or_default().insert(index);
+        if spec.shape == Shape::Gang {
+            self.completed_tasks.insert(spec.id.clone(), (0..spec.tasks).collect());
+        }
+        if self.completed_tasks[&spec.id].len() == spec.tasks as usize {
+            self.on_last_task_ended(&spec.id);
+        }
+    }
+
+    /// Fetches the images that a machine's tasks wait for; whether a task has its image now.
+    fn fetch_images(&mut self, name: &str) -> bool {
+        let (now, rate) = (self.now, self.fetch_gb_per_s.unwrap_or(f64::INFINITY));
+        let jobs = &self.jobs;
+        let Some(worker) = self.workers.get_mut(name) else { return false };
+        let image_of = |task: &str| &jobs[job_of(task)].image;
+        let is_wanted = |image: &String| {
+            let waits = |(task, held): (&String, &HeldTask)| {
+                held.status == TaskStatus::Fetching && image_of(task) == image
+            };
+            worker.tasks.iter().any(waits)
+        };
+        // A fetch is given up when no task waits for it any more.
+        let open: Vec<String> =
+            worker.fetching_gb.keys().filter(|image| is_wanted(image)).cloned().collect();
+        worker.fetching_gb.retain(|image, _| open.contains(image));
+        let passed_s = (now - std::mem::replace(&mut worker.fetched_at_ms, now)) as f64 / 1e3;
+        let fetched_gb = passed_s * rate / open.len().max(1) as f64;
+        for image in open {
+            let Some(left_gb) = worker.fetching_gb.get_mut(&image) else { continue };
+            *left_gb -= fetched_gb;
+            if *left_gb <= 0.0 {
+                worker.fetching_gb.remove(&image);
+                worker.images.insert(image);
+            }
+        }
+        let is_ready = |(task, held): &(&String, &HeldTask)| {
+            held.status == TaskStatus::Fetching && worker.images.contains(image_of(task))
+        };
+        let ready = worker.tasks.iter().filter(is_ready);
+        let ready: Vec<String> = ready.map(|(task, _)| task.clone()).collect();
+        for task in &ready {
+            self.begin_after_fetch(name, task);
+        }
+        !ready.is_empty()
+    }
+
+    fn begin_after_fetch(&mut self, name: &str, task: &str) {
+        let spec = &self.jobs[job_of(task)];
+        let ends_ms = self.now + self.remaining_ms(spec, task);
+        let status = match spec.shape {
+            Shape::Gang => TaskStatus::Waiting,
+            _ => TaskStatus::Running,
+        };
+        let worker = self.workers.get_mut(name);
+        if let Some(held) = worker.and_then(|worker| worker.tasks.get_mut(task)) {
+            (held.status, held.ends_ms) = (status, ends_ms);
+        }
+    }
+}
+
+/// Address of a machine's agent.
+pub(super) fn addr_of(name: &str) -> String {
+    let n: u32 = name.trim_start_matches("vm-").parse().unwrap();
+    format!("10.2.{}.{}:9000", n / MACHINES_PER_NETWORK, n % MACHINES_PER_NETWORK + 1)
+}
+
+/// The machine at an address.
+pub(super) fn machine_of_addr(addr: &SocketAddr) -> String {
+    let ip = addr.ip().to_string();
+    let parts: Vec<u32> = ip.split('.').map(|part| part.parse().unwrap()).collect();
+    machine_name((parts[2] * MACHINES_PER_NETWORK + parts[3] - 1) as usize)
+}
--- /dev/null
+++ b/crates/core/tests/simulation/large_jobs.rs
@@ -0,0 +1,85 @@
+//! Wide jobs that must start while small jobs keep arriving.
+
+use crate::cluster::{job, job_id, Cluster};
+use quartzgate_wire::msg::{JobSpec, Shape};
+
+/// A cluster whose machines stay, and that gets no others.
+fn settled_cluster(workers: usize, seed: u64) -> Cluster {
+    let mut cluster = Cluster::new(3, workers, 0.0, seed);
+    cluster.keep_idle_machines = true;
+    cluster.restart_all_controllers();
+    cluster.run_for_ms(2_500);
+    cluster
+}
+
+/// A job each of whose tasks takes a whole machine.
+fn whole_machine_job(n: u32, shape: Shape, tasks: u32) -> JobSpec {
+    JobSpec { cpus: 8.0, estimate_s: 6.0, ..job(&job_id(n), shape, tasks) }
+}
+
+/// Submits a large job while small jobs arrive faster than they can run; returns how long the
+/// large job waited.
+fn wait_among_small_jobs_ms(
+    cluster: &mut Cluster,
+    large: &JobSpec,
+    shape: Shape,
+    every_ms: u64,
+) -> u64 {
+    cluster.task_duration_ms = (0..2_000).map(|n| (job_id(n), 6_000)).collect();
+    for n in 0..16 {
+        cluster.submit(n as usize % 3, &whole_machine_job(n, shape, 1));
+    }
+    cluster.run_for_ms(4_000);
+    cluster.submit(0, large);
+    let (began, mut n) = (cluster.now, 16);
+    let begun = |cluster: &Cluster| {
+        (0..large.tasks).all(|n| cluster.task_starts.contains_key(&format!("{}/{n}", large.id)))
+    };
+    while !begun(cluster) {
+        assert!(cluster.now < began + 240_000, "{} of {:?} has not begun", large.id, large.shape);
+        cluster.submit(n as usize % 3, &whole_machine_job(n, shape, 1));
+        cluster.run_for_ms(every_ms);
+        n += 1;
+    }
+    cluster.now - began
+}
+
+/// A gang that needs most machines starts although gangs of one task arrive faster than they can
+/// run, alone and as one of three wide gangs, none of which holds what another lacks. Planning
+/// gangs repeatedly on the same capacity does not use up the writes.
+#[test]
+fn wide_gang_starts_under_a_stream_of_small_gangs() {
+    for case in 0..6u64 {
+        let mut cluster = settled_cluster(8, 12_000 + case);
+        let wide =
+            |n: u32| whole_machine_job(5_000 + n, Shape::Gang, if case % 2 == 0 { 6 } else { 8 });
+        if case >= 4 {
+            cluster.submit_until_accepted(&wide(1));
+            cluster.submit_until_accepted(&wide(2));
+        }
+        let (writes, starts) = (cluster.state.writes, cluster.task_starts.len());
+        let waited = wait_among_small_jobs_ms(&mut cluster, &wide(0), Shape::Gang, 600);
+        let (writes, starts) = (cluster.state.writes - writes, cluster.task_starts.len() - starts);
+        assert!(waited < 120_000, "case {case}: {waited} ms");
+        assert!(writes < 40 + 8 * starts as u64, "case {case}: {writes} writes, {starts} starts");
+        cluster.run_until_done(&wide(0).id, 60_000);
+        cluster.assert_no_accepted_job_is_lost();
+    }
+}
+
+/// A wide array and a service with `spread` start although small jobs of the same priority would
+/// always finish sooner.
+#[test]
+fn wide_arrays_and_services_start_under_a_stream_of_small_jobs() {
+    for case in 0..4u64 {
+        let mut cluster = settled_cluster(8, 12_100 + case);
+        let shape = [Shape::Array, Shape::Service][case as usize % 2];
+        let mut large = whole_machine_job(5_000, shape, 8);
+        large.rank = whole_machine_job(0, Shape::Array, 1).rank;
+        large.spread = shape == Shape::Service;
+        cluster.task_duration_ms.insert(large.id.clone(), 30_000);
+        let waited = wait_among_small_jobs_ms(&mut cluster, &large, Shape::Array, 700);
+        assert!(waited < 120_000, "case {case}: {waited} ms");
+        cluster.assert_no_accepted_job_is_lost();
+    }
+}
--- /dev/null
+++ b/crates/core/tests/simulation/partitions.rs
@@ -0,0 +1,245 @@
+//! Network partitions between controllers, zones, workers and the state service.
+
+use crate::cluster::{job, Cluster, LinkFault, CANCEL_MS};
+use quartzgate_wire::msg::Shape;
+
+/// Partitions the leader, with two workers whose leases it renews, from everybody else; returns
+/// it.
+fn partition_leader_with_two_workers(cluster: &mut Cluster) -> usize {
+    let old = cluster.leader().unwrap();
+    let (near, far) = (["vm-000000", "vm-000001"], ["vm-000002", "vm-000003"]);
+    cluster.cut_from_state_service(old, LinkFault::Hold);
+    for n in (0..3).filter(|n| *n != old) {
+        cluster.cut_controllers(old, n, LinkFault::Hold);
+        near.iter().for_each(|m| cluster.cut_from_worker(n, m.to_string(), LinkFault::Hold));
+    }
+    far.iter().for_each(|m| cluster.cut_from_worker(old, m.to_string(), LinkFault::Hold));
+    cluster.run_until_leader_changes(20_000, old);
+    old
+}
+
+/// Lease bound: an old leader that reaches only some workers renews their leases for a while, but
+/// tasks aborted on the other side are gone in time, although the cloud takes no machine back.
+#[test]
+fn aborted_tasks_stop_when_the_old_leader_is_partitioned_with_workers() {
+    for seed in 0..6 {
+        let mut cluster = Cluster::new(3, 4, 0.0, 200 + seed);
+        cluster.scale_in_disabled = true;
+        cluster.run_for_ms(500);
+        cluster.task_duration_ms.insert("wk-000001".into(), 600_000);
+        cluster.submit_until_accepted(&job("wk-000001", Shape::Array, 6));
+        cluster.run_until_running(5_000, "wk-000001", 6);
+        partition_leader_with_two_workers(&mut cluster);
+        cluster.abort_until_confirmed("wk-000001");
+        // The cluster records a violation if a task is on a machine past `cancel_s`.
+        cluster.run_for_ms(CANCEL_MS + 10_000);
+        assert!(cluster.live_tasks("wk-000001").is_empty());
+        cluster.heal_links();
+        cluster.run_for_ms(20_000);
+        cluster.check_invariants();
+    }
+}
+
+/// Tasks that an old leader may still keep alive are started nowhere else before its lease bound
+/// and one worker lease have passed.
+#[test]
+fn new_leader_waits_for_the_lease_bound_of_a_partitioned_leader() {
+    for seed in 0..6 {
+        let mut cluster = Cluster::new(3, 4, 0.0, 230 + seed);
+        cluster.scale_in_disabled = true;
+        cluster.run_for_ms(500);
+        cluster.task_duration_ms.insert("wk-000001".into(), 600_000);
+        cluster.submit_until_accepted(&job("wk-000001", Shape::Array, 4));
+        cluster.run_until_running(5_000, "wk-000001", 4);
+        partition_leader_with_two_workers(&mut cluster);
+        cluster.run_for_ms(CANCEL_MS + 15_000);
+        cluster.heal_links();
+        cluster.run_until_running(60_000, "wk-000001", 4);
+        cluster.check_invariants();
+    }
+}
+
+/// `spread`: replicas in a lost zone count for as long as they may still run, and the others never
+/// take more than half of the places in one zone.
+#[test]
+fn spread_limit_holds_when_a_zone_is_unreachable() {
+    let mut cluster = Cluster::new(3, 6, 0.0, 900);
+    cluster.run_for_ms(500);
+    let mut spec = job("wk-000001", Shape::Service, 5);
+    spec.spread = true;
+    cluster.submit_until_accepted(&spec);
+    cluster.run_until_running(5_000, "wk-000001", 5);
+    let zone_a: Vec<String> = cluster
+        .workers
+        .iter()
+        .filter(|(_, worker)| worker.zone == "a")
+        .map(|(n, _)| n.clone())
+        .collect();
+    for n in 0..3 {
+        zone_a.iter().for_each(|m| cluster.cut_from_worker(n, m.clone(), LinkFault::Drop));
+    }
+    cluster.run_for_ms(30_000);
+    cluster.scale_out_disabled = false;
+    let b = cluster
+        .live_tasks("wk-000001")
+        .iter()
+        .filter(|live| cluster.workers[&live.machine].zone == "b")
+        .count();
+    assert!(b <= 3);
+    cluster.heal_links();
+    cluster.run_until_running(30_000, "wk-000001", 5);
+    cluster.check_invariants();
+}
+
+/// Partitions the leader and the machines of zone a from the other controllers and zone b.
+fn partition_zones(cluster: &mut Cluster, leader: usize) {
+    let zones: Vec<(String, String)> =
+        cluster.workers.iter().map(|(n, worker)| (n.clone(), worker.zone.clone())).collect();
+    for n in 0..3 {
+        let far = if n == leader { "b" } else { "a" };
+        if n != leader {
+            cluster.cut_controllers(leader, n, LinkFault::Drop);
+        }
+        for (m, _) in zones.iter().filter(|(_, z)| z == far) {
+            cluster.cut_from_worker(n, m.clone(), LinkFault::Drop);
+        }
+    }
+}
+
+/// While two zones are partitioned, orders and heartbeats for machines that the leader cannot
+/// reach pass through the state service: new jobs run in both zones, an abort ends them in both,
+/// and nothing runs twice.
+#[test]
+fn new_jobs_run_in_both_zones_during_a_zone_partition() {
+    for seed in 0..6 {
+        let mut cluster = Cluster::new(3, 6, 0.0, 980 + seed);
+        cluster.run_for_ms(2_000);
+        let leader = cluster.leader().unwrap();
+        cluster.task_duration_ms.insert("wk-000001".into(), 4_000);
+        cluster.task_duration_ms.insert("wk-000002".into(), 600_000);
+        cluster.submit_until_accepted(&job("wk-000001", Shape::Array, 12));
+        cluster.run_until_running(6_000, "wk-000001", 12);
+        partition_zones(&mut cluster, leader);
+        cluster.submit_until_accepted(&job("wk-000002", Shape::Array, 12));
+        cluster.run_until_running(25_000, "wk-000002", 12);
+        cluster.run_until_done("wk-000001", 10_000);
+        if seed % 2 == 0 {
+            cluster.abort_until_confirmed("wk-000002");
+            cluster.run_for_ms(CANCEL_MS);
+            assert!(cluster.live_tasks("wk-000002").is_empty());
+        }
+        cluster.heal_links();
+        cluster.run_for_ms(20_000);
+        cluster.check_invariants();
+    }
+}
+
+/// Lease proxies: while two zones are partitioned, tasks in the zone that the leader cannot reach
+/// run on, an abort still ends them in time, and nothing runs twice afterwards.
+#[test]
+fn running_tasks_survive_a_zone_partition() {
+    for seed in 0..6 {
+        let mut cluster = Cluster::new(3, 6, 0.0, 950 + seed);
+        cluster.run_for_ms(2_000);
+        let leader = cluster.leader().unwrap();
+        // The leader reaches only zone a, the others only zone b.
+        cluster.submit_until_accepted(&job("wk-000001", Shape::Service, 4));
+        cluster.submit_until_accepted(&job("wk-000002", Shape::Service, 8));
+        cluster.run_until(8_000, "all tasks run", |cluster| {
+            cluster.live_tasks("wk-000001").len() + cluster.live_tasks("wk-000002").len() == 12
+        });
+        partition_zones(&mut cluster, leader);
+        let starts: usize = cluster.task_starts.values().map(Vec::len).sum();
+        cluster.run_for_ms(10_000);
+        cluster.abort_until_confirmed("wk-000002");
+        cluster.run_for_ms(CANCEL_MS + 3_000);
+        assert!(cluster.live_tasks("wk-000002").is_empty());
+        assert_eq!(cluster.live_tasks("wk-000001").len(), 4, "seed {seed}");
+        let now: usize = cluster.task_starts.values().map(Vec::len).sum();
+        assert_eq!(starts, now, "seed {seed}: no task had to start again");
+        cluster.heal_links();
+        cluster.run_for_ms(20_000);
+        assert_eq!(cluster.live_tasks("wk-000001").len(), 4);
+        cluster.check_invariants();
+    }
+}
+
+/// No leader is reachable for the user: a follower records the job itself, and the leader finds
+/// the record. An abort recorded by a follower reaches the leader as well.
+#[test]
+fn job_accepted_by_a_follower_runs_when_the_leader_is_unreachable() {
+    let mut cluster = Cluster::new(3, 4, 0.0, 1000);
+    cluster.run_for_ms(1_500);
+    let leader = cluster.leader().unwrap();
+    let other = (leader + 1) % 3;
+    for n in (0..3).filter(|n| *n != leader) {
+        cluster.cut_controllers(leader, n, LinkFault::Drop);
+    }
+    cluster.run_for_ms(4_000);
+    let a = cluster.submit(other, &job("wk-000001", Shape::Array, 3));
+    cluster.run_for_ms(3_000);
+    assert_eq!(cluster.status_code(a), 201);
+    cluster.run_until_done("wk-000001", 30_000);
+    // An abort recorded by a follower reaches the leader as well.
+    cluster.task_duration_ms.insert("wk-000002".into(), 300_000);
+    cluster.submit(leader, &job("wk-000002", Shape::Array, 3));
+    cluster.run_until_running(5_000, "wk-000002", 3);
+    let a = cluster.abort(other, "wk-000002");
+    cluster.run_for_ms(3_000);
+    assert_eq!(cluster.status_code(a), 200);
+    cluster.run_until(5_000, "all tasks are gone", |cluster| {
+        cluster.live_tasks("wk-000002").is_empty()
+    });
+    cluster.check_invariants();
+}
+
+/// The leader cannot reach any worker, but its siblings can: running tasks keep running in every
+/// zone, and new jobs start through the siblings.
+#[test]
+fn orders_are_relayed_when_the_leader_cannot_reach_workers() {
+    for how in [LinkFault::Drop, LinkFault::Hold] {
+        let mut cluster = Cluster::new(3, 6, 0.0, 1700);
+        cluster.run_for_ms(500);
+        cluster.task_duration_ms.insert("wk-000001".into(), 600_000);
+        cluster.submit_until_accepted(&job("wk-000001", Shape::Array, 6));
+        cluster.run_until_running(5_000, "wk-000001", 6);
+        let leader = cluster.leader().unwrap();
+        let names: Vec<String> = cluster.workers.keys().cloned().collect();
+        names.iter().for_each(|n| cluster.cut_from_worker(leader, n.clone(), how));
+        cluster.run_for_ms(12_000);
+        cluster.submit_until_accepted(&job("wk-000002", Shape::Array, 6));
+        cluster.run_until_done("wk-000002", 12_000);
+        assert_eq!((cluster.leader(), cluster.workers.len()), (Some(leader), 6));
+        let kept =
+            cluster.task_starts.iter().filter(|(t, s)| t.starts_with("wk-000001/") && s.len() == 1);
+        assert_eq!(kept.count(), 6, "no running task was started again");
+        let abort = cluster.abort(leader, "wk-000001");
+        cluster.run_for_ms(3_000);
+        assert_eq!((cluster.status_code(abort), cluster.live_tasks("wk-000001").len()), (200, 0));
+        cluster.heal_links();
+        cluster.run_for_ms(10_000);
+        cluster.check_invariants();
+    }
+}
+
+/// Lease proxies (invariant 9): the leader presumes no machine empty whose lease another
+/// controller may be renewing, even if no heartbeat of it reaches the leader.
+#[test]
+fn proxied_machine_is_not_presumed_empty_when_the_leader_cannot_reach_it() {
+    let mut cluster = Cluster::new(3, 2, 0.0, 1740);
+    cluster.run_for_ms(500);
+    cluster.task_duration_ms.insert("wk-000001".into(), 600_000);
+    cluster.submit_until_accepted(&job("wk-000001", Shape::Array, 1));
+    cluster.run_until_running(5_000, "wk-000001", 1);
+    let leader = cluster.leader().unwrap();
+    let (proxy, other) = ((leader + 1) % 3, (leader + 2) % 3);
+    let holder = cluster.live_tasks("wk-000001")[0].machine.clone();
+    cluster.state.rejects_mailboxes = true;
+    cluster.workers.get_mut(&holder).unwrap().controller = proxy;
+    cluster.cut_controllers(leader, proxy, LinkFault::Drop);
+    cluster.cut_from_worker(leader, holder.clone(), LinkFault::Drop);
+    cluster.cut_from_worker(other, holder, LinkFault::Drop);
+    cluster.run_for_ms(40_000);
+    assert_eq!((cluster.leader(), cluster.live_tasks("wk-000001").len()), (Some(leader), 1));
+    cluster.check_invariants();
+}
--- /dev/null
+++ b/crates/core/tests/simulation/race_conditions.rs
@@ -0,0 +1,1090 @@
+//! Events that race each other within milliseconds: stale heartbeats and new leaders, queries and
+//! completions, aborts and leadership changes, writes of which only the answer is lost.
+
+use crate::cluster::{
+    job, job_id, machine_name, with_dependencies, Cluster, Endpoint, InboundLoss, LinkFault,
+    RandomDelay, StateLimits, UnansweredWrite, WriteFault, CANCEL_MS, LEASE_MS, REPORT_MS,
+};
+use quartzgate_wire::msg::{JobSpec, JobStatus, Rank, Shape};
+use quartzgate_wire::to_cbor;
+
+/// Proof that a task is on no other machine (invariant 4): a stale heartbeat of a machine that
+/// held the task before reaches the next leader first, and claims that the task runs there. The
+/// machine that really holds it has its lease renewed by a proxy under the new leader's token, and
+/// its heartbeats arrive through the mailbox.
+#[test]
+fn stale_heartbeat_proves_nothing_about_other_machines_after_failover() {
+    let mut kept = 0;
+    for case in 0..48u64 {
+        let mut cluster = Cluster::activated(4, 0.0, 14_000 + case, 1_000);
+        cluster.scale_in_disabled = true;
+        cluster.task_duration_ms = [(job_id(1), 600_000)].into();
+        cluster.submit_until_accepted(&job(&job_id(1), Shape::Array, 1));
+        cluster.run_until_running(20_000, &job_id(1), 1);
+        cluster.run_for_ms(2 * REPORT_MS);
+        let first = cluster.live_tasks(&job_id(1))[0].machine.clone();
+        let old = to_cbor(&cluster.heartbeat_of(&first).unwrap());
+        cluster.reboot_machine(&first, 2 * LEASE_MS);
+        cluster.run_until(60_000, "the task runs elsewhere", |cluster| {
+            cluster.live_tasks(&job_id(1)).first().is_some_and(|live| live.machine != first)
+        });
+        cluster.run_for_ms(2 * LEASE_MS);
+        let second = cluster.live_tasks(&job_id(1))[0].machine.clone();
+        // The first machine is unreachable for a while.
+        cluster.lost_heartbeats.insert(first.clone());
+        cluster.inbound_loss.insert(first.clone(), InboundLoss { answers: false, orders: true });
+        let (leader, epoch) = (cluster.leader().unwrap(), cluster.epoch_revision());
+        cluster.crash_for_ms(leader, 60_000);
+        // The second machine reaches only a controller that will not lead.
+        for n in 0..3 {
+            cluster.cut_from_worker(n, second.clone(), LinkFault::Drop);
+        }
+        cluster.run_until(20_000, "another controller leads", |cluster| {
+            cluster.epoch_revision() > epoch
+        });
+        let successor = cluster.leader().unwrap();
+        let proxy = 3 - leader - successor;
+        cluster.heal_link(&Endpoint::Controller(proxy), &Endpoint::Worker(second.clone()));
+        cluster.cut_controllers(successor, proxy, LinkFault::Drop);
+        (0..40).for_each(|n| {
+            cluster.deliver_duplicate_after(&old, successor, 1 + case * 29 % 900 + n * 25)
+        });
+        let before = cluster.workers[&second].fencing_token;
+        cluster.run_for_ms(2 * REPORT_MS + case * 41 % (2 * REPORT_MS));
+        cluster.lost_heartbeats.clear();
+        cluster.inbound_loss.clear();
+        cluster.run_for_ms(LEASE_MS);
+        kept += u64::from(cluster.workers[&second].fencing_token > before);
+        cluster.heal_links();
+        cluster.check_invariants();
+        cluster.run_until_running(60_000, &job_id(1), 1);
+        cluster.assert_recovered();
+    }
+    assert!(kept > 24, "{kept} proxied under the new token");
+}
+
+/// Jobs of many kinds: small ones whose tasks end apart, one of two chunks, a service, a gang, a
+/// chain of three.
+fn mixed_jobs() -> Vec<JobSpec> {
+    let mut out: Vec<JobSpec> = (1..9).map(|n| job(&job_id(n), Shape::Array, 1 + n % 3)).collect();
+    let mut many = job(&job_id(9), Shape::Array, 70);
+    (many.cpus, many.memory_gb) = (0.02, 0.02);
+    out.push(many);
+    let mut service = job(&job_id(10), Shape::Service, 3);
+    service.spread = true;
+    out.push(service);
+    out.push(job(&job_id(11), Shape::Gang, 2));
+    out.push(with_dependencies(job(&job_id(12), Shape::Array, 1), &[&job_id(1)]));
+    out.push(with_dependencies(job(&job_id(13), Shape::Array, 2), &[&job_id(12), &job_id(2)]));
+    out
+}
+
+/// The users of a mixed load, with their last requests.
+struct MixedLoad {
+    case: u64,
+    jobs: Vec<JobSpec>,
+    submissions: Vec<Option<usize>>,
+    aborts: Vec<Option<usize>>,
+}
+
+/// Turns between the first submissions of two jobs.
+const TURNS_PER_JOB: u64 = 5;
+
+impl MixedLoad {
+    fn new(case: u64) -> MixedLoad {
+        let jobs = mixed_jobs();
+        let none = vec![None; jobs.len()];
+        MixedLoad { case, jobs, submissions: none.clone(), aborts: none }
+    }
+
+    /// The user means to abort the job.
+    fn is_aborted(&self, at: usize) -> bool {
+        (at as u64 + self.case).is_multiple_of(3)
+    }
+
+    /// One turn of a job's user: submits, aborts and queries as it is due.
+    fn act(&mut self, cluster: &mut Cluster, at: usize, turn: u64) {
+        let is_answered = |cluster: &Cluster, request: Option<usize>| {
+            request.is_some_and(|request| matches!(cluster.status_code(request), 200 | 201))
+        };
+        let spec = &self.jobs[at];
+        let first_turn = at as u64 * TURNS_PER_JOB;
+        let node = (at + turn as usize / 10 + self.case as usize) % 3;
+        let is_due = turn >= first_turn && (turn - first_turn).is_multiple_of(12);
+        if is_due && !is_answered(cluster, self.submissions[at]) {
+            self.submissions[at] = Some(cluster.submit(node, spec));
+        }
+        // The abort comes at once, while the job runs, or near its end.
+        let abort_turn = first_turn + [0, 12, 24, 60][(at + self.case as usize) % 4];
+        let is_due = turn >= abort_turn && (turn - abort_turn).is_multiple_of(10);
+        if self.is_aborted(at) && is_due && !is_answered(cluster, self.aborts[at]) {
+            let is_accepted = cluster.observed_status.contains_key(&spec.id);
+            self.aborts[at] = is_accepted.then(|| cluster.abort((node + 1) % 3, &spec.id));
+        }
+        if turn % 7 == at as u64 % 7 && cluster.observed_status.contains_key(&spec.id) {
+            cluster.query((node + turn as usize) % 3, &spec.id);
+        }
+    }
+
+    /// Users insist on what they still want.
+    fn insist(&self, cluster: &mut Cluster) {
+        for (at, spec) in self.jobs.iter().enumerate() {
+            let dependencies = cluster.transitive_dependencies(&spec.id);
+            let is_aborted = |id: &String| {
+                self.jobs.iter().position(|job| job.id == *id).is_some_and(|at| self.is_aborted(at))
+            };
+            if self.is_aborted(at) {
+                if cluster.observed_status.contains_key(&spec.id) {
+                    cluster.abort_until_confirmed(&spec.id);
+                }
+            } else if !dependencies.iter().any(is_aborted) {
+                cluster.submit_until_accepted(spec);
+            }
+        }
+    }
+}
+
+/// Accepted jobs that were not aborted and are not done, or don't run if they are services.
+fn unserved_jobs(cluster: &Cluster) -> Vec<String> {
+    let accepted = cluster.observed_status.keys();
+    let open = accepted.filter(|id| !cluster.abort_was_requested(id) && !cluster.is_served(id));
+    open.cloned().collect()
+}
+
+/// A mixed load: one submission each half second, at any controller, repeated until it is
+/// answered; each third job is aborted once it is accepted, at once or later. `inject` is called
+/// each tenth of a second for half a minute; then all that was not aborted is done or runs.
+fn run_mixed_load(cluster: &mut Cluster, case: u64, mut inject: impl FnMut(&mut Cluster, u64)) {
+    let mut load = MixedLoad::new(case);
+    cluster.scale_out_disabled = false;
+    for n in 1..9 {
+        cluster.task_duration_ms.insert(format!("{}/0", job_id(n)), 1_500 + u64::from(n) * 900);
+        cluster.task_duration_ms.insert(format!("{}/1", job_id(n)), 14_000 + u64::from(n) * 500);
+    }
+    for turn in 0..300u64 {
+        inject(cluster, turn);
+        (0..load.jobs.len()).for_each(|at| load.act(cluster, at, turn));
+        cluster.run_for_ms(100);
+    }
+    cluster.clear_all_faults();
+    cluster.run_for_ms(2 * LEASE_MS);
+    load.insist(cluster);
+    let until = cluster.now + 120_000;
+    while cluster.now < until && !unserved_jobs(cluster).is_empty() {
+        for id in unserved_jobs(cluster) {
+            cluster.query((cluster.now / 500) as usize % 3, &id);
+        }
+        cluster.run_for_ms(500);
+    }
+    let (seed, unserved, violations) = (cluster.seed, unserved_jobs(cluster), &cluster.violations);
+    assert!(unserved.is_empty(), "seed {seed}: {unserved:?} not done; {violations:?}");
+    cluster.assert_recovered();
+}
+
+/// Invariants 12, 20, 22, 28: users query all controllers and repeat the submission within
+/// milliseconds of an acceptance, a completion and a confirmed abort, while the leader crashes,
+/// hands over, is partitioned from the others or the state service, or is about to lose the lead;
+/// some abort at once, some at the moment of completion.
+#[test]
+fn answers_never_go_back_under_immediate_queries_and_leader_faults() {
+    let mut accepted = 0;
+    for case in 0..40u64 {
+        let mut cluster = Cluster::activated(8, 0.0, 14_200 + case, 1_000);
+        cluster.restart_with_job_batches(case % 2 == 0);
+        (cluster.query_on_change, cluster.abort_at_completion) = (true, 0.3);
+        run_mixed_load(&mut cluster, case, |cluster, turn| {
+            let leader = cluster.leader().unwrap_or(0);
+            match case / 2 % 5 {
+                // The leader crashes repeatedly, for a moment or longer.
+                0 if turn % 60 == 20 + case % 7 => {
+                    cluster.crash_for_ms(leader, [200, 3_500][case as usize % 2])
+                }
+                // The leader is partitioned from one or both of the others.
+                1 if turn % 100 == 15 + case % 9 => {
+                    cluster.cut_controllers(leader, (leader + 1) % 3, LinkFault::Drop);
+                    if case % 4 == 0 {
+                        cluster.cut_controllers(leader, (leader + 2) % 3, LinkFault::Hold);
+                    }
+                }
+                // The state service refuses the leader until it has lost the lead.
+                2 if turn % 100 == 15 + case % 9 => {
+                    cluster.state.refused_nodes.insert(leader);
+                }
+                // Answers arrive late and out of order.
+                3 => {
+                    cluster.state.extra_latency_ms =
+                        if turn % 100 > 20 { [150, 700][case as usize % 2] } else { 0 }
+                }
+                4 if turn % 60 == 10 => cluster.stall(leader, 1_000 + case * 90),
+                _ => {}
+            }
+            if turn % 100 == 60 {
+                cluster.heal_links();
+                cluster.state.refused_nodes.clear();
+            }
+        });
+        accepted += cluster.observed_status.len();
+    }
+    assert!(accepted > 400, "{accepted} were accepted");
+}
+
+/// Invariants 2, 9, 12, 16, 24 to 28: for every kind of write only the answer is lost, or the
+/// write is applied late, each with and without a crash of its writer: acceptances, completions,
+/// aborts, compactions, placements, batches, the epoch record, member keys, proxy claims,
+/// mailboxes, handoff entries and their deletions.
+#[test]
+fn jobs_complete_when_any_kind_of_write_goes_unanswered() {
+    const KINDS: [&str; 9] = [
+        "jobs/",
+        "shares/",
+        "pages/",
+        "view",
+        "view/leader",
+        "members/",
+        "view/keeper/",
+        "view/post/",
+        "inbox/",
+    ];
+    let mut met = std::collections::BTreeMap::new();
+    for case in 0..72u64 {
+        let prefix = KINDS[case as usize % KINDS.len()];
+        let how = case / KINDS.len() as u64;
+        let mut cluster = Cluster::activated(8, 0.0, 14_300 + case, 1_000);
+        cluster.restart_with_job_batches(prefix == "pages/" || case % 4 == 0);
+        cluster.query_on_change = case % 2 == 0;
+        let mut left = 0;
+        run_mixed_load(&mut cluster, case, |cluster, turn| {
+            if turn % 50 == 10 {
+                let late = 2_000 + case * 97 % 9_000;
+                let what = if how.is_multiple_of(2) {
+                    UnansweredWrite::AppliedAtOnce
+                } else {
+                    UnansweredWrite::AppliedAfterMs(late)
+                };
+                cluster.state.write_faults =
+                    vec![WriteFault { key_prefix: prefix, outcome: what, remaining: 3 }];
+            }
+            // These keys are written in an election and by a controller that has restarted.
+            let elects = matches!(prefix, "view" | "view/leader" | "members/");
+            if elects && turn % 50 == 12 {
+                let leader = cluster.leader().unwrap_or(0);
+                cluster.crash_for_ms(leader, [200, 3_500][(how % 2) as usize]);
+            }
+            // What followers and proxies write by themselves requires an unreachable leader.
+            let needs_unreachable_leader =
+                matches!(prefix, "inbox/" | "view/keeper/" | "view/post/");
+            if needs_unreachable_leader && turn == 20 {
+                let leader = cluster.leader().unwrap_or(0);
+                for n in (0..3).filter(|n| *n != leader) {
+                    cluster.cut_controllers(leader, n, LinkFault::Drop);
+                }
+                (0..4).for_each(|m| {
+                    cluster.cut_from_worker(leader, machine_name(m), LinkFault::Drop)
+                });
+            }
+            let open = cluster.state.write_faults.first().map_or(3, |f| f.remaining);
+            // The writer crashes before it can know the outcome.
+            if open < 3 && left == 3 && how / 2 % 2 == 1 {
+                let who = cluster.leader().unwrap_or(0);
+                cluster.crash_for_ms(who, [200, 4_000][case as usize % 2]);
+            }
+            *met.entry(prefix).or_insert(0u32) += u32::from(open < 3 && left == 3);
+            left = open;
+        });
+    }
+    println!("unanswered transactions by key prefix: {met:?}");
+    for prefix in KINDS {
+        assert!(met.get(prefix).is_some_and(|n| *n > 0), "{prefix}: {met:?}");
+    }
+}
+
+/// Team quotas (invariant 10) while everything is aborted and submitted again at the limit, the
+/// machines of the aborted tasks hang or are unreachable, and the leader changes: capacity is free
+/// again when a task is proven gone, not before, and is then used.
+#[test]
+fn quota_holds_when_aborted_tasks_hang_during_failover() {
+    for case in 0..40u64 {
+        // The quota is of CPUs or of GPUs.
+        let gpus = case % 4 == 3;
+        let mut cluster =
+            Cluster::activated(8, if gpus { 0.0 } else { 24.0 }, 14_400 + case, 1_000);
+        if gpus {
+            (cluster.machine_gpus, cluster.team_gpu_limit) = (2.0, 6.0);
+            cluster.restart_all_controllers();
+            cluster.run_until(20_000, "a controller leads", |cluster| cluster.leader().is_some());
+            cluster.run_for_ms(3_000);
+        }
+        let spec = |n: u32| {
+            let mut spec = job(&job_id(n), Shape::Array, 2);
+            spec.gpus = f64::from(u8::from(gpus));
+            spec
+        };
+        cluster.scale_out_disabled = false;
+        cluster.scale_in_disabled = case % 2 == 0;
+        cluster.task_duration_ms = (1..40).map(|n| (job_id(n), 600_000)).collect();
+        (1..4).for_each(|n| cluster.submit_until_accepted(&spec(n)));
+        cluster.run_until(20_000, "the quota is used up", |cluster| {
+            (1..4).all(|n| cluster.live_tasks(&job_id(n)).len() == 2)
+        });
+        // These jobs wait for the capacity that is to become free.
+        (4..7).for_each(|n| cluster.submit_until_accepted(&spec(n)));
+        let held: Vec<String> =
+            (1..4).flat_map(|n| cluster.live_tasks(&job_id(n))).map(|live| live.machine).collect();
+        let leader = cluster.leader().unwrap();
+        for (n, m) in held.iter().enumerate() {
+            match (n as u64 + case) % 3 {
+                0 => cluster.hang_machine(m, 1_000 + case * 190),
+                1 => (0..3).for_each(|n| cluster.cut_from_worker(n, m.clone(), LinkFault::Hold)),
+                _ => {}
+            }
+        }
+        let cancels = |cluster: &mut Cluster| {
+            for n in 1..4 {
+                cluster.abort(n as usize % 3, &job_id(n));
+            }
+        };
+        match case / 3 % 4 {
+            0 => {
+                cancels(&mut cluster);
+                cluster.run_for_ms(case * 7);
+                cluster.crash_for_ms(leader, [200, 5_000][case as usize % 2]);
+            }
+            1 => {
+                cluster.crash_for_ms(leader, 200);
+                cluster.run_for_ms(case * 60);
+                cancels(&mut cluster);
+            }
+            2 => {
+                cluster.state.refused_nodes.insert(leader);
+                cluster.run_for_ms(case * 80);
+                cancels(&mut cluster);
+            }
+            _ => cancels(&mut cluster),
+        }
+        cluster.run_for_ms(LEASE_MS);
+        cluster.state.refused_nodes.clear();
+        (1..4).for_each(|n| cluster.abort_until_confirmed(&job_id(n)));
+        cluster.run_for_ms(LEASE_MS);
+        cluster.heal_links();
+        cluster.run_for_ms(CANCEL_MS);
+        cluster.scale_in_disabled = false;
+        cluster.run_until(90_000, "the waiting jobs run", |cluster| {
+            (4..7).all(|n| cluster.live_tasks(&job_id(n)).len() == 2)
+        });
+        cluster.assert_recovered();
+    }
+}
+
+/// Invariants 1, 8, 9, 12, 29: aborts are requested at the old, the new and a third controller at
+/// every moment of a leadership change, which is caused by a crash, a lost lease or a stall, and
+/// goes from one controller to another and back.
+#[test]
+fn aborts_take_effect_during_leadership_changes() {
+    let mut back = 0;
+    for case in 0..60u64 {
+        let mut cluster = Cluster::activated(8, 0.0, 14_500 + case, 1_000);
+        cluster.scale_out_disabled = false;
+        cluster.scale_in_disabled = case % 2 == 0;
+        cluster.task_duration_ms = (1..9).map(|n| (job_id(n), 600_000)).collect();
+        (1..7).for_each(|n| cluster.submit_until_accepted(&job(&job_id(n), Shape::Array, 2)));
+        cluster.run_until(20_000, "all tasks run", |cluster| {
+            (1..7).all(|n| cluster.live_tasks(&job_id(n)).len() == 2)
+        });
+        let first = cluster.leader().unwrap();
+        let how = case % 4;
+        let change = |cluster: &mut Cluster, who: usize| match how {
+            0 => cluster.crash_for_ms(who, 6_000),
+            1 => {
+                cluster.state.refused_nodes.insert(who);
+            }
+            2 => cluster.stall(who, 4_000 + case * 10),
+            _ => cluster.cut_from_state_service(who, LinkFault::Hold),
+        };
+        let epoch = cluster.epoch_revision();
+        change(&mut cluster, first);
+        // One abort each before, during and after the change.
+        let wait = 5 + case * 17 % 400;
+        for n in 1..4u32 {
+            cluster.abort((first + n as usize) % 3, &job_id(n));
+            cluster.run_for_ms(wait);
+        }
+        cluster.run_until(20_000, "another controller leads", |cluster| {
+            cluster.epoch_revision() > epoch
+        });
+        cluster.run_for_ms(case * 11 % 700);
+        cluster.abort(case as usize % 3, &job_id(4));
+        // The lead goes back to the first, whose last incarnation or lease ended a moment ago.
+        cluster.heal_links();
+        cluster.state.refused_nodes.clear();
+        cluster.run_for_ms(3_000);
+        if !cluster.is_up(first) {
+            cluster.start_controller(first);
+        }
+        cluster.run_for_ms(1_500);
+        let third = (0..3).find(|n| *n != first && Some(*n) != cluster.leader()).unwrap();
+        let second = cluster.leader().unwrap();
+        if second != first {
+            let epoch = cluster.epoch_revision();
+            cluster.crash_for_ms(second, 20_000);
+            cluster.crash_for_ms(third, 4_000);
+            cluster.run_for_ms(case * 13 % 900);
+            cluster.abort(first, &job_id(5));
+            cluster.run_until(20_000, "another controller leads", |cluster| {
+                cluster.epoch_revision() > epoch
+            });
+            back += u64::from(cluster.leader() == Some(first));
+        }
+        cluster.abort(first, &job_id(1));
+        cluster.run_for_ms(LEASE_MS);
+        (1..6).for_each(|n| cluster.abort_until_confirmed(&job_id(n)));
+        cluster.run_for_ms(CANCEL_MS);
+        (1..6).for_each(|n| assert!(cluster.live_tasks(&job_id(n)).is_empty()));
+        cluster.scale_in_disabled = false;
+        cluster.run_until_running(60_000, &job_id(6), 2);
+        cluster.assert_recovered();
+    }
+    assert!(back > 20, "{back} times back to the first leader");
+}
+
+/// Invariants 3, 4, 8: machines are up within two seconds and not listed yet, answers to some
+/// provisioning requests are lost, writes are late or unanswered, images arrive slowly, and the
+/// leader crashes; its successor may not know the machine at all.
+#[test]
+fn unlisted_machines_work_across_leader_crashes() {
+    for case in 0..40u64 {
+        let mut cluster = Cluster::activated(1, 0.0, 14_600 + case, 1_000);
+        cluster.scale_out_disabled = false;
+        (cluster.boot_ms, cluster.list_lag_ms) = (0..=2_000, 4_000);
+        cluster.lost_provision_answers = (case % 3) as u32;
+        cluster.fetch_gb_per_s = (case % 2 == 0).then_some(0.4);
+        cluster.task_duration_ms = (1..9).map(|n| (job_id(n), 20_000)).collect();
+        let late = RandomDelay { share: 0.4, from_ms: 1_000, to_ms: 6_000 };
+        match case % 3 {
+            0 => cluster.state.delayed_writes = Some(late),
+            1 => cluster.state.lost_answer_share = 0.4,
+            _ => {}
+        }
+        for n in 1..6 {
+            cluster.submit(n as usize % 3, &job(&job_id(n), Shape::Array, 3));
+            cluster.run_for_ms(150);
+        }
+        cluster.run_for_ms(1_200 + case * 83 % 3_000);
+        for _ in 0..3 {
+            let leader = cluster.leader().unwrap_or(0);
+            cluster.crash_for_ms(leader, [200, 5_000][case as usize / 3 % 2]);
+            cluster.run_for_ms(2_800 + case * 37 % 900);
+            for n in 1..6 {
+                cluster.submit((n as usize + 1) % 3, &job(&job_id(n), Shape::Array, 3));
+            }
+        }
+        cluster.clear_all_faults();
+        cluster.run_for_ms(5_000);
+        for n in 1..6 {
+            cluster.submit_until_accepted(&job(&job_id(n), Shape::Array, 3));
+        }
+        (1..6).for_each(|n| cluster.run_until_done(&job_id(n), 150_000));
+        cluster.assert_recovered();
+    }
+}
+
+/// Invariants 4, 6, 7, 30: stale heartbeats of earlier agent epochs and attempts, with exits that
+/// have been cleared since, reach leader, follower and proxy before, during and after the recovery
+/// of a new leader.
+#[test]
+fn stale_heartbeats_are_ignored_when_a_new_leader_starts() {
+    for case in 0..36u64 {
+        let mut cluster = Cluster::activated(8, 0.0, 14_700 + case, 1_000);
+        cluster.stale_heartbeat_share = 0.5;
+        cluster.state.max_list_keys = (case % 3 == 0).then_some(2);
+        cluster.redirect_delay_ms = (case % 2 == 0).then_some(200);
+        run_mixed_load(&mut cluster, case, |cluster, turn| {
+            if turn % 50 == 20 + case % 7 {
+                let leader = cluster.leader().unwrap_or(0);
+                match case / 3 % 3 {
+                    0 => cluster.crash_for_ms(leader, [200, 3_000][case as usize % 2]),
+                    1 => {
+                        cluster.state.refused_nodes.insert(leader);
+                    }
+                    _ => {
+                        for n in (0..3).filter(|n| *n != leader) {
+                            cluster.cut_controllers(leader, n, LinkFault::Drop);
+                        }
+                        cluster.cut_from_state_service(leader, LinkFault::Hold);
+                    }
+                }
+            }
+            if turn % 50 == 45 {
+                cluster.heal_links();
+                cluster.state.refused_nodes.clear();
+            }
+            if turn % 40 == 5 {
+                let which = machine_name((turn / 40 + case) as usize % 8);
+                cluster.reboot_machine(&which, 200 + case * 40);
+            }
+        });
+    }
+}
+
+/// Four one-task jobs a second, a quarter of them aborted before, at and after the write of their
+/// batch, over failovers and with scarce writes: all others are done, the aborted ones are
+/// reported so, and the records kept of them do not grow.
+#[test]
+fn finished_jobs_leave_no_records_under_aborts_and_failovers() {
+    for case in 0..4u64 {
+        let mut cluster = Cluster::activated(12, 0.0, 14_800 + case, 1_000);
+        cluster.scale_out_disabled = false;
+        cluster.state.limits =
+            Some(StateLimits { max_value_bytes: 8 * 1024, max_changes: 12, changes_per_s: 15.0 });
+        cluster.query_on_change = case % 2 == 1;
+        let tasks = 260u32;
+        let spec = |n: u32| {
+            let mut spec = job(&job_id(n), Shape::Array, 1);
+            (spec.cpus, spec.memory_gb, spec.image_gb) = (0.5, 0.5, 0.1);
+            spec
+        };
+        let is_aborted = |n: u32| n % 4 == 1;
+        for n in 0..tasks {
+            cluster.submit(n as usize % 3, &spec(n));
+            // A quarter is aborted, at once to four seconds later.
+            for m in n.saturating_sub(16)..=n {
+                let due = is_aborted(m) && n - m == m / 4 % 16;
+                if due && cluster.observed_status.contains_key(&job_id(m)) {
+                    cluster.abort((m as usize + 1) % 3, &job_id(m));
+                }
+            }
+            if n % 5 == 0 && n > 20 {
+                cluster.query(n as usize % 3, &job_id(n - 17));
+            }
+            if n % 90 == 60 {
+                let leader = cluster.leader().unwrap_or(0);
+                cluster.crash_for_ms(leader, [200, 3_000][case as usize % 2]);
+            }
+            cluster.run_for_ms(250);
+        }
+        cluster.run_for_ms(5_000);
+        // Users repeat unanswered requests.
+        for round in 0..40 {
+            let open: Vec<u32> = (0..tasks)
+                .filter(|n| {
+                    let observed = cluster.observed_status.get(&job_id(*n));
+                    let ended = if is_aborted(*n) {
+                        matches!(observed, Some(JobStatus::Aborted | JobStatus::Done))
+                    } else {
+                        observed == Some(&JobStatus::Done)
+                    };
+                    !ended
+                })
+                .collect();
+            if open.is_empty() {
+                break;
+            }
+            for n in open.into_iter().take(60) {
+                let node = (n as usize + round) % 3;
+                match (cluster.observed_status.contains_key(&job_id(n)), is_aborted(n)) {
+                    (false, _) => cluster.submit(node, &spec(n)),
+                    (true, true) => cluster.abort(node, &job_id(n)),
+                    (true, false) => cluster.query(node, &job_id(n)),
+                };
+            }
+            cluster.run_for_ms(2_000);
+        }
+        for n in 0..tasks {
+            let observed = cluster.observed_status.get(&job_id(n)).copied();
+            let well = observed == Some(JobStatus::Done)
+                || is_aborted(n) && observed == Some(JobStatus::Aborted);
+            assert!(
+                well,
+                "seed {}: {} is reported as {observed:?}; {:?}",
+                cluster.seed,
+                job_id(n),
+                cluster.violations
+            );
+        }
+        cluster.check_invariants();
+        cluster.run_until(60_000, "no records of finished jobs are left", |cluster| {
+            let left =
+                |prefix: &str| cluster.state.keys.keys().filter(|k| k.starts_with(prefix)).count();
+            left("pages/") <= 1 && left("shares/") == 0 && left("inbox/") == 0
+        });
+    }
+}
+
+/// Partitions the leader from its siblings; returns it and them.
+fn partition_leader_from_siblings(cluster: &mut Cluster) -> (usize, [usize; 2]) {
+    let leader = cluster.leader().unwrap();
+    let others = [(leader + 1) % 3, (leader + 2) % 3];
+    others.iter().for_each(|n| cluster.cut_controllers(leader, *n, LinkFault::Drop));
+    (leader, others)
+}
+
+/// An accepted job is known to everybody but the leader: the answer to its acceptance is lost, at
+/// once or with the write applied late; the user repeats the submission at the others, which the
+/// leader cannot reach, and asks only them.
+#[test]
+fn accepted_job_is_found_when_its_write_goes_unanswered() {
+    for case in 0..24u64 {
+        let mut cluster = Cluster::activated(4, 0.0, 14_900 + case, 1_000);
+        cluster.restart_with_job_batches(case % 3 == 0);
+        cluster.run_for_ms(1_000);
+        cluster.task_duration_ms = [(job_id(1), 600_000)].into();
+        let (leader, others) = partition_leader_from_siblings(&mut cluster);
+        let late = 1_500 + case * 200;
+        let what = if case % 2 == 0 {
+            UnansweredWrite::AppliedAtOnce
+        } else {
+            UnansweredWrite::AppliedAfterMs(late)
+        };
+        let prefix = if cluster.batch_small_jobs { "pages/" } else { "jobs/" };
+        cluster.state.write_faults =
+            vec![WriteFault { key_prefix: prefix, outcome: what, remaining: 1 }];
+        let spec = job(&job_id(1), Shape::Array, 2);
+        cluster.submit(leader, &spec);
+        cluster.run_for_ms(200 + late);
+        for turn in 0..20 {
+            let request = cluster.submit(others[turn % 2], &spec);
+            cluster.run_for_ms(900);
+            if matches!(cluster.status_code(request), 200 | 201) {
+                break;
+            }
+        }
+        assert!(
+            cluster.observed_status.contains_key(&job_id(1)),
+            "case {case}: the job is accepted"
+        );
+        let until = cluster.now + 10_000;
+        while cluster.now < until && cluster.live_tasks(&job_id(1)).len() < 2 {
+            cluster.query(others[case as usize % 2], &job_id(1));
+            cluster.run_for_ms(500);
+        }
+        assert_eq!(
+            cluster.live_tasks(&job_id(1)).len(),
+            2,
+            "case {case}: the job runs while the leader reaches nobody"
+        );
+        assert_eq!(cluster.leader(), Some(leader));
+        cluster.heal_links();
+        cluster.assert_recovered();
+    }
+}
+
+/// Handoff entries (invariant 12): the leader's deletion of an entry gets no answer, is sent again
+/// and is applied late, after another entry has taken the key; the watch that would have shown the
+/// second entry is answered 410.
+#[test]
+fn replaced_handoff_entry_is_read_when_the_watch_history_is_gone() {
+    let (mut read, mut soon) = (0, 0);
+    for case in 0..24u64 {
+        let mut cluster = Cluster::activated(0, 0.0, 14_950 + case, 1_000);
+        cluster.task_duration_ms = [(job_id(1), 600_000)].into();
+        let (leader, others) = partition_leader_from_siblings(&mut cluster);
+        cluster.run_for_ms(1_500);
+        let spec = job(&job_id(1), Shape::Array, 2);
+        let note = "inbox/wk-000001";
+        for turn in 0..4_000 {
+            if turn % 1_200 == 0 {
+                cluster.submit(others[0], &spec);
+            }
+            cluster.run_for_ms(1);
+            if cluster.state.keys.contains_key(note) {
+                break;
+            }
+        }
+        // The leader has read the entry, and its deletion gets no answer; it is applied
+        // between the times at which the leader rereads its live jobs.
+        let late = 6_500 + case * 30;
+        cluster.state.write_faults = vec![WriteFault {
+            key_prefix: "inbox/",
+            outcome: UnansweredWrite::AppliedAfterMs(late),
+            remaining: 1,
+        }];
+        for _ in 0..4_000 {
+            if cluster.state.write_faults[0].remaining == 0 {
+                break;
+            }
+            cluster.run_for_ms(1);
+        }
+        let removal = cluster.now;
+        // The deletion was sent alone: there was no machine yet for a task of the job.
+        (0..4).for_each(|_| drop(cluster.add_worker()));
+        cluster.run_until_running(5_500, &job_id(1), 2);
+        assert_eq!(
+            cluster.state.write_faults[0].remaining, 0,
+            "case {case}: the deletion got no answer"
+        );
+        cluster.run_for_ms((removal + late - 700).saturating_sub(cluster.now));
+        cluster.state.refused_nodes.insert(leader);
+        let request = cluster.abort(others[1], &job_id(1));
+        cluster.run_for_ms(400);
+        if cluster.status_code(request) != 200 {
+            continue;
+        }
+        cluster.run_for_ms(1_200);
+        cluster.state.retained_changes = Some(1);
+        cluster.state.refused_nodes.clear();
+        let healed = cluster.now;
+        cluster.run_until(CANCEL_MS, "the tasks of the aborted job are gone", |cluster| {
+            cluster.live_tasks(&job_id(1)).is_empty()
+        });
+        soon += u64::from(cluster.now < healed + 1_000);
+        read += 1;
+        cluster.state.retained_changes = None;
+        cluster.heal_links();
+        cluster.run_for_ms(CANCEL_MS);
+        cluster.assert_recovered();
+    }
+    assert!(read > 12 && soon * 4 >= read * 3, "{soon} of {read} replaced entries were read soon");
+}
+
+/// More work than capacity, urgent and not, over slow and lossy links: nothing is lost, and all of
+/// it is done in the end.
+#[test]
+fn all_jobs_complete_under_overload_and_slow_links() {
+    for case in 0..6u64 {
+        let mut cluster = Cluster::activated(5, 0.0, 15_300 + case, 1_000);
+        (cluster.max_delay_ms, cluster.message_loss) = (60 + 40 * case, 0.01);
+        let jobs: Vec<JobSpec> = (1..25)
+            .map(|n| {
+                let mut spec = job(&job_id(n), Shape::Array, 3);
+                spec.rank = [Rank::Low, Rank::Normal, Rank::High][n as usize % 3];
+                spec
+            })
+            .collect();
+        for (n, spec) in jobs.iter().enumerate() {
+            cluster.submit(n % 3, spec);
+            cluster.run_for_ms(120);
+        }
+        let leader = cluster.leader().unwrap();
+        cluster.crash_for_ms(leader, [200, 4_000][case as usize % 2]);
+        cluster.run_for_ms(4_000);
+        jobs.iter().for_each(|spec| cluster.submit_until_accepted(spec));
+        for n in [3u32, 7, 11] {
+            cluster.abort_until_confirmed(&job_id(n));
+        }
+        for n in (1..25).filter(|n| ![3, 7, 11].contains(n)) {
+            cluster.run_until_done(&job_id(n), 150_000);
+        }
+        (cluster.max_delay_ms, cluster.message_loss) = (4, 0.0);
+        cluster.assert_recovered();
+    }
+}
+
+/// An abort, a query or a repeated submission at any controller races the end of the job's last
+/// task by milliseconds, while its completion is being recorded and no other fault occurs.
+#[test]
+fn answers_agree_when_requests_race_the_last_completion() {
+    let mut both = [0, 0];
+    for case in 0..60u64 {
+        let mut cluster = Cluster::activated(4, 0.0, 15_400 + case, 1_000);
+        cluster.restart_with_job_batches(case % 3 == 0);
+        cluster.run_for_ms(1_000);
+        let spec = job(&job_id(1), Shape::Array, 2);
+        cluster.submit_until_accepted(&spec);
+        cluster.run_until(20_000, "the last task has ended", |cluster| {
+            cluster.completed_tasks.get(&job_id(1)).is_some_and(|d| d.len() == 2)
+        });
+        cluster.run_for_ms(case * 5 % 150);
+        let node = case as usize % 3;
+        for turn in 0..12usize {
+            match (turn + case as usize) % 3 {
+                0 => cluster.abort((node + turn) % 3, &job_id(1)),
+                1 => cluster.submit((node + turn) % 3, &spec),
+                _ => cluster.query((node + turn) % 3, &job_id(1)),
+            };
+            cluster.run_for_ms(1 + case % 4);
+        }
+        cluster.run_for_ms(3_000);
+        cluster.abort_until_confirmed(&job_id(1));
+        both[usize::from(cluster.observed_status[&job_id(1)] == JobStatus::Done)] += 1;
+        cluster.check_invariants();
+    }
+    assert!(both.iter().all(|n| *n > 0), "aborted and done: {both:?}");
+}
+
+/// Invariants 4, 9, 16: a partitioned zone has workers and a controller of its own; jobs are
+/// aborted on either side, the leader is on one or the other, and crashes during the partition or
+/// not at all.
+#[test]
+fn aborts_hold_on_both_sides_of_a_partition_longer_than_leases() {
+    for case in 0..24u64 {
+        let mut cluster = Cluster::activated(8, 0.0, 15_500 + case, 1_000);
+        cluster.scale_out_disabled = false;
+        cluster.task_duration_ms = (1..9).map(|n| (job_id(n), 600_000)).collect();
+        for n in 1..6 {
+            let mut spec = job(&job_id(n), Shape::Array, 2);
+            spec.zone = (n == 1).then(|| "a".into()).or((n == 2).then(|| "b".into()));
+            cluster.submit_until_accepted(&spec);
+        }
+        cluster.run_until(20_000, "all tasks run", |cluster| {
+            (1..6).all(|n| cluster.live_tasks(&job_id(n)).len() == 2)
+        });
+        let leader = cluster.leader().unwrap();
+        // Zone b's machines have odd numbers; the leader is partitioned with them or not.
+        let inside = if case % 2 == 0 { (leader + 1) % 3 } else { leader };
+        let how = if case / 2 % 2 == 0 { LinkFault::Hold } else { LinkFault::Drop };
+        let outside: Vec<usize> = (0..3).filter(|n| *n != inside).collect();
+        for n in &outside {
+            cluster.cut_controllers(inside, *n, how);
+            [1, 3, 5, 7].iter().for_each(|m| cluster.cut_from_worker(*n, machine_name(*m), how));
+        }
+        [0, 2, 4, 6].iter().for_each(|m| cluster.cut_from_worker(inside, machine_name(*m), how));
+        cluster.run_for_ms(case * 131 % 4_000);
+        cluster.abort(inside, &job_id(1));
+        cluster.abort(outside[0], &job_id(2));
+        cluster.run_for_ms(LEASE_MS);
+        if case % 3 == 0 {
+            let leader = cluster.leader().unwrap_or(0);
+            cluster.crash_for_ms(leader, [200, 3_000][case as usize / 3 % 2]);
+        }
+        cluster.abort(outside[1], &job_id(3));
+        cluster.run_for_ms(LEASE_MS + 4_000);
+        cluster.heal_links();
+        (1..4).for_each(|n| cluster.abort_until_confirmed(&job_id(n)));
+        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_until(90_000, "the other jobs run", |cluster| {
+            (4..6).all(|n| cluster.live_tasks(&job_id(n)).len() == 2)
+        });
+        cluster.assert_recovered();
+    }
+}
+
+/// The leader changes ten times in two minutes, by crash, refusal and stall in turn, also with
+/// short outages of the state service: running tasks run on, and new jobs are done.
+#[test]
+fn jobs_complete_under_ten_leader_changes_in_two_minutes() {
+    for case in 0..8u64 {
+        let mut cluster = Cluster::activated(8, 0.0, 15_600 + case, 1_000);
+        cluster.task_duration_ms = [(job_id(1), 600_000)].into();
+        cluster.submit_until_accepted(&job(&job_id(1), Shape::Service, 3));
+        let mut views = std::collections::BTreeSet::new();
+        for turn in 0..12u32 {
+            let leader = cluster.leader().unwrap_or(turn as usize % 3);
+            match (u64::from(turn) + case) % 3 {
+                0 => cluster.crash_for_ms(leader, [200, 3_000][turn as usize % 2]),
+                1 => {
+                    cluster.state.refused_nodes.insert(leader);
+                }
+                _ => cluster.stall(leader, 3_500),
+            }
+            cluster.submit((leader + 1) % 3, &job(&job_id(10 + turn), Shape::Array, 2));
+            cluster.run_for_ms(case * 97 % 900);
+            if turn % 4 == 1 {
+                cluster.state.down = true;
+                cluster.run_for_ms(1_500 + case * 400);
+                cluster.state.down = false;
+            }
+            cluster.run_for_ms(7_000);
+            cluster.state.refused_nodes.clear();
+            views.insert(cluster.epoch_revision());
+            if turn % 3 == 0 {
+                cluster.abort(turn as usize % 3, &job_id(10 + turn));
+            }
+            cluster.run_for_ms(2_000);
+        }
+        assert!(views.len() >= 9, "{} epochs", views.len());
+        for turn in 0..12u32 {
+            match turn % 3 {
+                0 if cluster.observed_status.contains_key(&job_id(10 + turn)) => {
+                    cluster.abort_until_confirmed(&job_id(10 + turn))
+                }
+                0 => {}
+                _ => {
+                    cluster.submit_until_accepted(&job(&job_id(10 + turn), Shape::Array, 2));
+                    cluster.run_until_done(&job_id(10 + turn), 60_000);
+                }
+            }
+        }
+        cluster.run_until_running(60_000, &job_id(1), 3);
+        cluster.assert_recovered();
+    }
+}
+
+/// Invariants 3 to 5, 8: all controllers are down for longer than leases and restart one by one,
+/// while machines lose their tasks or hang.
+#[test]
+fn jobs_complete_when_all_controllers_are_down_longer_than_leases() {
+    for case in 0..16u64 {
+        let mut cluster = Cluster::activated(6, 16.0, 15_700 + case, 1_000);
+        cluster.task_duration_ms = (1..4).map(|n| (job_id(n), 40_000)).collect();
+        cluster.submit_until_accepted(&job(&job_id(1), Shape::Array, 2));
+        cluster.submit_until_accepted(&job(&job_id(2), Shape::Gang, 2));
+        cluster.submit_until_accepted(&job(&job_id(3), Shape::Array, 2));
+        cluster.run_for_ms(2_000);
+        cluster.abort((case % 3) as usize, &job_id(3));
+        cluster.run_for_ms(case * 7 % 60);
+        for n in 0..3 {
+            cluster.crash_for_ms(
+                n,
+                LEASE_MS + 500 + case * 150 + n as u64 * [0, 300, 4_000][case as usize % 3],
+            );
+        }
+        let hung = cluster.now + LEASE_MS - 200;
+        cluster.workers.get_mut(&machine_name(case as usize % 6)).unwrap().hung_until_ms = hung;
+        cluster.run_for_ms(LEASE_MS + 8_000);
+        if cluster.observed_status.contains_key(&job_id(3)) {
+            cluster.abort_until_confirmed(&job_id(3));
+        }
+        cluster.run_until_done(&job_id(1), 150_000);
+        cluster.run_until_done(&job_id(2), 150_000);
+        cluster.assert_recovered();
+    }
+}
+
+/// Invariants 4, 8, 32: machines reach no controller while orders reach them: their tasks end with
+/// the lease and run elsewhere, once; aborted tasks are gone in time; and the machines take work
+/// again when their heartbeats return.
+#[test]
+fn tasks_move_when_heartbeats_are_lost_and_orders_arrive() {
+    for case in 0..24u64 {
+        let mut cluster =
+            Cluster::activated(6, [0.0, 24.0][case as usize % 2], 15_800 + case, 1_000);
+        cluster.task_duration_ms = (1..6).map(|n| (job_id(n), 600_000)).collect();
+        for n in 1..4 {
+            cluster.submit_until_accepted(&job(&job_id(n), Shape::Array, 2));
+        }
+        cluster.run_until(20_000, "all tasks run", |cluster| {
+            (1..4).all(|n| cluster.live_tasks(&job_id(n)).len() == 2)
+        });
+        cluster.lost_heartbeats.extend((0..1 + case as usize % 4).map(machine_name));
+        cluster.run_for_ms(case * 217 % LEASE_MS);
+        cluster.abort(case as usize % 3, &job_id(1));
+        if case % 3 == 0 {
+            let leader = cluster.leader().unwrap();
+            cluster.crash_for_ms(leader, [200, 4_000][case as usize / 3 % 2]);
+        }
+        cluster.run_for_ms(LEASE_MS / 2 + case * 500);
+        cluster.abort_until_confirmed(&job_id(1));
+        cluster.submit_until_accepted(&job(&job_id(4), Shape::Array, 2));
+        cluster.run_for_ms(LEASE_MS);
+        cluster.lost_heartbeats.clear();
+        cluster.run_for_ms(CANCEL_MS);
+        assert!(cluster.live_tasks(&job_id(1)).is_empty());
+        cluster.run_until(90_000, "the others run", |cluster| {
+            (2..5).all(|n| cluster.live_tasks(&job_id(n)).len() == 2)
+        });
+        cluster.assert_recovered();
+    }
+}
+
+/// A team at its quota (invariant 10): the leader changes, some machines cannot be queried, and an
+/// abort falls into that time, at the new leader or a follower.
+#[test]
+fn quota_holds_when_machines_are_unreachable_during_failover() {
+    for case in 0..32u64 {
+        let mut cluster = Cluster::activated(7, 32.0, 15_900 + case, 1_000);
+        cluster.scale_out_disabled = false;
+        cluster.task_duration_ms = (1..9).map(|n| (job_id(n), 600_000)).collect();
+        for n in 1..5 {
+            cluster.submit_until_accepted(&job(
+                &job_id(n),
+                [Shape::Array, Shape::Gang][n as usize % 2],
+                2,
+            ));
+        }
+        cluster.run_until(30_000, "the quota is used up", |cluster| {
+            (1..5).all(|n| cluster.live_tasks(&job_id(n)).len() == 2)
+        });
+        (5..8).for_each(|n| cluster.submit_until_accepted(&job(&job_id(n), Shape::Array, 2)));
+        let leader = cluster.leader().unwrap();
+        cluster.crash_for_ms(leader, [200, 12_000][case as usize % 2]);
+        let how = if case % 3 == 0 { LinkFault::Hold } else { LinkFault::Drop };
+        for m in 0..3 {
+            (0..3)
+                .for_each(|n| cluster.cut_from_worker(n, machine_name(m + case as usize % 4), how));
+        }
+        cluster.run_for_ms(case * 151 % 5_000);
+        cluster.abort((leader + 1) % 3, &job_id(1));
+        cluster.abort((leader + 2) % 3, &job_id(2));
+        cluster.run_for_ms(LEASE_MS / 2 + case * 300);
+        cluster.heal_links();
+        cluster.abort_until_confirmed(&job_id(1));
+        cluster.abort_until_confirmed(&job_id(2));
+        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_until(90_000, "the others run", |cluster| {
+            cluster.check_invariants();
+            (3..7).filter(|n| cluster.live_tasks(&job_id(*n)).len() == 2).count() == 4
+        });
+        cluster.assert_recovered();
+    }
+}
+
+/// Arrays, gangs and services that are bound to one zone lose machines there, one by one and all
+/// at once, over a failover: they run there again and nowhere else.
+#[test]
+fn zone_bound_jobs_restart_in_their_zone_when_machines_reboot() {
+    for case in 0..16u64 {
+        let mut cluster = Cluster::activated(8, 0.0, 16_000 + case, 1_000);
+        cluster.scale_out_disabled = case % 2 == 0;
+        (cluster.boot_ms, cluster.list_lag_ms) = (0..=2_000, 2_000);
+        cluster.task_duration_ms = (1..5).map(|n| (job_id(n), 30_000)).collect();
+        for (n, shape) in [(1, Shape::Array), (2, Shape::Gang), (3, Shape::Service)] {
+            let mut spec = job(&job_id(n), shape, 2);
+            spec.zone = Some("b".into());
+            cluster.submit_until_accepted(&spec);
+        }
+        let mut together = job(&job_id(4), Shape::Array, 3);
+        together.together = true;
+        cluster.submit_until_accepted(&together);
+        cluster.run_for_ms(3_000 + case * 60);
+        let lost: Vec<usize> = if case % 3 == 0 { vec![1, 3, 5, 7] } else { vec![1, 5] };
+        for (at, m) in lost.iter().enumerate() {
+            cluster.reboot_machine(&machine_name(*m), 5_000 + case * 700);
+            cluster.run_for_ms(at as u64 * (case % 4) * 300);
+        }
+        if case % 4 < 2 {
+            let leader = cluster.leader().unwrap();
+            cluster.crash_for_ms(leader, [200, 4_000][case as usize % 2]);
+        }
+        cluster.run_for_ms(LEASE_MS);
+        for n in [1, 2, 4] {
+            cluster.run_until_done(&job_id(n), 200_000);
+        }
+        cluster.run_until_running(90_000, &job_id(3), 2);
+        cluster.assert_recovered();
+    }
+}
+
+/// Invariants 9, 12: a leader that the state service refuses and its siblings do not reach sees
+/// that tasks were stopped by somebody else; it does not start them again before it has read the
+/// record.
+#[test]
+fn tasks_stopped_through_a_proxy_are_not_restarted_by_a_refused_leader() {
+    let mut stopped = 0;
+    for case in 0..48u64 {
+        let mut cluster = Cluster::activated(4, 0.0, 16_100 + case, 1_000);
+        cluster.task_duration_ms = [(job_id(1), 600_000)].into();
+        cluster.submit_until_accepted(&job(&job_id(1), Shape::Array, 2));
+        cluster.run_until_running(20_000, &job_id(1), 2);
+        let (leader, others) = partition_leader_from_siblings(&mut cluster);
+        let held: Vec<String> =
+            cluster.live_tasks(&job_id(1)).into_iter().map(|live| live.machine).collect();
+        held.iter().for_each(|m| cluster.cut_from_worker(leader, m.clone(), LinkFault::Drop));
+        cluster.run_until(6_000, "its lease is renewed by a proxy", |cluster| {
+            cluster.state.keys.keys().any(|k| k.starts_with("view/keeper/"))
+        });
+        cluster.run_for_ms(1_000 + case * 13);
+        cluster.state.refused_nodes.insert(leader);
+        let request = cluster.abort(others[case as usize % 2], &job_id(1));
+        cluster.run_until(1_900, "a proxy stops it", |cluster| {
+            cluster.live_tasks(&job_id(1)).is_empty() || cluster.status_code(request) != 0
+        });
+        cluster.run_for_ms(600);
+        if cluster.status_code(request) == 200 && cluster.live_tasks(&job_id(1)).is_empty() {
+            stopped += 1;
+            // The leader reaches the machines again before it learns of the abort.
+            held.iter().for_each(|m| {
+                cluster.heal_link(&Endpoint::Controller(leader), &Endpoint::Worker(m.clone()))
+            });
+            cluster.run_for_ms(1_000 + case * 11 % 300);
+            assert!(
+                cluster.starts_after_abort.is_empty(),
+                "case {case}: {:?}",
+                cluster.starts_after_abort
+            );
+        }
+        cluster.clear_all_faults();
+        cluster.abort_until_confirmed(&job_id(1));
+        cluster.run_for_ms(CANCEL_MS);
+        cluster.assert_recovered();
+    }
+    assert!(stopped > 12, "{stopped} times a proxy stopped the tasks");
+}
--- /dev/null
+++ b/crates/core/tests/simulation/random_faults.rs
@@ -0,0 +1,96 @@
+//! Random faults of every kind at once.
+
+use crate::cluster::{job, Cluster, LinkFault};
+use quartzgate_wire::msg::{JobStatus, Shape};
+
+/// Injects a random fault, or ends all faults; returns the controller that it concerns.
+pub fn inject_random_fault(cluster: &mut Cluster, rng: &mut rand::rngs::SmallRng) -> usize {
+    use rand::Rng;
+    let node = rng.random_range(0..3);
+    let how = if rng.random_bool(0.5) { LinkFault::Hold } else { LinkFault::Drop };
+    match rng.random_range(0..11) {
+        0 => cluster.crash_for_ms(node, 3_000),
+        1 => cluster.crash_all_for_ms(2_000),
+        2 => cluster.cut_from_state_service(node, how),
+        3 => {
+            cluster.state.refused_nodes.insert(node);
+        }
+        4 => cluster.state.down = !cluster.state.down,
+        5 => cluster.cut_controllers(node, (node + 1) % 3, how),
+        6 => {
+            let names: Vec<String> = cluster.workers.keys().cloned().collect();
+            let name = names[rng.random_range(0..names.len())].clone();
+            cluster.hang_machine(&name, rng.random_range(2_000..12_000));
+        }
+        8 => cluster.stall(node, rng.random_range(1_000..26_000)),
+        9 => cluster.stall_in_round(node, rng.random_range(1_000..26_000)),
+        7 => {
+            let names: Vec<String> = cluster.workers.keys().cloned().collect();
+            for name in names.iter().filter(|_| rng.random_bool(0.4)) {
+                cluster.cut_from_worker(node, name.clone(), how);
+            }
+        }
+        _ => {
+            cluster.heal_links();
+            cluster.state.refused_nodes.clear();
+            cluster.state.down = false;
+        }
+    }
+    node
+}
+
+/// Random crashes, partitions, outages, hangs and aborts over a lossy network: the invariants
+/// hold, and once the faults are over all work is done.
+#[test]
+fn all_jobs_complete_under_random_faults() {
+    use rand::{rngs::SmallRng, Rng, SeedableRng};
+    for seed in 0..30 {
+        let mut cluster = Cluster::new(3, 6, 32.0, 2000 + seed);
+        let mut rng = SmallRng::seed_from_u64(seed);
+        cluster.message_loss = 0.01;
+        cluster.max_delay_ms = 60;
+        cluster.scale_out_disabled = false;
+        cluster.run_for_ms(1_000);
+        let mut ids = Vec::new();
+        for n in 0..12 {
+            let id = format!("wk-{:06}", n + 1);
+            let shape = match n % 4 {
+                0 => Shape::Service,
+                3 => Shape::Gang,
+                _ => Shape::Array,
+            };
+            cluster.task_duration_ms.insert(id.clone(), rng.random_range(500..12_000));
+            let mut spec = job(&id, shape, rng.random_range(1..5));
+            spec.spread = shape == Shape::Service;
+            cluster.submit(rng.random_range(0..3), &spec);
+            ids.push((id, spec));
+            let node = inject_random_fault(&mut cluster, &mut rng);
+            if rng.random_bool(0.2) {
+                let at = rng.random_range(0..ids.len());
+                let id = ids[at].0.clone();
+                cluster.abort(node, &id);
+            }
+            cluster.run_for_ms(rng.random_range(500..8_000));
+        }
+        cluster.heal_links();
+        cluster.state.refused_nodes.clear();
+        cluster.state.down = false;
+        cluster.crash_all_for_ms(1_000);
+        cluster.run_for_ms(2_000);
+        for (id, spec) in &ids {
+            if spec.shape == Shape::Service {
+                cluster.submit_until_accepted(spec);
+                cluster.abort_until_confirmed(id);
+            }
+        }
+        for (id, spec) in &ids {
+            if spec.shape != Shape::Service {
+                cluster.submit_until_accepted(spec);
+                if cluster.observed_status.get(id) != Some(&JobStatus::Aborted) {
+                    cluster.run_until_done(id, 300_000);
+                }
+            }
+        }
+        cluster.assert_no_accepted_job_is_lost();
+    }
+}
--- /dev/null
+++ b/crates/core/tests/simulation/state_service_faults.rs
@@ -0,0 +1,75 @@
+//! Faults of the state service: lost answers, outages, unreadable records.
+
+use crate::cluster::{job, Cluster, CANCEL_MS};
+use quartzgate_wire::msg::Shape;
+
+/// Writes that are applied without an answer are found by reading: nothing is lost, repeated or
+/// reported wrongly.
+#[test]
+fn unanswered_writes_lose_and_duplicate_nothing() {
+    for swallowed in 1..8 {
+        let mut cluster = Cluster::new(3, 4, 0.0, 700 + u64::from(swallowed));
+        cluster.run_for_ms(1_000);
+        cluster.state.unanswered_writes = swallowed;
+        cluster.submit_until_accepted(&job("wk-000001", Shape::Array, 6));
+        cluster.state.unanswered_writes = swallowed;
+        cluster.run_until_done("wk-000001", 60_000);
+        cluster.submit_until_accepted(&job("wk-000002", Shape::Service, 2));
+        cluster.state.unanswered_writes = 2;
+        cluster.abort_until_confirmed("wk-000002");
+        cluster.run_for_ms(CANCEL_MS);
+        assert!(cluster.live_tasks("wk-000002").is_empty());
+        cluster.check_invariants();
+    }
+}
+
+/// During an outage of the state service, requests are answered at once: 503 with Retry-After for
+/// what is not known, and the final state of finished jobs. Nothing is lost afterwards.
+#[test]
+fn requests_are_answered_at_once_during_an_outage() {
+    let mut cluster = Cluster::new(3, 4, 0.0, 1100);
+    cluster.run_for_ms(500);
+    cluster.submit_until_accepted(&job("wk-000001", Shape::Array, 2));
+    cluster.run_until_done("wk-000001", 20_000);
+    cluster.submit_until_accepted(&job("wk-000002", Shape::Service, 2));
+    cluster.run_until_running(5_000, "wk-000002", 2);
+    cluster.state.down = true;
+    cluster.run_for_ms(6_000);
+    let leader = cluster.leader().unwrap();
+    let (ended, live) = (cluster.query(leader, "wk-000001"), cluster.query(leader, "wk-000002"));
+    let fresh = cluster.submit(leader, &job("wk-000003", Shape::Array, 2));
+    let ready = cluster.send_request(leader, "GET", "/ready", Vec::new());
+    cluster.run_for_ms(100);
+    assert_eq!(
+        (cluster.status_code(ended), cluster.status_code(live), cluster.status_code(fresh)),
+        (200, 503, 503)
+    );
+    assert_eq!(cluster.status_code(ready), 200);
+    cluster.state.down = false;
+    cluster.submit_until_accepted(&job("wk-000003", Shape::Array, 2));
+    cluster.run_until_done("wk-000003", 30_000);
+    assert_eq!(cluster.live_tasks("wk-000002").len(), 2, "replicas survive the outage");
+    cluster.check_invariants();
+}
+
+/// An unreadable record (invariant 15) stops only its own job, and nothing overwrites it.
+#[test]
+fn unreadable_record_stops_only_its_job() {
+    let mut cluster = Cluster::new(3, 2, 0.0, 1780);
+    cluster.run_for_ms(500);
+    cluster.task_duration_ms.insert("wk-000001".into(), 600_000);
+    cluster.submit_until_accepted(&job("wk-000001", Shape::Array, 1));
+    cluster.run_until_running(5_000, "wk-000001", 1);
+    let garbage = ciborium::value::Value::Text("?".into());
+    cluster.damage_value("shares/wk-000001/0/0", garbage.clone());
+    cluster.crash_all_for_ms(500);
+    cluster.run_for_ms(2_000);
+    cluster.submit_until_accepted(&job("wk-000002", Shape::Array, 2));
+    cluster.run_until_done("wk-000002", 20_000);
+    cluster.run_for_ms(20_000);
+    assert_eq!(cluster.state.keys["shares/wk-000001/0/0"].value, garbage);
+    let poll = cluster.query(0, "wk-000001");
+    cluster.run_for_ms(500);
+    assert!([200, 503].contains(&cluster.status_code(poll)));
+    cluster.check_invariants();
+}
