--- a/crates/core/tests/simulation/cluster.rs
+++ b/crates/core/tests/simulation/cluster.rs
@@ -137,6 +137,10 @@
     /// Share of heartbeats that are stored and replayed to every controller when a new leader is
     /// elected.
     pub stale_heartbeat_share: f64,
+    /// Controllers that no worker reaches, and that reach no worker.
+    pub cut_from_all_workers: BTreeSet<usize>,
+    /// Heartbeats that were answered with a redirect.
+    pub redirects: u64,
     stale_heartbeats: Vec<Vec<u8>>,
     /// Time after which a redirected worker tries the next controller, if not with its next
     /// heartbeat.
@@ -219,6 +223,8 @@
             lost_starts: BTreeMap::new(),
             duplicate_heartbeats: None,
             stale_heartbeat_share: 0.0,
+            cut_from_all_workers: BTreeSet::new(),
+            redirects: 0,
             stale_heartbeats: Vec::new(),
             redirect_delay_ms: None,
             user_requests: Vec::new(),
--- a/crates/core/tests/simulation/cluster/network.rs
+++ b/crates/core/tests/simulation/cluster/network.rs
@@ -12,7 +12,7 @@
 pub enum Endpoint {
     Controller(usize),
     StateService,
-    Provisioner,
+    Cloud,
     Worker(String),
 }
 
@@ -109,6 +109,13 @@
     }
 
     pub(super) fn link_fault(&self, a: &Endpoint, b: &Endpoint) -> Option<LinkFault> {
+        if let (Endpoint::Worker(_), Endpoint::Controller(node))
+        | (Endpoint::Controller(node), Endpoint::Worker(_)) = (a, b)
+        {
+            if self.cut_from_all_workers.contains(node) {
+                return Some(LinkFault::Drop);
+            }
+        }
         let joins = |l: &&FaultyLink| (&l.from, &l.to) == (a, b) || (&l.to, &l.from) == (a, b);
         self.link_faults.iter().find(joins).map(|l| l.fault)
     }
@@ -116,7 +123,7 @@
     fn target(&self, from: usize, call: &Call) -> Option<Endpoint> {
         Some(match &call.peer {
             Peer::State => Endpoint::StateService,
-            Peer::Cloud => Endpoint::Provisioner,
+            Peer::Cloud => Endpoint::Cloud,
             // A controller counts its siblings without itself.
             Peer::Sibling(at) => Endpoint::Controller(if *at >= from { at + 1 } else { *at }),
             Peer::Worker(addr) => Endpoint::Worker(machine_of_addr(addr)),
@@ -181,7 +188,7 @@
         let Some(to) = self.target(from, &call) else { return };
         match &to {
             Endpoint::StateService => self.on_state_call(from, incarnation, call),
-            Endpoint::Provisioner => {
+            Endpoint::Cloud => {
                 let response = self.on_cloud_call(&call);
                 let provisions = call.method == "POST" && call.target == "/machines";
                 if provisions && response.status == 200 && self.lost_provision_answers > 0 {
--- a/crates/core/tests/simulation/cluster/workers.rs
+++ b/crates/core/tests/simulation/cluster/workers.rs
@@ -349,6 +349,7 @@
     }
 
     fn follow_redirect(&mut self, name: &str, body: &[u8]) {
+        self.redirects += 1;
         let leader = from_cbor::<Redirect>(body).ok().and_then(|redirect| redirect.leader);
         let leader = leader.and_then(|node| node.trim_start_matches('n').parse::<usize>().ok());
         let worker = self.workers.get_mut(name).unwrap();
--- a/crates/core/tests/simulation/main.rs
+++ b/crates/core/tests/simulation/main.rs
@@ -11,6 +11,7 @@
 mod dependencies;
 mod failover;
 mod fault_search;
+mod fleet_size;
 mod format_upgrade;
 mod inline_placements;
 mod input_validation;
