--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -1,4 +1,4 @@
-//! The controller: one value that takes events and gives actions.
+//! The controller: takes events, routes them to the modules, and returns actions.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -68,7 +68,7 @@
     Abort(String),
 }
 
-/// Ends of jobs, which never change again. Bounded: the oldest are read anew.
+/// Terminal states of jobs, which never change again. Bounded: the oldest are read anew.
 pub(crate) struct TerminalJobs {
     known: HashMap<String, RecordedStatus>,
     order: VecDeque<String>,
@@ -96,16 +96,21 @@
     }
 }
 
+/// Resources that a team uses.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TeamUsage {
-    /// Dealt and not provably ended: what the limit is held against.
+    /// Placed and not proven to have ended: what the quota is held against.
     pub reserved: Resources,
     /// On machines.
     pub placed: Resources,
-    /// Perhaps on machines: not proven free yet.
+    /// Perhaps on machines: not proven to be gone yet.
     pub unproven: Resources,
 }
 
+/// One controller: routes each event to the modules that own the state, and their actions out.
+///
+/// The modules up to `types` hold what every controller knows; those after it are the leader's
+/// memory, which is rebuilt from the records when it is elected and cleared when it steps down.
 pub struct Controller {
     pub(crate) context: Context,
     calls: CallTable<InFlight>,
@@ -125,7 +130,7 @@
     pub(crate) types: Vec<MachineType>,
     pub(crate) types_at_ms: Option<u64>,
     pub(crate) types_asked_ms: u64,
-    // The leader's memory, emptied when it is superseded.
+    // The leader's memory.
     pub(crate) jobs: Jobs,
     pub(crate) machines: Machines,
     pub(crate) teams: Vec<TeamUsage>,
@@ -135,7 +140,7 @@
     pub(crate) ratios: DemandRatios,
     pub(crate) search_budget: SearchBudget,
     pub(crate) load: LoadState,
-    /// What the daemon tells of requests that waited.
+    /// Metrics of requests that waited, from the event loop.
     pub(crate) intake: Vec<(String, f64)>,
     pub(crate) admission: AdmissionControl,
     pub(crate) epoch_began_ms: u64,
@@ -154,15 +159,16 @@
     pub(crate) round_at_ms: u64,
     pub(crate) second_at_ms: u64,
     pub(crate) recorded_job_reads: RecordedJobReads,
-    /// Reports whose workers were sent elsewhere.
+    /// Heartbeats that were answered with a redirect.
     pub(crate) let_go: u64,
-    /// Room that is kept for gangs, by machine.
+    /// Resources that are held for gangs, by machine.
     pub(crate) gang_holds: BTreeMap<MachineIndex, GangHold>,
-    /// Late copies of reports that were dropped.
+    /// Duplicates of heartbeats that were dropped.
     pub(crate) duplicates_dropped: u64,
 }
 
 impl Controller {
+    /// A controller that has just been started, with its settings and its random numbers.
     pub fn new(cfg: Config, rng: SmallRng) -> Self {
         let teams = vec![TeamUsage::default(); cfg.platform.params.teams.len()];
         let record_writer = RecordWriter::new(&cfg.platform.params.state);
@@ -226,7 +232,7 @@
         }
     }
 
-    /// Takes in what has happened; returns what is to be done.
+    /// Takes in what has happened; returns what is to be done, in this order.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
         let before_ms = std::mem::replace(&mut self.context.now, now).steady_ms;
         let gap_ms = now.steady_ms.saturating_sub(before_ms);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,6 +5,8 @@
 //! random numbers come from a generator that is passed in, so that a simulation repeats
 //! by its seed.
 
+#![warn(missing_docs)]
+
 mod api;
 pub mod capacity;
 pub mod config;
@@ -49,13 +51,33 @@
     /// Time has passed.
     Tick,
     /// A request on the address for users, workers and health checks.
-    Client { id: RequestId, request: Request },
+    Client {
+        /// Identifies the request in its answer.
+        id: RequestId,
+        /// The request.
+        request: Request,
+    },
     /// A request on the address for other controllers.
-    Mesh { id: RequestId, request: Request },
+    Mesh {
+        /// Identifies the request in its answer.
+        id: RequestId,
+        /// The request.
+        request: Request,
+    },
     /// How loaded this process is, and its metrics of requests that waited.
-    Load { state: LoadState, figures: Vec<(String, f64)> },
+    Load {
+        /// State of load from now on.
+        state: LoadState,
+        /// Metrics by name.
+        figures: Vec<(String, f64)>,
+    },
     /// How a call ended.
-    Outcome { call: CallId, outcome: Outcome },
+    Outcome {
+        /// The call.
+        call: CallId,
+        /// How it ended.
+        outcome: Outcome,
+    },
 }
 
 /// How a call ended.
@@ -86,7 +108,12 @@
 #[derive(Debug)]
 pub enum Action {
     /// Answer a request that came in.
-    Answer { id: RequestId, response: Response },
+    Answer {
+        /// The request.
+        id: RequestId,
+        /// Its answer.
+        response: Response,
+    },
     /// Call a peer.
     Call(Call),
 }
