--- a/crates/core/src/jobs/dependencies/mod.rs
+++ b/crates/core/src/jobs/dependencies/mod.rs
@@ -106,8 +106,8 @@
 impl Controller {
     /// Enters a job's dependencies into the graph. Those that ended are known by their recorded
     /// ends; the records of those that memory does not know are read later.
-    pub(crate) fn link(&mut self, ix: JobIndex) {
-        let Some(job) = self.jobs.get(ix) else { return };
+    pub(crate) fn link(&mut self, job_index: JobIndex) {
+        let Some(job) = self.jobs.get(job_index) else { return };
         let dependencies = job.spec.dependencies.clone();
         if dependencies.is_empty() {
             return;
@@ -117,15 +117,15 @@
             match self.terminal_jobs.get(&id) {
                 Some(RecordedStatus::Done) => {}
                 Some(_) => aborted = true,
-                None => self.add_dependency(ix, id),
+                None => self.add_dependency(job_index, id),
             }
         }
         self.dependency_graph.changed = true;
         if aborted {
-            self.abort_through_dependency(ix);
-        } else if self.jobs.get(ix).is_some_and(|job| job.state == JobState::Live) {
+            self.abort_through_dependency(job_index);
+        } else if self.jobs.get(job_index).is_some_and(|job| job.state == JobState::Live) {
             // It becomes `Waiting` if an edge was added.
-            self.set_job_state(ix, JobState::Live);
+            self.set_job_state(job_index, JobState::Live);
         }
     }
 
@@ -140,12 +140,12 @@
     }
 
     /// Takes a job that has ended, or leaves memory, out of the graph.
-    pub(crate) fn unlink(&mut self, ix: JobIndex) {
-        self.dependency_graph.inheriting.remove(&ix);
-        let Some(job) = self.jobs.get_mut(ix) else { return };
+    pub(crate) fn unlink(&mut self, job_index: JobIndex) {
+        self.dependency_graph.inheriting.remove(&job_index);
+        let Some(job) = self.jobs.get_mut(job_index) else { return };
         let id = job.id.clone();
         for dependency in std::mem::take(&mut job.waits_on) {
-            self.dependency_graph.remove_edge(&dependency, ix);
+            self.dependency_graph.remove_edge(&dependency, job_index);
         }
         // A job with dependents leaves memory although its end is not known.
         if self.dependency_graph.needed(&id) && self.terminal_jobs.get(&id).is_none() {
@@ -200,10 +200,10 @@
 
     /// The jobs in memory that this one waits for, directly or through others; `None` if one of
     /// them is not in memory.
-    pub(crate) fn before(&self, ix: JobIndex) -> Option<Vec<JobIndex>> {
+    pub(crate) fn before(&self, job_index: JobIndex) -> Option<Vec<JobIndex>> {
         let mut found = Vec::new();
-        let mut seen = HashSet::from([ix]);
-        let mut open = vec![ix];
+        let mut seen = HashSet::from([job_index]);
+        let mut open = vec![job_index];
         while let Some(index) = open.pop() {
             for id in &self.jobs.get(index)?.waits_on {
                 let dependency = self.jobs.find(id)?;
--- a/crates/core/src/jobs/snapshot.rs
+++ b/crates/core/src/jobs/snapshot.rs
@@ -10,9 +10,13 @@
 
 impl Controller {
     /// The placement record of a chunk according to memory, under the chunk's next version.
-    pub(crate) fn placement_record(&mut self, ix: JobIndex, chunk: u32) -> Option<PlacementRecord> {
+    pub(crate) fn placement_record(
+        &mut self,
+        job_index: JobIndex,
+        chunk: u32,
+    ) -> Option<PlacementRecord> {
         let epoch = self.epoch();
-        let job = self.jobs.get_mut(ix)?;
+        let job = self.jobs.get_mut(job_index)?;
         let has_zone_rule = job.spec.spread || job.spec.together;
         let first_task = chunk * TASKS_PER_CHUNK;
         let chunk = job.chunks.get_mut(&chunk)?;
--- a/crates/core/src/jobs/transitions.rs
+++ b/crates/core/src/jobs/transitions.rs
@@ -91,8 +91,8 @@
     /// The one function that changes a job's state. `Live` becomes `Waiting` for a job with
     /// dependencies that have not ended, and a recorded end is final: no outcome of a call that
     /// was in flight brings the job back.
-    pub(crate) fn set_job_state(&mut self, ix: JobIndex, state: JobState) {
-        let Some(job) = self.jobs.get_mut(ix) else { return };
+    pub(crate) fn set_job_state(&mut self, job_index: JobIndex, state: JobState) {
+        let Some(job) = self.jobs.get_mut(job_index) else { return };
         let state = match state {
             JobState::Live if !job.waits_on.is_empty() => JobState::Waiting,
             other => other,
@@ -102,12 +102,12 @@
         }
         let old = std::mem::replace(&mut job.state, state);
         match state {
-            JobState::Aborted => self.on_job_aborted(ix),
-            JobState::Done => self.on_job_done(ix),
+            JobState::Aborted => self.on_job_aborted(job_index),
+            JobState::Done => self.on_job_done(job_index),
             // The user needs none of its tasks any more, whether or not the abort is recorded.
-            JobState::Doubtful => self.stop_tasks(ix),
+            JobState::Doubtful => self.stop_tasks(job_index),
             JobState::Live if old == JobState::Aborting => self.touch_all(),
-            JobState::Live if old == JobState::Waiting => self.on_dependencies_done(ix),
+            JobState::Live if old == JobState::Waiting => self.on_dependencies_done(job_index),
             _ => {}
         }
     }
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -233,12 +233,12 @@
 
 impl Controller {
     /// Looks at all machines for a job's tasks.
-    pub(crate) fn candidates_for(&mut self, ix: JobIndex) -> Candidates {
+    pub(crate) fn candidates_for(&mut self, job_index: JobIndex) -> Candidates {
         let now_ms = self.context.now.steady_ms;
         self.search_budget.spend(now_ms, self.machines.len());
         let zones = self.context.config.platform.params.zones.len();
         let mut candidates = Candidates {
-            job: ix,
+            job: job_index,
             need: Resources::default(),
             allows_spot: false,
             list: Vec::new(),
@@ -246,7 +246,7 @@
             zones: vec![ZoneCapacity::default(); zones + 1],
         };
         let mut rng = self.context.rng.clone();
-        let Some(job) = self.jobs.get(ix) else { return candidates };
+        let Some(job) = self.jobs.get(job_index) else { return candidates };
         candidates.need = job.resources();
         candidates.allows_spot = job.spec.spot;
         let allowed_types = self.allowed_types(&job.spec);
@@ -315,7 +315,7 @@
         let mut free = capacity.minus(&machine.used);
         match (job, self.gang_holds.get(&index)) {
             (Some(job), held) => free = self.without_gang_holds(free, held, job),
-            (None, Some(held)) => free = free.minus(&held.room),
+            (None, Some(held)) => free = free.minus(&held.resources),
             (None, None) => {}
         }
         let mut spare = free;
--- a/crates/core/src/placement/dispatch.rs
+++ b/crates/core/src/placement/dispatch.rs
@@ -131,7 +131,13 @@
     /// Whether a task may start on a machine. The invariant behind it, that a task never runs
     /// twice: the stored record names this machine for the task, and no other machine that the
     /// task was ever probed to can hold it.
-    pub(crate) fn startable(&self, job: &Job, key: TaskKey, task: &Task, ix: MachineIndex) -> bool {
+    pub(crate) fn startable(
+        &self,
+        job: &Job,
+        key: TaskKey,
+        task: &Task,
+        machine_index: MachineIndex,
+    ) -> bool {
         let Some(chunk) = job.chunks.get(&(key.task / TASKS_PER_CHUNK)) else { return false };
         job.state == JobState::Live
             && !job.unsure
@@ -140,8 +146,8 @@
             && job.may_try(self.context.now.steady_ms)
             && self.may_start(job.team, &job.resources())
             && task.probes.iter().all(|probe| !probe.unproven)
-            && task.probes.iter().any(|p| p.machine == ix && p.version <= chunk.acked)
-            && self.machines.get(ix).is_some_and(|machine| {
+            && task.probes.iter().any(|p| p.machine == machine_index && p.version <= chunk.acked)
+            && self.machines.get(machine_index).is_some_and(|machine| {
                 (task.zone.is_none() || task.zone == machine.zone)
                     && self.allows(&job.spec, &machine.kind, machine.zone, machine.spot)
             })
@@ -173,7 +179,7 @@
     }
 
     /// Binds a task to a machine under an attempt number, and drops its probes elsewhere.
-    pub(crate) fn bind_as(&mut self, key: TaskKey, ix: MachineIndex, attempt: u64) {
+    pub(crate) fn bind_as(&mut self, key: TaskKey, machine_index: MachineIndex, attempt: u64) {
         if let Some(job) = self.jobs.get_mut(key.job).filter(|job| job.failing_everywhere()) {
             job.trials += 1;
         }
@@ -184,10 +190,10 @@
                 machine.queue.retain(|queued| *queued != key);
             }
         }
-        self.set_task_state(key, TaskState::Starting { machine: ix, attempt });
-        if let Some(machine) = self.machines.get_mut(ix) {
+        self.set_task_state(key, TaskState::Starting { machine: machine_index, attempt });
+        if let Some(machine) = self.machines.get_mut(machine_index) {
             machine.pending_starts.push((key, attempt));
         }
-        self.machines_to_command.insert(ix);
+        self.machines_to_command.insert(machine_index);
     }
 }
--- a/crates/core/src/placement/free_capacity.rs
+++ b/crates/core/src/placement/free_capacity.rs
@@ -56,12 +56,12 @@
         let now_ms = self.context.now.steady_ms;
         // Less is looked at than for candidates.
         self.search_budget.spend(now_ms, self.machines.len() / 4);
-        let least = Resources { cpus: 1e-3, gpus: 0.0, memory_gb: 0.0 };
+        let minimum = Resources { cpus: 1e-3, gpus: 0.0, memory_gb: 0.0 };
         let mut free_capacity = FreeCapacity::default();
         for (index, machine) in self.machines.iter().filter(|(_, machine)| machine.usable()) {
             let Some(capacity) = self.capacity_of(&machine.kind) else { continue };
-            let (_, spare) = self.free_and_spare(index, machine, &capacity, &least, None);
-            if !spare.fits(&least) {
+            let (_, spare) = self.free_and_spare(index, machine, &capacity, &minimum, None);
+            if !spare.fits(&minimum) {
                 continue;
             }
             let mut beside_gpus = spare;
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GangHold {
     /// What is held.
-    pub room: Resources,
+    pub resources: Resources,
     /// The highest priority of the gangs: nothing of this priority or below gets the resources.
     pub priority: Priority,
 }
@@ -91,9 +91,9 @@
         priority: Priority,
         resources: &Resources,
     ) {
-        let empty = GangHold { room: Resources::default(), priority };
+        let empty = GangHold { resources: Resources::default(), priority };
         let hold = holds.entry(machine).or_insert(empty);
-        hold.room.add(resources, 1.0);
+        hold.resources.add(resources, 1.0);
         hold.priority = hold.priority.max(priority);
     }
 }
@@ -225,7 +225,7 @@
             }
             let held = holds.get(&index).filter(|hold| hold.priority >= priority);
             let free = self.free_resources(machine);
-            let free = held.map_or(free, |hold| free.minus(&hold.room));
+            let free = held.map_or(free, |hold| free.minus(&hold.resources));
             candidates.push(GangCandidate {
                 machine: index,
                 zone: machine.zone,
@@ -348,10 +348,10 @@
     }
 
     /// Stops all tasks of a gang at once, with time to save a checkpoint if it has any.
-    pub(crate) fn stop_gang(&mut self, ix: JobIndex) {
-        let Some(job) = self.jobs.get(ix) else { return };
+    pub(crate) fn stop_gang(&mut self, job_index: JobIndex) {
+        let Some(job) = self.jobs.get(job_index) else { return };
         let grace = job.spec.checkpoint_interval_s > 0.0;
-        self.stop_members(ix, grace, |_| true);
+        self.stop_members(job_index, grace, |_| true);
     }
 
     /// Stops the tasks of a gang that were reported with a status as wanted.
@@ -378,11 +378,11 @@
     }
 
     /// A task of a gang is done, and so all of them are.
-    pub(crate) fn gang_done(&mut self, ix: JobIndex) {
-        let Some(job) = self.jobs.get(ix) else { return };
+    pub(crate) fn gang_done(&mut self, job_index: JobIndex) {
+        let Some(job) = self.jobs.get(job_index) else { return };
         let members: Vec<u32> = job.tasks().map(|(number, _)| number).collect();
         for task in members {
-            self.task_done(TaskKey { job: ix, task });
+            self.task_done(TaskKey { job: job_index, task });
         }
     }
 }
--- a/crates/core/src/placement/placer.rs
+++ b/crates/core/src/placement/placer.rs
@@ -61,8 +61,13 @@
     }
 
     /// Free resources of a machine that a job may use.
-    pub(crate) fn resources_for(&self, ix: MachineIndex, m: &Machine, job: &Job) -> Resources {
-        self.without_gang_holds(self.free_resources(m), self.gang_holds.get(&ix), job)
+    pub(crate) fn resources_for(
+        &self,
+        machine_index: MachineIndex,
+        m: &Machine,
+        job: &Job,
+    ) -> Resources {
+        self.without_gang_holds(self.free_resources(m), self.gang_holds.get(&machine_index), job)
     }
 
     /// What a job may use of a machine's free resources: what is held for a gang of at least its
@@ -74,7 +79,7 @@
         job: &Job,
     ) -> Resources {
         if let Some(hold) = held.filter(|hold| hold.priority >= job.priority) {
-            free.minus(&hold.room)
+            free.minus(&hold.resources)
         } else if job.spec.gpus <= 0.0 && job.priority < Priority::Production {
             free.minus(&self.beside_gpus(&free))
         } else {
@@ -189,8 +194,8 @@
 
     /// Places as many of a job's tasks as quota and limits of one pass allow. Returns whether any
     /// was placed.
-    pub(crate) fn place_job(&mut self, ix: JobIndex) -> bool {
-        let Some(job) = self.jobs.get(ix) else { return false };
+    pub(crate) fn place_job(&mut self, job_index: JobIndex) -> bool {
+        let Some(job) = self.jobs.get(job_index) else { return false };
         if job.spec.shape == JobKind::Gang {
             return false;
         }
@@ -198,28 +203,28 @@
         if !self.within_quota(team, &need) || !job.may_open() {
             return false;
         }
-        let mut candidates = self.candidates_for(ix);
+        let mut candidates = self.candidates_for(job_index);
         if candidates.is_empty() {
-            return self.postpone_placement(ix);
+            return self.postpone_placement(job_index);
         }
         let probe_count = self.probe_count(&spec);
         if spec.together {
-            self.choose_job_zone(ix, &candidates);
+            self.choose_job_zone(job_index, &candidates);
         }
         let mut placed = 0;
         while placed < MAX_PLACED_PER_PASS && self.within_quota(team, &need) {
-            let Some(task) = self.next_task_to_place(ix) else { break };
-            let key = TaskKey { job: ix, task };
+            let Some(task) = self.next_task_to_place(job_index) else { break };
+            let key = TaskKey { job: job_index, task };
             let unplaced = self.jobs.task(key).map(|t| t.state) == Some(TaskState::Unplaced);
             if unplaced && !self.place_task(key, &mut candidates, probe_count) {
                 break;
             }
-            if let Some(job) = self.jobs.get_mut(ix) {
+            if let Some(job) = self.jobs.get_mut(job_index) {
                 job.next = task + 1;
             }
             placed += 1;
         }
-        placed > 0 || self.postpone_placement(ix)
+        placed > 0 || self.postpone_placement(job_index)
     }
 
     /// Chooses the zone of a job whose tasks have to run together, unless it has one.
--- a/crates/core/src/placement/probes.rs
+++ b/crates/core/src/placement/probes.rs
@@ -59,8 +59,8 @@
     }
 
     /// Lets the machines of all probes of the job's waiting tasks bind them.
-    pub(crate) fn touch_probed(&mut self, ix: JobIndex) {
-        let Some(job) = self.jobs.get(ix) else { return };
+    pub(crate) fn touch_probed(&mut self, job_index: JobIndex) {
+        let Some(job) = self.jobs.get(job_index) else { return };
         let waiting = job.tasks().filter(|(_, task)| task.state == TaskState::Waiting);
         let probes = waiting.flat_map(|(_, task)| &task.probes);
         self.machines_to_dispatch.extend(probes.map(|probe| probe.machine));
--- a/crates/core/src/placement/quota.rs
+++ b/crates/core/src/placement/quota.rs
@@ -25,17 +25,17 @@
     }
 
     /// Whether a task that needs these resources may be placed for the team.
-    pub(crate) fn within_quota(&self, team: usize, room: &Resources) -> bool {
-        self.within_limit(team, self.teams[team].reserved, room)
+    pub(crate) fn within_quota(&self, team: usize, need: &Resources) -> bool {
+        self.within_limit(team, self.teams[team].reserved, need)
     }
 
     /// Whether the team may have one more task on machines, if every unproven task runs. After a
     /// placement whose write was indeterminate the records can hold more reservations than the
     /// limit allows, so this is checked again before every start.
-    pub(crate) fn may_start(&self, team: usize, room: &Resources) -> bool {
+    pub(crate) fn may_start(&self, team: usize, need: &Resources) -> bool {
         let mut possibly_running = self.teams[team].placed;
         possibly_running.add(&self.teams[team].unproven, 1.0);
-        self.within_limit(team, possibly_running, room)
+        self.within_limit(team, possibly_running, need)
     }
 
     fn within_limit(&self, team: usize, used: Resources, more: &Resources) -> bool {
