--- a/crates/core/tests/simulation/cluster/state_service.rs
+++ b/crates/core/tests/simulation/cluster/state_service.rs
@@ -477,11 +477,11 @@
             Change::Set { set, value, lease_id } => {
                 let stored = StoredValue { value: value.clone(), revision, lease: lease_id };
                 self.keys.insert(set.clone(), stored);
-                ChangeEvent { set: Some(set), delete: None, value: Some(value), revision: revision }
+                ChangeEvent { set: Some(set), delete: None, value: Some(value), revision }
             }
             Change::Delete { delete } => {
                 self.keys.remove(&delete);
-                ChangeEvent { set: None, delete: Some(delete), value: None, revision: revision }
+                ChangeEvent { set: None, delete: Some(delete), value: None, revision }
             }
         };
         self.change_log.push(event);
