--- a/crates/core/src/storage/job_batches/batch_lookup.rs
+++ b/crates/core/src/storage/job_batches/batch_lookup.rs
@@ -162,6 +162,7 @@
         self.scan_batches();
     }
 
+    /// Handles the read of a job's own record.
     pub(super) fn on_job_read(&mut self, lookup: BatchLookup, outcome: Outcome) {
         if !is_not_found(&outcome) {
             return self.on_outcome(*lookup.report_as, outcome);
@@ -199,6 +200,7 @@
         self.call_store("POST", "/multi".into(), body, InFlight::Batch(call));
     }
 
+    /// Handles the leader's comparison, made in an epoch, for a job that no batch holds.
     pub(super) fn on_absence_verified(
         &mut self,
         lookup: BatchLookup,
@@ -256,10 +258,13 @@
         self.call_for_scan(target, BatchCall::List);
     }
 
+    /// Handles one part of a listing of the batch records.
     pub(super) fn on_batches_listed(&mut self, outcome: Outcome) {
         let Some(mut scan) = self.job_batches.lookups.scan.take() else { return };
         let list = match outcome {
-            Outcome::Answer(r) if r.status == 200 => from_cbor::<KeyValueList>(&r.body).ok(),
+            Outcome::Answer(answer) if answer.status == 200 => {
+                from_cbor::<KeyValueList>(&answer.body).ok()
+            }
             _ => None,
         };
         let (Some(list), Some(mut index)) = (list, scan.new_index.take()) else {
@@ -277,18 +282,21 @@
         self.finish_scan(scan.lookups);
     }
 
+    /// Handles the changes of the batch records since the index's revision.
     pub(super) fn on_batch_changes(&mut self, outcome: Outcome) {
         let Some(scan) = self.job_batches.lookups.scan.take() else { return };
         match outcome {
-            Outcome::Answer(r) if r.status == 200 => match from_cbor::<ChangeLog>(&r.body) {
-                Ok(changes) => {
-                    self.job_batches.lookups.index.apply_changes(&changes);
-                    self.finish_scan(scan.lookups);
+            Outcome::Answer(answer) if answer.status == 200 => {
+                match from_cbor::<ChangeLog>(&answer.body) {
+                    Ok(changes) => {
+                        self.job_batches.lookups.index.apply_changes(&changes);
+                        self.finish_scan(scan.lookups);
+                    }
+                    Err(_) => self.fail_scan(scan),
                 }
-                Err(_) => self.fail_scan(scan),
-            },
+            }
             // The store's change log does not go back that far: all records are listed.
-            Outcome::Answer(r) if r.status == 410 => {
+            Outcome::Answer(answer) if answer.status == 410 => {
                 let new_index = Some(BatchIndex::default());
                 self.job_batches.lookups.scan = Some(BatchScan { new_index, ..scan });
                 self.list_next_batches();
@@ -315,6 +323,7 @@
         self.scan_batches();
     }
 
+    /// Looks for a job in the index, which is up to date.
     fn look_up_in_index(&mut self, mut lookup: BatchLookup) {
         let index = &self.job_batches.lookups.index;
         lookup.last_batch = index.last_number();
@@ -334,6 +343,7 @@
         self.read_own_record(&job_id, InFlight::Batch(BatchCall::RereadJob(lookup)));
     }
 
+    /// Handles the second read of a job's own record, which takes precedence over a batch record.
     pub(super) fn on_job_reread(&mut self, lookup: BatchLookup, outcome: Outcome) {
         self.job_batches.lookups.last_batch_checked = lookup.last_batch;
         match lookup.batched_record {
--- a/crates/core/src/storage/job_batches/batch_writer.rs
+++ b/crates/core/src/storage/job_batches/batch_writer.rs
@@ -43,9 +43,9 @@
 
     /// Has a job recorded under a key of its own, with its first chunk, before anything else of it
     /// is written.
-    pub(crate) fn move_out_of_batch(&mut self, ix: JobIndex) {
-        self.require_own_record(ix);
-        self.mark_blocking_starts(ix, 0);
+    pub(crate) fn move_out_of_batch(&mut self, job_index: JobIndex) {
+        self.require_own_record(job_index);
+        self.mark_blocking_starts(job_index, 0);
     }
 
     fn require_own_record(&mut self, job: JobIndex) {
@@ -157,6 +157,7 @@
         }
     }
 
+    /// Handles the outcome of a write of a batch record.
     pub(super) fn on_batch_written(&mut self, number: u64, outcome: Outcome) {
         let Some(batch) = self.job_batches.batches.get(&number) else { return };
         let is_new = batch.is_new();
@@ -343,6 +344,7 @@
         self.call_store("GET", target, Vec::new(), InFlight::Batch(call));
     }
 
+    /// Handles the read of a batch record after a write whose outcome is unknown.
     pub(super) fn on_batch_read(&mut self, number: u64, outcome: Outcome) {
         let Ok(pair) = self.read_outcome(outcome) else {
             // It is read again once a second.
@@ -358,6 +360,7 @@
         }
     }
 
+    /// The record is in the store, by which write of ours is not known if it was new.
     fn on_batch_found(&mut self, number: u64, pair: KeyValue) {
         let Some(batch) = self.job_batches.batches.get_mut(&number) else { return };
         let was_new = batch.is_new();
@@ -415,9 +418,9 @@
     }
 
     /// A job of a batch has a record of its own now, or is gone.
-    pub(crate) fn remove_from_batch(&mut self, ix: JobIndex, number: u64) {
+    pub(crate) fn remove_from_batch(&mut self, job_index: JobIndex, number: u64) {
         if let Some(batch) = self.job_batches.batches.get_mut(&number) {
-            batch.members.remove(&ix);
+            batch.members.remove(&job_index);
         }
         self.delete_empty_batch(number);
     }
--- a/crates/core/src/storage/job_batches/mod.rs
+++ b/crates/core/src/storage/job_batches/mod.rs
@@ -174,9 +174,9 @@
 
     /// Whether memory has every job that any batch record in the store may hold.
     fn is_complete(&self) -> bool {
-        let is_known =
-            |batch: &JobBatch| !batch.read_only && !(batch.is_new() && batch.write_indeterminate);
-        self.unreadable_jobs.is_empty() && self.batches.values().all(is_known)
+        let may_differ =
+            |batch: &JobBatch| batch.read_only || batch.is_new() && batch.write_indeterminate;
+        self.unreadable_jobs.is_empty() && !self.batches.values().any(may_differ)
     }
 
     /// Whether a batch can't be written now: a call about it is in flight, or it is gone.
