--- /dev/null
+++ b/crates/core/src/api/abort.rs
@@ -0,0 +1,272 @@
+//! Aborts jobs: recorded by the leader, or without it by any controller that has access to the
+//! key-value store.
+//!
+//! An abort counts once it is recorded, and is then final. While the outcome of the leader's write
+//! is unknown the job is neither started nor resumed: its record is read before anything else.
+
+use quartzgate_wire::http::Response;
+use quartzgate_wire::msg::{
+    valid_job_id, Change, Forward, Guard, KeyValue, Transaction, TransactionAnswer,
+};
+use quartzgate_wire::{from_cbor, to_cbor};
+
+use crate::controller::{Controller, InFlight};
+use crate::ids::JobIndex;
+use crate::jobs::JobState;
+use crate::storage::placement_records::RecordLocation;
+use crate::storage::record_writer::{FlushItem, Purpose};
+use crate::storage::records::{decode, encode, handoff_key, job_key, JobRecord, RecordedStatus};
+use crate::{Outcome, Peer, RequestId};
+
+use super::status::log_unreadable_record;
+use super::WRITES_WITHOUT_LEADER;
+
+/// Path at which controllers notify one another of recorded aborts.
+pub(crate) const ABORTED_PATH: &str = "/aborted/";
+
+impl Controller {
+    /// The leader aborts a job that is in its memory.
+    pub(super) fn abort_job(&mut self, id: RequestId, job: JobIndex) {
+        // While the job's record is being written or read, an abort can't be decided.
+        let is_decidable = self.jobs.get(job).is_some_and(|job| {
+            !job.busy && matches!(job.state, JobState::Live | JobState::Waiting)
+        });
+        if !is_decidable || !self.record_abort(Some(id), job) {
+            self.answer_busy(id)
+        }
+    }
+
+    /// Writes the abort of a job; false if the store's rate limit forbids that now.
+    pub(crate) fn record_abort(&mut self, request: Option<RequestId>, job_index: JobIndex) -> bool {
+        let now_ms = self.context.now.steady_ms;
+        let Some(job) = self.jobs.get(job_index) else { return false };
+        let has_inline_placement = job.chunks.get(&0).is_some_and(|chunk| chunk.inline);
+        if !self.record_writer.writes.take(now_ms, 1.0, 0.0) {
+            return false;
+        }
+        self.record_writer.note(Purpose::Abort, 1);
+        if job.state != JobState::Doubtful {
+            self.set_job_state(job_index, JobState::Aborting);
+        }
+        let Some(job) = self.jobs.get(job_index) else { return false };
+        let (revision, job_id) = (job.revision, job.id.clone());
+        let record = self.own_record(job);
+        let (mut guards, mut apply) = (vec![self.epoch_guard()], Vec::new());
+        // A record that says where the job's tasks may be goes on saying so.
+        let placement =
+            if has_inline_placement { self.placement_write(job_index, 0) } else { None };
+        let placed = placement.as_ref().map_or(RecordLocation::default(), |write| write.placed);
+        match placement {
+            Some(placement) => {
+                placement.enter(&job_id, 0, &mut guards, &mut apply);
+                self.chunk_sent(job_index, 0, placed);
+            }
+            None => {
+                let key = job_key(&job_id);
+                guards.push(Guard { path: key.clone(), revision });
+                apply.push(Change::Set { set: key, value: encode(&record), lease_id: None });
+            }
+        }
+        if let Some(job) = self.jobs.get_mut(job_index) {
+            job.busy = true;
+        }
+        let body = to_cbor(&Transaction { guards, apply });
+        let call = InFlight::AbortWrite { request, job: job_index, placed, epoch: self.epoch() };
+        self.call_store("POST", "/multi".into(), body, call);
+        true
+    }
+
+    /// Handles the outcome of the leader's write of an abort.
+    pub(crate) fn on_abort_write(
+        &mut self,
+        request: Option<RequestId>,
+        job_index: JobIndex,
+        placed: RecordLocation,
+        outcome: Outcome,
+    ) {
+        let was_indeterminate =
+            self.jobs.get(job_index).is_some_and(|j| j.state == JobState::Doubtful);
+        let is_conflict = match &outcome {
+            Outcome::Answer(answer) => {
+                if let (200, Ok(done)) = (answer.status, from_cbor(&answer.body)) {
+                    return self.on_abort_applied(request, job_index, placed, done);
+                }
+                if answer.status != 409 && !was_indeterminate {
+                    return self.on_abort_refused(request, job_index, placed, answer.status);
+                }
+                answer.status == 409
+            }
+            Outcome::Lost | Outcome::NotSent => false,
+        };
+        // The abort may be recorded, or the record has changed: it is read before anything else.
+        self.answer_abort_busy(request);
+        if !is_conflict {
+            self.set_job_state(job_index, JobState::Doubtful);
+        }
+        match placed.own {
+            true => self.reread_record(FlushItem::Chunk { job: job_index, chunk: 0, placed }),
+            false => self.reread_job(job_index),
+        }
+    }
+
+    /// The abort is recorded, and therefore final.
+    fn on_abort_applied(
+        &mut self,
+        request: Option<RequestId>,
+        job_index: JobIndex,
+        placed: RecordLocation,
+        answer: TransactionAnswer,
+    ) {
+        self.note_store_answer();
+        let Some(job) = self.jobs.get_mut(job_index) else {
+            return self.answer_abort_busy(request);
+        };
+        job.busy = false;
+        job.revision = answer.store_revision;
+        let job_id = job.id.clone();
+        if placed.own {
+            self.chunk_stands(job_index, 0, placed, answer.store_revision);
+        }
+        self.set_job_state(job_index, JobState::Aborted);
+        self.record_writer.touch_job(job_index);
+        if let Some(id) = request {
+            self.answer_terminal(id, &job_id, RecordedStatus::Aborted);
+        }
+    }
+
+    /// The write was certainly not applied: the job goes on, and the user is to ask again.
+    fn on_abort_refused(
+        &mut self,
+        request: Option<RequestId>,
+        job_index: JobIndex,
+        placed: RecordLocation,
+        status: u16,
+    ) {
+        if status != 503 && status != 429 {
+            tracing::error!(status, "the store rejected the write of an abort");
+        }
+        self.on_store_throttled(status);
+        if let Some(job) = self.jobs.get_mut(job_index) {
+            job.busy = false;
+        }
+        self.set_job_state(job_index, JobState::Live);
+        if placed.own {
+            self.unwritten(FlushItem::Chunk { job: job_index, chunk: 0, placed });
+        }
+        self.answer_abort_busy(request);
+    }
+
+    fn answer_abort_busy(&mut self, request: Option<RequestId>) {
+        if let Some(id) = request {
+            self.answer_busy(id)
+        }
+    }
+
+    /// Handles the record of a job to be aborted that the leader does not know, or that is to be
+    /// aborted without the leader.
+    pub(crate) fn on_abort_read(&mut self, id: RequestId, job: String, outcome: Outcome) {
+        let pair = match self.read_outcome(outcome) {
+            Ok(Some(pair)) => pair,
+            // The job was never accepted: no record is made for it.
+            Ok(None) => return self.answer_error(id, 404, "no such job"),
+            Err(()) => return self.answer_busy(id),
+        };
+        let Some(record) = decode::<JobRecord>(&pair.value) else {
+            log_unreadable_record(&job);
+            return self.answer_busy(id);
+        };
+        if record.status != RecordedStatus::Live {
+            return self.answer_record(id, &job, pair);
+        }
+        if !self.leads() {
+            return self.abort_without_leader(id, job, record, &pair);
+        }
+        match self.adopt(&job, record, pair.revision) {
+            Some(job_index) => self.abort_job(id, job_index),
+            None => self.answer_busy(id),
+        }
+    }
+
+    /// Writes the abort of a live job that was read, and its handoff entry.
+    fn abort_without_leader(
+        &mut self,
+        id: RequestId,
+        job: String,
+        mut record: JobRecord,
+        read: &KeyValue,
+    ) {
+        let now_ms = self.context.now.steady_ms;
+        if !self.record_writer.writes.take(now_ms, WRITES_WITHOUT_LEADER, 0.0) {
+            return self.answer_busy(id);
+        }
+        record.status = RecordedStatus::Aborted;
+        record.end_within(self.value_most());
+        let body = to_cbor(&Transaction {
+            guards: vec![Guard { path: job_key(&job), revision: read.revision }],
+            apply: vec![
+                Change::Set { set: job_key(&job), value: encode(&record), lease_id: None },
+                Change::Set { set: handoff_key(&job), value: encode(&true), lease_id: None },
+            ],
+        });
+        let call = InFlight::AbortAlone { request: id, id: job };
+        self.call_store("POST", "/multi".into(), body, call);
+    }
+
+    /// Handles the outcome of an abort that was recorded without the leader.
+    pub(crate) fn on_abort_alone(&mut self, id: RequestId, job: String, outcome: Outcome) {
+        match outcome {
+            Outcome::Answer(answer) if answer.status == 200 => {
+                self.note_store_answer();
+                tracing::info!(job = %job, "aborted without the leader");
+                self.on_abort_recorded(&job);
+                self.notify_abort(&job);
+                self.answer_terminal(id, &job, RecordedStatus::Aborted)
+            }
+            Outcome::Answer(answer) if answer.status != 409 => {
+                self.on_store_throttled(answer.status);
+                self.answer_busy(id)
+            }
+            _ => self.answer_busy(id),
+        }
+    }
+
+    /// Notifies the other controllers of a recorded abort, so that the job's tasks are stopped at
+    /// once even by a leader that has no access to the store. Nothing depends on the arrival of
+    /// these messages: the handoff entry and the lease bound are enough.
+    fn notify_abort(&mut self, job: &str) {
+        for sibling in 0..self.context.config.platform.siblings.len() {
+            let mut message = self.mesh_message();
+            message.forward = Some(Forward {
+                method: "POST".to_string(),
+                path: format!("{ABORTED_PATH}{job}"),
+                body: Vec::new(),
+            });
+            let timeout_ms = self.context.config.mesh_timeout_ms();
+            let (peer, body) = (Peer::Sibling(sibling), to_cbor(&message));
+            self.call(peer, "POST", "/mesh".into(), body, timeout_ms, InFlight::Told);
+        }
+    }
+
+    /// Handles a peer's notice of a recorded abort, which is true however late it comes.
+    pub(crate) fn on_abort_notice(&mut self, id: RequestId, job: &str) {
+        if !valid_job_id(job) {
+            return self.answer_error(id, 400, "malformed ref");
+        }
+        self.proxy_learns_abort(job);
+        self.on_abort_recorded(job);
+        let body = to_cbor(&self.mesh_message());
+        self.answer(id, Response::new(200, body));
+    }
+
+    /// Takes over an abort that another controller recorded; the record's revision is read when it
+    /// is needed.
+    pub(crate) fn on_abort_recorded(&mut self, job: &str) {
+        if let Some(job_index) = self.jobs.find(job) {
+            if self.jobs.get(job_index).is_some_and(|job| job.state != JobState::Aborted) {
+                self.set_job_state(job_index, JobState::Aborted);
+                self.reread_job(job_index);
+            }
+        }
+        self.learn_terminal_state(job, RecordedStatus::Aborted);
+    }
+}
--- /dev/null
+++ b/crates/core/src/api/handoff.rs
@@ -0,0 +1,25 @@
+//! Takes in what other controllers have recorded without the leader.
+
+use ciborium::value::Value;
+use quartzgate_wire::msg::valid_job_id;
+
+use crate::controller::{Controller, InFlight};
+use crate::storage::records::{decode, job_key, HANDOFF_PREFIX};
+
+impl Controller {
+    /// Handles an entry of the handoff queue: a job that was submitted, or aborted, without the
+    /// leader. The entry is deleted; the job's record holds all that it says.
+    pub(crate) fn on_handoff_entry(&mut self, path: &str, value: &Value, revision: u64) {
+        let job = path.strip_prefix(HANDOFF_PREFIX).filter(|job| valid_job_id(job));
+        let Some(job) = job else { return };
+        let is_aborted = decode::<bool>(value).unwrap_or(false);
+        self.record_writer.remove_note(path.to_string(), revision);
+        if is_aborted {
+            // The abort was recorded in the same transaction.
+            self.on_abort_recorded(job);
+        } else if self.jobs.find(job).is_none() {
+            let call = InFlight::InboxRead { job: job.to_string(), epoch: self.epoch() };
+            self.call_store("GET", format!("/keys/{}", job_key(job)), Vec::new(), call);
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/api/machine_types.rs
@@ -0,0 +1,70 @@
+//! The cloud's list of machine types, read again from time to time.
+
+use quartzgate_wire::from_cbor;
+use quartzgate_wire::msg::{MachineType, MachineTypes};
+
+use crate::controller::{Controller, InFlight};
+use crate::{Outcome, Peer};
+
+/// Time after a read of the list until the next while there is no list yet.
+const FIRST_READ_INTERVAL_MS: u64 = 500;
+/// The leader reads the list again after this many times the cloud's listing delay, at least
+/// [`MIN_LEADER_INTERVAL_MS`].
+const LEADER_INTERVAL_LAGS: u64 = 5;
+const MIN_LEADER_INTERVAL_MS: u64 = 10_000;
+/// The same for all other controllers.
+const FOLLOWER_INTERVAL_LAGS: u64 = 20;
+const MIN_FOLLOWER_INTERVAL_MS: u64 = 60_000;
+const READ_TIMEOUT_MS: u64 = 2000;
+/// Numbers in the list that are negative or not below this are not plausible.
+const IMPLAUSIBLE_FROM: f64 = 1e9;
+
+fn is_plausible(machine_type: &MachineType) -> bool {
+    let numbers = [
+        machine_type.cpus,
+        machine_type.gpus,
+        machine_type.memory_gb,
+        machine_type.price,
+        machine_type.spot_price,
+        machine_type.boot_s,
+        machine_type.fetch_gb_per_s,
+    ];
+    numbers.iter().all(|number| (0.0..IMPLAUSIBLE_FROM).contains(number))
+}
+
+impl Controller {
+    /// Reads the list if that is due.
+    pub(crate) fn tick_types(&mut self) {
+        let now_ms = self.context.now.steady_ms;
+        if self.types_asked_ms > 0 && now_ms < self.types_asked_ms + self.types_interval_ms() {
+            return;
+        }
+        self.types_asked_ms = now_ms.max(1);
+        let target = "/machine_types".to_string();
+        self.call(Peer::Cloud, "GET", target, Vec::new(), READ_TIMEOUT_MS, InFlight::Types);
+    }
+
+    fn types_interval_ms(&self) -> u64 {
+        let lag_ms = (self.context.config.platform.params.cloud.list_lag_s * 1000.0) as u64;
+        match self.types_at_ms {
+            None => FIRST_READ_INTERVAL_MS,
+            Some(_) if self.leads() => (lag_ms * LEADER_INTERVAL_LAGS).max(MIN_LEADER_INTERVAL_MS),
+            Some(_) => (lag_ms * FOLLOWER_INTERVAL_LAGS).max(MIN_FOLLOWER_INTERVAL_MS),
+        }
+    }
+
+    /// Takes over a list that came, unless it is empty or implausible.
+    pub(crate) fn on_types(&mut self, outcome: Outcome) {
+        let Outcome::Answer(response) = outcome else { return };
+        if response.status != 200 {
+            return;
+        }
+        let Ok(list) = from_cbor::<MachineTypes>(&response.body) else { return };
+        if list.types.is_empty() || !list.types.iter().all(is_plausible) {
+            return;
+        }
+        self.types = list.types;
+        self.types_at_ms = Some(self.context.now.steady_ms);
+        self.supply_changed = true;
+    }
+}
--- /dev/null
+++ b/crates/core/src/api/status.rs
@@ -0,0 +1,114 @@
+//! Reads jobs' records for users' requests, and answers from them.
+
+use quartzgate_wire::http::Response;
+use quartzgate_wire::msg::{JobAnswer, JobStatus, KeyValue};
+use quartzgate_wire::{from_cbor, to_cbor};
+
+use crate::controller::{Controller, InFlight};
+use crate::storage::records::{decode, JobRecord, RecordedStatus};
+use crate::{Outcome, RequestId};
+
+use super::status_queries::live_answer;
+
+impl Controller {
+    /// Reads a job's record for a request, unless the store's rate limit forbids that now.
+    pub(crate) fn read_job(&mut self, id: RequestId, job: &str, pending: InFlight) {
+        let is_allowed = match pending {
+            InFlight::Poll { .. } => self.may_read_for_status(),
+            _ => self.may_read_for_request(),
+        };
+        if !is_allowed {
+            return self.answer_busy(id);
+        }
+        self.look_up(job, pending);
+    }
+
+    /// The result of reading a record: `Ok(None)` if there is none, an error if that is not known.
+    pub(crate) fn read_outcome(&mut self, outcome: Outcome) -> Result<Option<KeyValue>, ()> {
+        match outcome {
+            Outcome::Answer(answer) if answer.status == 200 => {
+                self.note_store_answer();
+                from_cbor::<KeyValue>(&answer.body).map(Some).map_err(|_| ())
+            }
+            Outcome::Answer(answer) if answer.status == 404 => {
+                self.note_store_answer();
+                Ok(None)
+            }
+            Outcome::Answer(answer) => {
+                self.on_store_throttled(answer.status);
+                Err(())
+            }
+            Outcome::Lost | Outcome::NotSent => Err(()),
+        }
+    }
+
+    /// Answers a status query from the record that was read.
+    pub(crate) fn on_status_read(&mut self, id: RequestId, job: String, outcome: Outcome) {
+        match self.read_outcome(outcome) {
+            // The job may have been accepted, or have ended, while the record was read.
+            Ok(None) => match (self.terminal_jobs.get(&job), self.jobs.find(&job)) {
+                (Some(status), _) => self.answer_terminal(id, &job, status),
+                (None, Some(_)) => self.answer_busy(id),
+                (None, None) => self.answer_error(id, 404, "no such job"),
+            },
+            Ok(Some(pair)) => self.answer_record(id, &job, pair),
+            Err(()) => self.answer_busy(id),
+        }
+    }
+
+    /// Answers with what a job's record says, and with the counts that the leader knows.
+    pub(super) fn answer_record(&mut self, id: RequestId, job: &str, pair: KeyValue) {
+        let Some(record) = decode::<JobRecord>(&pair.value) else {
+            log_unreadable_record(job);
+            return self.answer_busy(id);
+        };
+        // The job's terminal state may have been learnt while the record was on its way.
+        if let Some(status) = self.terminal_jobs.get(job) {
+            return self.answer_terminal(id, job, status);
+        }
+        match record.status {
+            RecordedStatus::Live => self.answer_live_record(id, job, record, pair.revision),
+            terminal => {
+                if terminal == RecordedStatus::Aborted {
+                    self.learn_abort(job, pair.revision);
+                }
+                self.learn_terminal_state(job, terminal);
+                self.answer_terminal(id, job, terminal);
+            }
+        }
+    }
+
+    /// Answers for a job that is live by its record. A job with dependencies is answered once
+    /// theirs are read, as it is aborted with any of them.
+    fn answer_live_record(&mut self, id: RequestId, job: &str, record: JobRecord, revision: u64) {
+        let dependencies = record.spec.as_ref().map(|spec| spec.dependencies.clone());
+        let known = self.adopt(job, record, revision);
+        let answer = match known.and_then(|job_index| self.jobs.get(job_index)) {
+            Some(job) => live_answer(job),
+            None => answer_without_counts(job, JobStatus::Running),
+        };
+        match dependencies.filter(|dependencies| !dependencies.is_empty()) {
+            Some(dependencies) => self.walk(id, answer, dependencies),
+            None => self.answer(id, Response::new(200, to_cbor(&answer))),
+        }
+    }
+
+    /// Answers that a job has ended.
+    pub(crate) fn answer_terminal(&mut self, id: RequestId, job: &str, status: RecordedStatus) {
+        let status = match status {
+            RecordedStatus::Done => JobStatus::Done,
+            RecordedStatus::Aborted | RecordedStatus::Live => JobStatus::Aborted,
+        };
+        let answer = answer_without_counts(job, status);
+        self.answer(id, Response::new(200, to_cbor(&answer)));
+    }
+}
+
+/// An answer that says nothing about the job's tasks.
+pub(super) fn answer_without_counts(job: &str, status: JobStatus) -> JobAnswer {
+    JobAnswer { id: job.to_string(), status, done: None, running: None }
+}
+
+pub(super) fn log_unreadable_record(job: &str) {
+    tracing::error!(job = %job, "the job's record can't be decoded; it stays as it is");
+}
--- a/crates/core/src/api/status_queries.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -1,6 +1,8 @@
-//! Questions about jobs that the leader holds in memory. Those that came in a short
-//! while share one fresh read, sent after the last of them came: a transaction that
-//! changes nothing and only compares the jobs' stamps with those that memory rests on.
+//! Status queries of jobs that the leader has in memory.
+//!
+//! Queries that arrive within a short time share one validated read, sent after the last of them
+//! arrived: a transaction without changes whose conditions are the revisions of the records on
+//! which memory is based. An answer is given only if none of these records has changed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,190 +16,259 @@
 use crate::storage::records::{job_key, JOB_PREFIX};
 use crate::{Outcome, RequestId};
 
-/// Who asked about which job.
-type Asked = BTreeMap<JobIndex, Vec<RequestId>>;
+/// Conditions that the store accepts in a transaction for each change that it would accept.
+const GUARDS_PER_OP: usize = 4;
+/// Queries are gathered for this part of the writer's batch interval.
+const INTERVALS_PER_BATCH: u64 = 4;
+
+/// Queries that wait for an answer, by job.
+type QueriesByJob = BTreeMap<JobIndex, Vec<RequestId>>;
+
+/// Revisions of records on which memory is based, by job.
+type RevisionsByJob = BTreeMap<JobIndex, u64>;
 
-/// A comparison of what answers rest on with what stands.
+/// A comparison of the records on which answers are based with those in the store. It may take
+/// several transactions.
 #[derive(Debug, Default)]
 pub(crate) struct ValidatedRead {
-    asked: Asked,
-    /// Records, with the stamps that memory rests on, that are still to be compared.
-    open: BTreeMap<JobIndex, u64>,
-    /// Those of them that are being compared.
-    sent: BTreeMap<JobIndex, u64>,
+    queries: QueriesByJob,
+    /// Records that are still to be compared.
+    remaining: RevisionsByJob,
+    /// Records that are being compared, or have been.
+    sent: RevisionsByJob,
     /// Jobs whose records have changed.
     changed: BTreeSet<JobIndex>,
 }
 
+impl ValidatedRead {
+    /// Whether the records can be added without exceeding one transaction.
+    fn has_capacity_for(&self, records: &RevisionsByJob, max_guards: usize) -> bool {
+        let added = records.keys().filter(|job| !self.remaining.contains_key(job)).count();
+        self.remaining.len() + added <= max_guards
+    }
+
+    fn add(&mut self, job: JobIndex, requests: Vec<RequestId>, records: RevisionsByJob) {
+        self.queries.insert(job, requests);
+        self.remaining.extend(records);
+    }
+
+    fn into_requests(self) -> impl Iterator<Item = RequestId> {
+        self.queries.into_values().flatten()
+    }
+}
+
+/// Status queries that wait for the next validated read.
 #[derive(Default)]
 pub(crate) struct StatusQueries {
-    asked: Asked,
-    waiting: usize,
-    sent_ms: u64,
+    waiting: QueriesByJob,
+    /// Number of queries that wait.
+    waiting_count: usize,
+    /// Steady time of the newest read.
+    last_read_ms: u64,
 }
 
-/// The state service takes so many conditions for each change that it would take.
-const GUARDS_PER_OP: usize = 4;
+impl StatusQueries {
+    fn push(&mut self, job: JobIndex, request: RequestId) {
+        self.waiting.entry(job).or_default().push(request);
+        self.waiting_count += 1;
+    }
+
+    /// Takes out all queries for a read that is sent now.
+    fn take(&mut self, now_ms: u64) -> QueriesByJob {
+        self.last_read_ms = now_ms;
+        self.waiting_count = 0;
+        std::mem::take(&mut self.waiting)
+    }
+}
 
 impl Controller {
-    /// Answers with a job's state after a fresh read.
+    /// Answers with a job's state after a fresh read of its record.
     pub(crate) fn query_status(&mut self, id: RequestId, job: String) {
         let known = self.jobs.find(&job).filter(|_| self.leads());
-        match known.filter(|ix| self.jobs.get(*ix).is_some_and(comparable)) {
-            Some(_)
-                if self.status_queries.waiting
-                    >= self.context.config.max_waiting_status_queries() =>
-            {
-                self.answer_busy(id)
-            }
-            Some(ix) => {
-                self.status_queries.asked.entry(ix).or_default().push(id);
-                self.status_queries.waiting += 1;
-            }
-            None => self.read_for(id, job),
+        let validatable =
+            known.filter(|job_index| self.jobs.get(*job_index).is_some_and(is_validatable));
+        let Some(job_index) = validatable else { return self.read_status(id, job) };
+        if self.status_queries.waiting_count >= self.context.config.max_waiting_status_queries() {
+            return self.answer_busy(id);
         }
+        self.status_queries.push(job_index, id);
     }
 
-    fn read_for(&mut self, id: RequestId, job: String) {
+    /// Answers a status query by a read of the job's record alone.
+    fn read_status(&mut self, id: RequestId, job: String) {
         self.read_job(id, &job, InFlight::Poll { request: id, id: job.clone() });
     }
 
-    /// Sends one read for all that has been asked since the last.
+    fn read_statuses(&mut self, job_index: JobIndex, requests: Vec<RequestId>) {
+        let job = self.jobs.get(job_index).map(|job| job.id.clone());
+        for id in requests {
+            match &job {
+                Some(job) => self.read_status(id, job.clone()),
+                None => self.answer_busy(id),
+            }
+        }
+    }
+
+    /// Sends a validated read for the queries that have arrived since the last.
     pub(crate) fn tick_status_queries(&mut self) {
-        let now = self.context.now.steady_ms;
-        if self.status_queries.asked.is_empty()
-            || now < self.status_queries.sent_ms + self.context.config.write_batch_ms() / 4
+        let now_ms = self.context.now.steady_ms;
+        let interval_ms = self.context.config.write_batch_ms() / INTERVALS_PER_BATCH;
+        if self.status_queries.waiting.is_empty()
+            || now_ms < self.status_queries.last_read_ms + interval_ms
         {
             return;
         }
-        self.status_queries.sent_ms = now;
-        self.status_queries.waiting = 0;
-        let most = GUARDS_PER_OP * self.limits().txn_ops;
-        let mut batch = ValidatedRead::default();
-        for (ix, ids) in std::mem::take(&mut self.status_queries.asked) {
-            let Some(rests_on) = self.rests_on(ix) else {
-                // A record is under way, or has ended meanwhile.
-                self.ask_singly(ix, ids);
+        let max_guards = self.max_guards();
+        let mut read = ValidatedRead::default();
+        for (job_index, requests) in self.status_queries.take(now_ms) {
+            let Some(records) = self.records_behind(job_index) else {
+                // One of the records is being written, or a job has ended meanwhile.
+                self.read_statuses(job_index, requests);
                 continue;
             };
-            // One job's may be more than one comparison takes: they go one after another.
-            let more = rests_on.iter().filter(|(j, _)| !batch.open.contains_key(j)).count();
-            if batch.open.len() + more > most && !batch.open.is_empty() {
-                self.compare(std::mem::take(&mut batch));
+            // The records of one job may exceed a transaction: they are compared in several.
+            if !read.has_capacity_for(&records, max_guards) && !read.remaining.is_empty() {
+                self.send_validated_read(std::mem::take(&mut read));
             }
-            batch.asked.insert(ix, ids);
-            batch.open.extend(rests_on);
+            read.add(job_index, requests, records);
         }
-        self.compare(batch);
+        self.send_validated_read(read);
+    }
+
+    /// Conditions that one transaction may have.
+    fn max_guards(&self) -> usize {
+        GUARDS_PER_OP * self.limits().txn_ops
     }
 
-    /// The records, with their stamps, on which what memory says of a job rests: its own,
-    /// and those of the jobs that it waits for, directly or through others.
-    fn rests_on(&self, ix: JobIndex) -> Option<BTreeMap<JobIndex, u64>> {
-        let mut all = self.before(ix)?;
-        all.push(ix);
-        let revision =
-            |j: &JobIndex| self.jobs.get(*j).filter(|j| comparable(j)).map(|j| j.revision);
-        all.into_iter().map(|j| Some((j, revision(&j)?))).collect()
+    /// The records on which the state of a job in memory is based: its own, and those of the jobs
+    /// that it waits for, directly or through others. `None` if one of them can't be validated.
+    fn records_behind(&self, job_index: JobIndex) -> Option<RevisionsByJob> {
+        let mut jobs = self.before(job_index)?;
+        jobs.push(job_index);
+        let revision = |job_index: &JobIndex| {
+            self.jobs.get(*job_index).filter(|job| is_validatable(job)).map(|job| job.revision)
+        };
+        jobs.into_iter().map(|job_index| Some((job_index, revision(&job_index)?))).collect()
     }
 
-    fn compare(&mut self, mut compared: ValidatedRead) {
-        if compared.asked.is_empty() {
+    /// Compares as many of the remaining records as one transaction takes.
+    fn send_validated_read(&mut self, mut read: ValidatedRead) {
+        if read.queries.is_empty() {
             return;
         }
         if !self.may_read_for_request() {
-            return compared.asked.into_values().flatten().for_each(|id| self.answer_busy(id));
+            return self.answer_queries_busy(read.into_requests());
         }
-        let most = GUARDS_PER_OP * self.limits().txn_ops;
-        let now: Vec<(JobIndex, u64)> =
-            compared.open.iter().take(most).map(|(j, s)| (*j, *s)).collect();
-        let mut guards = Vec::with_capacity(now.len());
-        for (ix, revision) in now {
-            compared.open.remove(&ix);
-            match self.jobs.get(ix) {
-                Some(j) => {
-                    guards.push(Guard { path: job_key(&j.id), revision });
-                    compared.sent.insert(ix, revision);
+        let max_guards = self.max_guards();
+        let next: Vec<(JobIndex, u64)> = read
+            .remaining
+            .iter()
+            .take(max_guards)
+            .map(|(job_index, revision)| (*job_index, *revision))
+            .collect();
+        let mut guards = Vec::with_capacity(next.len());
+        for (job_index, revision) in next {
+            read.remaining.remove(&job_index);
+            match self.jobs.get(job_index) {
+                Some(job) => {
+                    guards.push(Guard { path: job_key(&job.id), revision });
+                    read.sent.insert(job_index, revision);
                 }
-                // It has ended since.
-                None => drop(compared.changed.insert(ix)),
+                // The job has ended since.
+                None => drop(read.changed.insert(job_index)),
             }
         }
         let body = to_cbor(&Transaction { guards, apply: Vec::new() });
-        let pending = InFlight::Compare { compared, epoch: self.epoch() };
-        self.call_store("POST", "/multi".into(), body, pending);
+        let call = InFlight::Compare { compared: read, epoch: self.epoch() };
+        self.call_store("POST", "/multi".into(), body, call);
     }
 
-    fn ask_singly(&mut self, ix: JobIndex, ids: Vec<RequestId>) {
-        let job = self.jobs.get(ix).map(|j| j.id.clone());
-        for id in ids {
-            match &job {
-                Some(job) => self.read_for(id, job.clone()),
-                None => self.answer_busy(id),
-            }
-        }
+    fn answer_queries_busy(&mut self, requests: impl Iterator<Item = RequestId>) {
+        requests.for_each(|id| self.answer_busy(id));
     }
 
+    /// Handles the outcome of a validated read that was sent in an epoch.
     pub(crate) fn on_compare(&mut self, mut compared: ValidatedRead, epoch: u64, outcome: Outcome) {
-        let failed = match &outcome {
-            Outcome::Answer(r) if r.status == 200 => Some(Vec::new()),
-            Outcome::Answer(r) if r.status == 409 => {
-                from_cbor::<TransactionAnswer>(&r.body).ok().map(|a| a.failed)
-            }
-            Outcome::Answer(r) => {
-                self.on_store_throttled(r.status);
-                None
-            }
-            _ => None,
-        };
-        // Another memory's keys say nothing of ours.
+        let failed = self.failed_conditions(&outcome);
+        // Job indexes of an earlier epoch mean nothing in the present memory.
         let Some(failed) = failed.filter(|_| epoch == self.epoch()) else {
-            return compared.asked.into_values().flatten().for_each(|id| self.answer_busy(id));
+            return self.answer_queries_busy(compared.into_requests());
         };
         self.note_store_answer();
         for path in failed {
-            let found = path.strip_prefix(JOB_PREFIX).and_then(|id| self.jobs.find(id));
-            let Some(ix) = found else { continue };
-            compared.changed.insert(ix);
-            // Memory is behind its record, or the record behind a late write; unless we wrote
-            // it meanwhile.
-            let sent = compared.sent.get(&ix).copied();
-            if self.jobs.get(ix).is_some_and(|j| comparable(j) && Some(j.revision) == sent) {
-                self.reread_job(ix);
-            }
+            self.on_record_changed(&mut compared, &path);
         }
-        if !compared.open.is_empty() {
-            return self.compare(compared);
+        if !compared.remaining.is_empty() {
+            return self.send_validated_read(compared);
         }
-        for (ix, ids) in compared.asked {
-            let changed = |j: &JobIndex| compared.changed.contains(j);
-            let changed = changed(&ix) || self.before(ix).is_none_or(|b| b.iter().any(changed));
-            let stands = |j: &&Job| j.state.lives() && !changed;
-            match self.jobs.get(ix).filter(stands).map(live_answer) {
-                Some(answer) => {
-                    let body = to_cbor(&answer);
-                    ids.into_iter().for_each(|id| self.answer(id, Response::new(200, body.clone())))
-                }
-                None => self.ask_singly(ix, ids),
+        for (job_index, requests) in compared.queries {
+            self.answer_validated(job_index, requests, &compared.changed);
+        }
+    }
+
+    /// Keys of the records that have changed; `None` if the comparison was not made.
+    fn failed_conditions(&mut self, outcome: &Outcome) -> Option<Vec<String>> {
+        match outcome {
+            Outcome::Answer(answer) if answer.status == 200 => Some(Vec::new()),
+            Outcome::Answer(answer) if answer.status == 409 => {
+                from_cbor::<TransactionAnswer>(&answer.body).ok().map(|answer| answer.failed)
             }
+            Outcome::Answer(answer) => {
+                self.on_store_throttled(answer.status);
+                None
+            }
+            Outcome::Lost | Outcome::NotSent => None,
+        }
+    }
+
+    /// Notes that a record has changed. Unless this leader has written it meanwhile, memory is
+    /// behind the record, or a late write was applied: it is read again.
+    fn on_record_changed(&mut self, read: &mut ValidatedRead, path: &str) {
+        let found = path.strip_prefix(JOB_PREFIX).and_then(|id| self.jobs.find(id));
+        let Some(job_index) = found else { return };
+        read.changed.insert(job_index);
+        let sent = read.sent.get(&job_index).copied();
+        let is_as_sent = |job: &Job| is_validatable(job) && Some(job.revision) == sent;
+        if self.jobs.get(job_index).is_some_and(is_as_sent) {
+            self.reread_job(job_index);
+        }
+    }
+
+    /// Answers the queries of one job from memory, if no record on which it is based has changed.
+    fn answer_validated(
+        &mut self,
+        job_index: JobIndex,
+        requests: Vec<RequestId>,
+        changed: &BTreeSet<JobIndex>,
+    ) {
+        let is_changed = |job_index: &JobIndex| changed.contains(job_index);
+        let is_outdated = is_changed(&job_index)
+            || self.before(job_index).is_none_or(|jobs| jobs.iter().any(is_changed));
+        let is_valid = |job: &&Job| job.state.lives() && !is_outdated;
+        let Some(answer) = self.jobs.get(job_index).filter(is_valid).map(live_answer) else {
+            return self.read_statuses(job_index, requests);
+        };
+        let body = to_cbor(&answer);
+        for id in requests {
+            self.answer(id, Response::new(200, body.clone()));
         }
     }
 
-    /// What waits for an answer when this controller no longer leads.
+    /// Answers all queries that wait, as this controller no longer leads.
     pub(crate) fn drop_status_queries(&mut self) {
-        let polls = std::mem::take(&mut self.status_queries);
-        polls.asked.into_values().flatten().for_each(|id| self.answer_busy(id));
+        let dropped = std::mem::take(&mut self.status_queries);
+        self.answer_queries_busy(dropped.waiting.into_values().flatten());
     }
 }
 
-/// Memory rests on a record of the job whose stamp is known.
-fn comparable(job: &Job) -> bool {
+/// Whether memory is based on a record of the job whose revision is known.
+fn is_validatable(job: &Job) -> bool {
     job.state.lives() && !job.busy && (job.revision > 0 || job.page.is_some())
 }
 
-/// What is told of a job that had not ended at the time of a read: its end is told
-/// only once it is on record.
-pub(crate) fn live_answer(job: &Job) -> JobAnswer {
+/// The answer for a job that had not ended at the time of a read: its end is reported only once it
+/// is recorded.
+pub(super) fn live_answer(job: &Job) -> JobAnswer {
     let answer = job.answer();
     match answer.status {
         JobStatus::Queued | JobStatus::Running => answer,
--- /dev/null
+++ b/crates/core/src/api/submit.rs
@@ -0,0 +1,425 @@
+//! Submissions: checked, and recorded by the leader or, without it, by any controller that has
+//! access to the key-value store.
+//!
+//! A submission is idempotent: a job that is known is never rejected or recorded again, and a
+//! repeated submission is answered with the job's state, whatever else it says. Every write that
+//! accepts a job is therefore guarded by the absence of its record.
+
+use quartzgate_feature_gates::Feature;
+use quartzgate_wire::http::Response;
+use quartzgate_wire::msg::{
+    Change, Guard, JobSpec, JobStatus, Priority, Transaction, TransactionAnswer,
+};
+use quartzgate_wire::{from_cbor, to_cbor};
+
+use crate::controller::{Controller, InFlight};
+use crate::ids::JobIndex;
+use crate::jobs::JobState;
+use crate::storage::placement_records::{PlacementWrite, RecordLocation};
+use crate::storage::record_writer::Purpose;
+use crate::storage::records::{
+    batch_key, checked_size, encode, handoff_key, job_key, JobRecord, RecordedStatus, EPOCH_KEY,
+};
+use crate::{Outcome, RequestId};
+
+use super::admissibility::Admissibility;
+use super::status::answer_without_counts;
+use super::WRITES_WITHOUT_LEADER;
+
+/// How a submission is rejected if its job is not known.
+#[derive(Debug)]
+pub(crate) struct Refusal {
+    /// HTTP status of the answer.
+    status: u16,
+    /// The reason, as the answer gives it.
+    reason: String,
+}
+
+impl Controller {
+    /// The leader decides a submission.
+    pub(super) fn submit_to_leader(&mut self, id: RequestId, spec: JobSpec) {
+        if !self.answer_if_submitted(id, &spec.id) {
+            self.submit_unknown_job(id, spec)
+        }
+    }
+
+    /// Answers for a job that is in memory; false if it is not.
+    pub(super) fn answer_if_submitted(&mut self, id: RequestId, job: &str) -> bool {
+        if self.job_batches.unreadable(job) {
+            self.answer_busy(id);
+            return true;
+        }
+        let Some(known) = self.jobs.find(job).and_then(|job_index| self.jobs.get(job_index)) else {
+            return false;
+        };
+        match known.state {
+            // The outcome of the first submission is not known yet.
+            JobState::Recording => self.answer_busy(id),
+            _ => self.query_status(id, job.to_string()),
+        }
+        true
+    }
+
+    /// Decides the submission of a job that is not in memory. Its dependencies, if it has any, are
+    /// read before it is accepted.
+    pub(super) fn submit_unknown_job(&mut self, id: RequestId, spec: JobSpec) {
+        let Some(spec) = self.check_submission(id, spec) else { return };
+        if spec.dependencies.is_empty() {
+            self.submit_admitted(id, spec, false)
+        } else {
+            self.admit(id, spec)
+        }
+    }
+
+    /// Checks a submission as far as that is possible without reading. One that fails is answered,
+    /// once it is known that its job does not exist.
+    fn check_submission(&mut self, id: RequestId, spec: JobSpec) -> Option<JobSpec> {
+        match self.admissibility(&spec) {
+            Admissibility::Admissible => {}
+            Admissibility::Inadmissible(why) => {
+                self.refuse(id, spec.id, 422, why);
+                return None;
+            }
+            Admissibility::Unknown => {
+                self.read_submitted_job(id, spec.id, None);
+                return None;
+            }
+        }
+        if spec.dependencies.contains(&spec.id) {
+            self.refuse(id, spec.id, 422, "a job can't need itself");
+            return None;
+        }
+        let record = self.job_record(spec);
+        let fits_record = checked_size(&record) <= self.value_most();
+        let spec = record.spec?;
+        if !fits_record {
+            self.refuse(id, spec.id, 400, "too large to be kept: fewer prereqs or shorter names");
+            return None;
+        }
+        Some(spec)
+    }
+
+    /// Rejects a submission, unless its job is known.
+    pub(crate) fn refuse(&mut self, id: RequestId, job: String, status: u16, why: &str) {
+        let refusal = Refusal { status, reason: why.to_string() };
+        self.read_submitted_job(id, job, Some(refusal));
+    }
+
+    /// Reads whether a job exists whose submission is to be rejected, or can't be decided (without
+    /// `refusal`).
+    fn read_submitted_job(&mut self, id: RequestId, job: String, refusal: Option<Refusal>) {
+        let call = InFlight::Known { request: id, job: job.clone(), refusal };
+        self.read_job(id, &job, call);
+    }
+
+    /// Handles the read of a job whose submission is to be rejected or can't be decided.
+    pub(crate) fn on_known(
+        &mut self,
+        id: RequestId,
+        job: String,
+        refusal: Option<Refusal>,
+        outcome: Outcome,
+    ) {
+        match self.read_outcome(outcome) {
+            // The job may have been accepted while the record was read.
+            Ok(None) if self.jobs.find(&job).is_some() => self.answer_busy(id),
+            Ok(None) => match (self.terminal_jobs.get(&job), refusal) {
+                (Some(status), _) => self.answer_terminal(id, &job, status),
+                (None, Some(Refusal { status, reason })) => {
+                    tracing::info!(job = %job, why = reason, "submission rejected");
+                    self.answer_error(id, status, &reason)
+                }
+                (None, None) => self.answer_busy(id),
+            },
+            Ok(Some(pair)) => self.answer_record(id, &job, pair),
+            Err(()) => self.answer_busy(id),
+        }
+    }
+
+    /// The record of a job that is accepted now.
+    pub(crate) fn job_record(&self, spec: JobSpec) -> JobRecord {
+        JobRecord {
+            status: RecordedStatus::Live,
+            spec: Some(spec),
+            at_ms: self.context.now.wall_ms,
+            done_chunks: Vec::new(),
+            service: false,
+            share: None,
+        }
+    }
+
+    /// Records a submission all of whose dependencies were accepted. `cancelled`: one of them was
+    /// aborted, and the job is aborted with it.
+    pub(crate) fn submit_admitted(&mut self, id: RequestId, spec: JobSpec, cancelled: bool) {
+        if !self.leads() {
+            return self.submit_without_leader(id, spec, cancelled);
+        }
+        if self.answer_if_submitted(id, &spec.id) {
+            return;
+        }
+        let Some(team) = self.context.config.team(&spec.team) else { return self.answer_busy(id) };
+        if !cancelled && self.belongs_in_batch(&spec) {
+            if !self.add_to_intake(id, spec, team) {
+                self.reject_overloaded(id);
+            }
+            return;
+        }
+        if !self.may_accept(spec.priority) {
+            return self.reject_overloaded(id);
+        }
+        self.record_submission(id, spec, team);
+    }
+
+    /// The leader writes the record of an accepted job, together with its first placement if that
+    /// is possible now.
+    fn record_submission(&mut self, id: RequestId, spec: JobSpec, team: usize) {
+        self.record_writer.note(Purpose::Accept, 1);
+        let record = self.job_record(spec.clone());
+        let job_id = spec.id.clone();
+        let priority = spec.priority;
+        let is_done = |job: &String| self.terminal_jobs.get(job) == Some(RecordedStatus::Done);
+        let is_ready = spec.dependencies.iter().all(is_done);
+        let job = self.new_job(spec, team, JobState::Recording, 0, record.at_ms);
+        let job_index = self.jobs.insert(job);
+        let placement = if is_ready { self.first_placement(job_index, priority) } else { None };
+        let placed = placement.as_ref().map_or(RecordLocation::default(), |write| write.placed);
+        let (mut guards, mut apply) = (vec![self.epoch_guard()], Vec::new());
+        if !placed.own {
+            let key = job_key(&job_id);
+            let value = encode(&record);
+            apply.push(Change::Set { set: key.clone(), value, lease_id: None });
+            guards.push(Guard { path: key, revision: 0 });
+        }
+        if let Some(placement) = placement {
+            placement.enter(&job_id, 0, &mut guards, &mut apply);
+            self.chunk_sent(job_index, 0, placed);
+        }
+        if let Some(job) = self.jobs.get_mut(job_index) {
+            job.busy = true;
+        }
+        let body = to_cbor(&Transaction { guards, apply });
+        let call = InFlight::Accept { request: id, job: job_index, placed, epoch: self.epoch() };
+        self.call_store("POST", "/multi".into(), body, call);
+    }
+
+    /// Places a job that is about to be accepted. The placement is written together with the
+    /// acceptance: within the same change if it fits the job's own record, else if the rate limit
+    /// leaves further ones.
+    fn first_placement(
+        &mut self,
+        job_index: JobIndex,
+        priority: Priority,
+    ) -> Option<PlacementWrite> {
+        let is_inline = self.inlines(job_index);
+        if !is_inline && !self.may_place_immediately(priority) {
+            return None;
+        }
+        let prepaid = if is_inline { 0.0 } else { 1.0 };
+        let placement = self.place_before_acceptance(job_index, priority, is_inline);
+        let spent = match &placement {
+            Some(write) if !write.placed.inline => write.changes() as f64,
+            _ => 0.0,
+        };
+        self.record_writer.writes.force(self.context.now.steady_ms, spent - prepaid);
+        self.record_writer.note(Purpose::Deal, spent as usize);
+        placement
+    }
+
+    /// The placement of a job, if it can be placed now and fits the transaction that accepts it.
+    fn place_before_acceptance(
+        &mut self,
+        job_index: JobIndex,
+        priority: Priority,
+        is_inline: bool,
+    ) -> Option<PlacementWrite> {
+        if self.backlog().full(priority) || !self.place_job(job_index) {
+            return None;
+        }
+        let max_changes = self.limits().txn_ops - 1;
+        let fits = |write: &PlacementWrite| {
+            write.placed.inline || !is_inline && write.changes() <= max_changes
+        };
+        let placement = self.placement_write(job_index, 0).filter(fits);
+        if placement.is_none() {
+            // A placement that needs more changes follows in a write of its own.
+            self.mark_blocking_starts(job_index, 0);
+        }
+        placement
+    }
+
+    /// Handles the outcome of the leader's write that accepts a job.
+    pub(crate) fn on_accept(
+        &mut self,
+        id: RequestId,
+        job_index: JobIndex,
+        placed: RecordLocation,
+        outcome: Outcome,
+    ) {
+        if let Outcome::Answer(answer) = &outcome {
+            if let (200, Ok(done)) = (answer.status, from_cbor(&answer.body)) {
+                return self.on_accepted(id, job_index, placed, done);
+            }
+        }
+        // Not recorded as far as is known: memory drops the job. Should the write be applied
+        // later, the job is found by its next status query or submission, or by looking for it.
+        let job_id = self.jobs.get(job_index).map(|job| job.id.clone()).unwrap_or_default();
+        self.drop_job(job_index);
+        match outcome {
+            Outcome::Answer(answer) if answer.status == 409 => {
+                self.note_store_answer();
+                if failed_keys(&answer)
+                    .is_some_and(|failed| failed.iter().any(|key| key == EPOCH_KEY))
+                {
+                    self.step_down();
+                    return self.answer_busy(id);
+                }
+                self.query_status(id, job_id)
+            }
+            Outcome::Answer(answer) => {
+                self.on_store_throttled(answer.status);
+                self.answer_busy(id)
+            }
+            Outcome::NotSent => self.answer_busy(id),
+            Outcome::Lost => {
+                self.track_indeterminate_submission(job_id);
+                self.answer_busy(id)
+            }
+        }
+    }
+
+    /// The job is recorded: it is live, and its tasks may start.
+    fn on_accepted(
+        &mut self,
+        id: RequestId,
+        job_index: JobIndex,
+        placed: RecordLocation,
+        answer: TransactionAnswer,
+    ) {
+        self.note_store_answer();
+        let Some(job) = self.jobs.get_mut(job_index) else { return self.answer_busy(id) };
+        job.revision = answer.store_revision;
+        job.busy = false;
+        let job_id = job.id.clone();
+        if placed != RecordLocation::default() {
+            self.chunk_stands(job_index, 0, placed, answer.store_revision);
+        }
+        self.link(job_index);
+        self.set_job_state(job_index, JobState::Live);
+        // The job may depend on one that is aborted.
+        let status = match self.terminal_jobs.get(&job_id) {
+            Some(RecordedStatus::Aborted) => JobStatus::Aborted,
+            _ => JobStatus::Queued,
+        };
+        let answer = answer_without_counts(&job_id, status);
+        self.answer(id, Response::new(201, to_cbor(&answer)));
+        self.touch_probed(job_index);
+        self.placement_due = true;
+        self.preempt_due = true;
+    }
+
+    /// Records a submission by the store alone, after a look whether a batch record holds the job.
+    fn submit_without_leader(&mut self, id: RequestId, spec: JobSpec, cancelled: bool) {
+        if !self.has(Feature::BatchRecords) {
+            return self.record_without_leader(id, spec, cancelled, None);
+        }
+        // No lookup is worth it if the job could not be recorded.
+        let now_ms = self.context.now.steady_ms;
+        if self.record_writer.writes.room(now_ms, 0.0) < WRITES_WITHOUT_LEADER {
+            return self.answer_busy(id);
+        }
+        let job = spec.id.clone();
+        let call = InFlight::AloneRead { request: id, spec: Box::new(spec), cancelled };
+        self.look_up_in_batches(&job, call);
+    }
+
+    /// Handles the lookup of a job that is to be recorded without the leader.
+    pub(crate) fn on_alone_read(
+        &mut self,
+        id: RequestId,
+        spec: JobSpec,
+        cancelled: bool,
+        outcome: Outcome,
+    ) {
+        match self.read_outcome(outcome) {
+            Ok(None) => {
+                // No batch that was checked holds the job, and none may have come since.
+                let next_batch = self.job_batches.last_batch_checked() + 1;
+                self.record_without_leader(id, spec, cancelled, Some(next_batch))
+            }
+            Ok(Some(pair)) => self.answer_record(id, &spec.id, pair),
+            Err(()) => self.answer_busy(id),
+        }
+    }
+
+    /// Writes a job's record and its handoff entry, under the condition that there is neither a
+    /// record of the job nor the batch `absent_batch`.
+    fn record_without_leader(
+        &mut self,
+        id: RequestId,
+        spec: JobSpec,
+        cancelled: bool,
+        absent_batch: Option<u64>,
+    ) {
+        let now_ms = self.context.now.steady_ms;
+        if !self.record_writer.writes.take(now_ms, WRITES_WITHOUT_LEADER, 0.0) {
+            return self.answer_busy(id);
+        }
+        let job = spec.id.clone();
+        let record = self.job_record(spec);
+        let mut guards = vec![Guard { path: job_key(&job), revision: 0 }];
+        guards.extend(absent_batch.map(|number| Guard { path: batch_key(number), revision: 0 }));
+        let body = to_cbor(&Transaction {
+            guards,
+            apply: vec![
+                Change::Set { set: job_key(&job), value: encode(&record), lease_id: None },
+                Change::Set { set: handoff_key(&job), value: encode(&false), lease_id: None },
+            ],
+        });
+        let call = InFlight::AcceptAlone { request: id, id: job, cancelled };
+        self.call_store("POST", "/multi".into(), body, call);
+    }
+
+    /// Handles the outcome of a write that accepts a job without the leader.
+    pub(crate) fn on_accept_alone(
+        &mut self,
+        id: RequestId,
+        job: String,
+        cancelled: bool,
+        outcome: Outcome,
+    ) {
+        match outcome {
+            Outcome::Answer(answer) if answer.status == 200 => {
+                self.note_store_answer();
+                self.on_accepted_without_leader(id, job, cancelled);
+            }
+            Outcome::Answer(answer) if answer.status == 409 => {
+                self.note_store_answer();
+                // A batch has been recorded meanwhile, with this job or with others.
+                if !failed_keys(&answer).is_some_and(|failed| failed.contains(&job_key(&job))) {
+                    return self.answer_busy(id);
+                }
+                self.read_job(id, &job, InFlight::Poll { request: id, id: job.clone() });
+            }
+            Outcome::Answer(answer) => {
+                self.on_store_throttled(answer.status);
+                self.answer_busy(id)
+            }
+            Outcome::Lost | Outcome::NotSent => self.answer_busy(id),
+        }
+    }
+
+    fn on_accepted_without_leader(&mut self, id: RequestId, job: String, cancelled: bool) {
+        tracing::info!(job = %job, "accepted without the leader");
+        if cancelled {
+            self.learn_terminal_state(&job, RecordedStatus::Aborted);
+        }
+        let status = if cancelled { JobStatus::Aborted } else { JobStatus::Queued };
+        let answer = answer_without_counts(&job, status);
+        self.answer(id, Response::new(201, to_cbor(&answer)));
+    }
+}
+
+/// Keys of the conditions that did not hold in a transaction, if the answer can be decoded.
+fn failed_keys(answer: &Response) -> Option<Vec<String>> {
+    from_cbor::<TransactionAnswer>(&answer.body).ok().map(|answer| answer.failed)
+}
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -9,6 +9,7 @@
 
 use crate::api::admission::AdmissionControl;
 use crate::api::status_queries::{StatusQueries, ValidatedRead};
+use crate::api::{Refusal, UserRequest};
 use crate::config::Config;
 use crate::context::{CallTable, Context};
 use crate::fleet::machines::{Machines, Resources};
@@ -60,7 +61,7 @@
     AbortWrite { request: Option<RequestId>, job: JobIndex, placed: RecordLocation, epoch: u64 },
     AbortRead { request: RequestId, id: String },
     AbortAlone { request: RequestId, id: String },
-    Known { request: RequestId, job: String, refusal: Option<(u16, String)> },
+    Known { request: RequestId, job: String, refusal: Option<Refusal> },
     ChainRead { job: String, epoch: u64 },
     WalkRead { request: RequestId, job: String },
     FormatRead,
@@ -81,20 +82,6 @@
     Return { machines: Vec<MachineIndex>, epoch: u64 },
 }
 
-/// A user's request, parsed.
-#[derive(Clone, Debug)]
-pub(crate) enum UserRequest {
-    Submit(Box<JobSpec>, Vec<u8>),
-    /// A submission that names a job and is wrong in something else: refused unless it is known.
-    Malformed {
-        job: String,
-        why: String,
-        body: Vec<u8>,
-    },
-    Poll(String),
-    Abort(String),
-}
-
 /// Ends of jobs, which never change again. Bounded: the oldest are read anew.
 pub(crate) struct TerminalJobs {
     known: HashMap<String, RecordedStatus>,
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -107,7 +107,7 @@
             put(&format!("writes.{name}"), self.record_writer.spent(purpose) as f64);
         }
         put("writes_short", f64::from(u8::from(self.admission.short())));
-        put("turned_away", self.admission.retry_advisor.total_rejections() as f64);
+        put("turned_away", self.admission.rejections() as f64);
         put("pages", self.job_batches.count() as f64);
         put("pages_jobs", self.job_batches.members() as f64);
         put("records_behind", self.record_writer.unwritten_records() as f64);
