--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -40,6 +40,6 @@
 impl Controller {
     /// The condition of every write of the leader: the epoch record is its own.
     fn epoch_guard(&self) -> Guard {
-        Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision }
+        Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision() }
     }
 }
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -1,10 +1,9 @@
-//! The controller: one value that takes events and gives actions.
+//! The controller: takes events, routes them to the modules, and returns actions.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-use quartzgate_feature_gates::ActivationRecord;
 use quartzgate_wire::http::Response;
-use quartzgate_wire::msg::{Heartbeat, JobSpec, MachineType};
+use quartzgate_wire::msg::{JobSpec, MachineType};
 use rand::rngs::SmallRng;
 
 use crate::api::admission::AdmissionControl;
@@ -14,48 +13,31 @@
 use crate::context::{CallTable, Context};
 use crate::fleet::machines::{Machines, Resources};
 use crate::fleet::provisioning::Provisioner;
-use crate::ids::{JobIndex, MachineIndex, TaskKey};
+use crate::fleet::{FleetCall, OutOfZoneWorkers};
+use crate::ids::{JobIndex, MachineIndex};
 use crate::jobs::dependencies::DependencyGraph;
 use crate::jobs::Jobs;
-use crate::latency::LatencySpan;
 use crate::lease_proxy::mailbox::Mailbox;
 use crate::lease_proxy::LeaseProxy;
 use crate::membership::stall::ProcessStall;
 use crate::membership::{Membership, Role};
-use crate::placement::candidates::SearchBudget;
-use crate::placement::dispatch::DemandRatios;
+use crate::placement::demand_ratios::DemandRatios;
 use crate::placement::gangs::GangHold;
-use crate::recovery::Recovery;
+use crate::placement::search_budget::SearchBudget;
+use crate::recovery::{RecordedJobReads, Recovery, RecoveryCall};
+use crate::storage::calls::StorageCall;
 use crate::storage::feature_state::FeatureState;
 use crate::storage::job_batches::{BatchCall, JobBatches};
 use crate::storage::placement_records::RecordLocation;
-use crate::storage::record_writer::{FlushItem, RecordWriter};
+use crate::storage::record_writer::RecordWriter;
 use crate::storage::records::RecordedStatus;
 use crate::{Action, Event, LoadState, Now, Outcome, Peer, RequestId};
 
 /// What a call of ours was for.
 #[derive(Debug)]
 pub(crate) enum InFlight {
-    LeaseNew { sent_ms: u64 },
-    LeaseRenew { sent_ms: u64 },
-    MemberKey,
-    KeepClaim { epoch: u64, lease_id: u64 },
-    KeepRead { job: String, sent_ms: u64 },
-    MailboxRecord { ids: Vec<u64> },
-    HandedOn { sibling: usize, id: u64 },
-    OrdersRelayed { request: RequestId },
-    ReadAgain { job: String, epoch: u64 },
-    ControlRead { sent_ms: u64 },
-    ControlWatch { sent_ms: u64 },
-    Elect { epoch: u64 },
-    InboxWatch { sent_ms: u64, epoch: u64 },
+    ProxiedJobRead { job: String, sent_ms: u64 },
     InboxRead { job: String, epoch: u64 },
-    InboxList { rev: Option<u64>, epoch: u64 },
-    Recovery { epoch: u64 },
-    Orders { machine: MachineIndex, fencing_token: u64, starts: Vec<(TaskKey, u64)> },
-    Inspect { machine: MachineIndex, epoch: u64 },
-    Flush { items: Vec<FlushItem>, sent_ms: u64, epoch: u64 },
-    Restamp { item: FlushItem, epoch: u64 },
     Accept { request: RequestId, job: JobIndex, placed: RecordLocation, epoch: u64 },
     AcceptAlone { request: RequestId, id: String, cancelled: bool },
     AbortWrite { request: Option<RequestId>, job: JobIndex, placed: RecordLocation, epoch: u64 },
@@ -64,25 +46,16 @@
     Known { request: RequestId, job: String, refusal: Option<Refusal> },
     ChainRead { job: String, epoch: u64 },
     WalkRead { request: RequestId, job: String },
-    FormatRead,
-    MembersRead,
-    Step { record: ActivationRecord, epoch: u64 },
     Poll { request: RequestId, id: String },
     AloneRead { request: RequestId, spec: Box<JobSpec>, cancelled: bool },
     Batch(BatchCall),
     Compare { compared: ValidatedRead, epoch: u64 },
     Forward { request: RequestId, sibling: usize, work: Box<UserRequest> },
-    Beat { sibling: usize },
     Told,
-    Relay { request: RequestId, report: Box<Heartbeat> },
-    Adopt { job: JobIndex, epoch: u64 },
     Types,
-    List { since: Option<String> },
-    Hire { kind: String, zone: u16, spot: bool, wanted: u32, name: String, epoch: u64 },
-    Return { machines: Vec<MachineIndex>, epoch: u64 },
 }
 
-/// Ends of jobs, which never change again. Bounded: the oldest are read anew.
+/// Terminal states of jobs, which never change again. Bounded: the oldest are read anew.
 pub(crate) struct TerminalJobs {
     known: HashMap<String, RecordedStatus>,
     order: VecDeque<String>,
@@ -110,19 +83,27 @@
     }
 }
 
+/// Resources that a team uses.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TeamUsage {
-    /// Dealt and not provably ended: what the limit is held against.
+    /// Placed and not proven to have ended: what the quota is held against.
     pub reserved: Resources,
     /// On machines.
     pub placed: Resources,
-    /// Perhaps on machines: not proven free yet.
+    /// Perhaps on machines: not proven to be gone yet.
     pub unproven: Resources,
 }
 
+/// One controller: routes each event to the modules that own the state, and their actions out.
+///
+/// The modules up to `types` hold what every controller knows; those after it are the leader's
+/// memory, which is rebuilt from the records when it is elected and cleared when it steps down.
 pub struct Controller {
     pub(crate) context: Context,
     calls: CallTable<InFlight>,
+    pub(crate) storage_calls: CallTable<StorageCall>,
+    pub(crate) recovery_calls: CallTable<RecoveryCall>,
+    pub(crate) fleet_calls: CallTable<FleetCall>,
     pub(crate) membership: Membership,
     pub(crate) terminal_jobs: TerminalJobs,
     pub(crate) dependency_graph: DependencyGraph,
@@ -131,14 +112,12 @@
     pub(crate) status_queries: StatusQueries,
     pub(crate) job_batches: JobBatches,
     pub(crate) mailbox: Mailbox,
-    /// Workers of other zones: since when they report here, and when they were last sent
-    /// to the leader.
-    pub(crate) out_of_zone_workers: BTreeMap<String, (u64, u64)>,
+    pub(crate) out_of_zone_workers: OutOfZoneWorkers,
     pub(crate) stall: ProcessStall,
     pub(crate) types: Vec<MachineType>,
     pub(crate) types_at_ms: Option<u64>,
     pub(crate) types_asked_ms: u64,
-    // The leader's memory, emptied when it is superseded.
+    // The leader's memory.
     pub(crate) jobs: Jobs,
     pub(crate) machines: Machines,
     pub(crate) teams: Vec<TeamUsage>,
@@ -148,7 +127,7 @@
     pub(crate) ratios: DemandRatios,
     pub(crate) search_budget: SearchBudget,
     pub(crate) load: LoadState,
-    /// What the daemon tells of requests that waited.
+    /// Metrics of requests that waited, from the event loop.
     pub(crate) intake: Vec<(String, f64)>,
     pub(crate) admission: AdmissionControl,
     pub(crate) epoch_began_ms: u64,
@@ -166,20 +145,17 @@
     pub(crate) supply_changed: bool,
     pub(crate) round_at_ms: u64,
     pub(crate) second_at_ms: u64,
-    /// Reads of records that failed and are tried again.
-    pub(crate) record_reads_to_retry: Vec<FlushItem>,
-    pub(crate) handoff_reads_to_retry: Vec<String>,
-    /// Jobs whose acceptance got no answer, and until when they are looked for.
-    pub(crate) indeterminate_submissions: BTreeMap<String, u64>,
-    /// Reports whose workers were sent elsewhere.
+    pub(crate) recorded_job_reads: RecordedJobReads,
+    /// Heartbeats that were answered with a redirect.
     pub(crate) let_go: u64,
-    /// Room that is kept for gangs, by machine.
+    /// Resources that are held for gangs, by machine.
     pub(crate) gang_holds: BTreeMap<MachineIndex, GangHold>,
-    /// Late copies of reports that were dropped.
+    /// Duplicates of heartbeats that were dropped.
     pub(crate) duplicates_dropped: u64,
 }
 
 impl Controller {
+    /// A controller that has just been started, with its settings and its random numbers.
     pub fn new(cfg: Config, rng: SmallRng) -> Self {
         let teams = vec![TeamUsage::default(); cfg.platform.params.teams.len()];
         let record_writer = RecordWriter::new(&cfg.platform.params.state);
@@ -190,10 +166,13 @@
         let search_budget = SearchBudget::new(cfg.platform.params.limits.cpu_share);
         let terminal_jobs = TerminalJobs::new(cfg.max_terminal_jobs());
         let lease_proxy = LeaseProxy::new(&cfg);
-        let stall = ProcessStall::new(&cfg);
+        let stall = ProcessStall::default();
         Controller {
             context: Context::new(cfg, rng),
             calls: CallTable::default(),
+            storage_calls: CallTable::default(),
+            recovery_calls: CallTable::default(),
+            fleet_calls: CallTable::default(),
             membership,
             terminal_jobs,
             dependency_graph: DependencyGraph::default(),
@@ -202,7 +181,7 @@
             status_queries: StatusQueries::default(),
             job_batches: JobBatches::default(),
             mailbox: Mailbox::default(),
-            out_of_zone_workers: BTreeMap::new(),
+            out_of_zone_workers: OutOfZoneWorkers::default(),
             stall,
             types: Vec::new(),
             types_at_ms: None,
@@ -233,16 +212,14 @@
             supply_changed: false,
             round_at_ms: 0,
             second_at_ms: 0,
-            record_reads_to_retry: Vec::new(),
-            handoff_reads_to_retry: Vec::new(),
-            indeterminate_submissions: BTreeMap::new(),
+            recorded_job_reads: RecordedJobReads::default(),
             let_go: 0,
             gang_holds: BTreeMap::new(),
             duplicates_dropped: 0,
         }
     }
 
-    /// Takes in what has happened; returns what is to be done.
+    /// Takes in what has happened; returns what is to be done, in this order.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
         let before_ms = std::mem::replace(&mut self.context.now, now).steady_ms;
         let gap_ms = now.steady_ms.saturating_sub(before_ms);
@@ -260,6 +237,16 @@
             Event::Outcome { call, outcome } => {
                 if let Some(pending) = self.calls.take(call) {
                     self.on_outcome(pending, outcome);
+                } else if let Some(call) = self.storage_calls.take(call) {
+                    self.on_storage_outcome(call, outcome);
+                } else if let Some(call) = self.recovery_calls.take(call) {
+                    self.on_recovery_outcome(call, outcome);
+                } else if let Some(call) = self.membership.take_call(call) {
+                    self.on_membership_outcome(call, outcome);
+                } else if let Some(call) = self.lease_proxy.take_call(call) {
+                    self.on_lease_proxy_outcome(call, outcome);
+                } else if let Some(purpose) = self.fleet_calls.take(call) {
+                    self.on_fleet_outcome(purpose, outcome);
                 }
             }
         }
@@ -289,11 +276,11 @@
             self.inspect_silent();
             self.release_silent();
             self.fence_aborted_tasks();
-            self.read_again();
+            self.read_live_records();
             self.tick_provisioning();
             self.drain();
-            self.retry_reads();
-            self.read_unsure();
+            self.retry_record_reads();
+            self.read_unverified_jobs();
             self.retry_handoff_reads();
             self.retry_batch_reads();
             self.placement_due = true;
@@ -345,19 +332,10 @@
     pub(crate) fn on_outcome(&mut self, pending: InFlight, outcome: Outcome) {
         let current = self.epoch();
         match pending {
-            InFlight::LeaseNew { sent_ms } => self.on_lease_new(sent_ms, outcome),
-            InFlight::LeaseRenew { sent_ms } => self.on_lease_renew(sent_ms, outcome),
-            InFlight::MemberKey | InFlight::Told => {}
-            InFlight::KeepClaim { epoch, lease_id } => {
-                self.on_proxy_claim(epoch, lease_id, outcome)
+            InFlight::Told => {}
+            InFlight::ProxiedJobRead { job, sent_ms } => {
+                self.on_proxied_job_read(job, sent_ms, outcome)
             }
-            InFlight::KeepRead { job, sent_ms } => self.on_proxy_job_read(job, sent_ms, outcome),
-            InFlight::MailboxRecord { ids } => self.on_mailbox_written(ids, outcome),
-            InFlight::HandedOn { sibling, id } => self.on_orders_forwarded(sibling, id, outcome),
-            InFlight::OrdersRelayed { request } => self.on_orders_relayed(request, outcome),
-            InFlight::ControlRead { sent_ms } => self.on_control_read(sent_ms, outcome),
-            InFlight::ControlWatch { sent_ms } => self.on_control_watch(sent_ms, outcome),
-            InFlight::Elect { epoch } => self.on_elect(epoch, outcome),
             InFlight::AcceptAlone { request, id, cancelled } => {
                 self.on_accept_alone(request, id, cancelled, outcome)
             }
@@ -367,11 +345,6 @@
                 self.on_known(request, job, refusal, outcome)
             }
             InFlight::WalkRead { request, job } => self.on_walk_read(request, job, outcome),
-            InFlight::FormatRead => self.on_format_read(outcome),
-            InFlight::MembersRead => self.on_members_read(outcome),
-            InFlight::Step { record, epoch } => {
-                self.on_step((epoch == current).then_some(record), outcome)
-            }
             InFlight::Compare { compared, epoch } => self.on_compare(compared, epoch, outcome),
             InFlight::Poll { request, id } => self.on_status_read(request, id, outcome),
             InFlight::AloneRead { request, spec, cancelled } => {
@@ -381,8 +354,6 @@
             InFlight::Forward { request, sibling, work } => {
                 self.on_forwarded(request, sibling, *work, outcome)
             }
-            InFlight::Relay { request, report } => self.on_relayed(request, *report, outcome),
-            InFlight::Beat { sibling } => self.on_peer_heartbeat(sibling, outcome),
             InFlight::Types => self.on_types(outcome),
             InFlight::Accept { request, job, placed, epoch } => {
                 if epoch == current {
@@ -399,44 +370,10 @@
                 }
             }
             // What follows concerns a memory that is gone if the epoch has changed.
-            InFlight::Recovery { epoch }
-            | InFlight::InboxWatch { epoch, .. }
-            | InFlight::InboxRead { epoch, .. }
-            | InFlight::InboxList { epoch, .. }
-            | InFlight::ReadAgain { epoch, .. }
-            | InFlight::ChainRead { epoch, .. }
-            | InFlight::Inspect { epoch, .. }
-            | InFlight::Flush { epoch, .. }
-            | InFlight::Restamp { epoch, .. }
-            | InFlight::Adopt { epoch, .. }
-            | InFlight::Hire { epoch, .. }
-            | InFlight::Return { epoch, .. }
+            InFlight::InboxRead { epoch, .. } | InFlight::ChainRead { epoch, .. }
                 if epoch != current => {}
-            InFlight::Recovery { .. } => self.on_recovery_list(outcome),
-            InFlight::InboxWatch { sent_ms, .. } => self.on_handoff_watch(sent_ms, outcome),
             InFlight::ChainRead { job, .. } => self.on_dependency_read(job, outcome),
-            InFlight::ReadAgain { job, .. } => self.on_read_again(job, outcome),
             InFlight::InboxRead { job, .. } => self.on_handoff_job_read(job, outcome),
-            InFlight::InboxList { rev, .. } => self.on_handoff_list(rev, outcome),
-            InFlight::Orders { machine, fencing_token, starts } => {
-                if crate::ids::epoch_of(fencing_token) == current {
-                    self.on_orders_outcome(machine, fencing_token, starts, outcome)
-                }
-            }
-            InFlight::Inspect { machine, .. } => self.on_inspect(machine, outcome),
-            InFlight::Flush { items, sent_ms, .. } => {
-                self.context
-                    .latencies
-                    .note(LatencySpan::Write, self.context.now.steady_ms.saturating_sub(sent_ms));
-                self.on_flush(items, outcome)
-            }
-            InFlight::Restamp { item, .. } => self.on_record_reread(item, outcome),
-            InFlight::Adopt { job, .. } => self.on_adopt(job, outcome),
-            InFlight::List { since } => self.on_list(since, outcome),
-            InFlight::Hire { kind, zone, spot, wanted, name, .. } => {
-                self.on_provisioned(kind, zone, spot, wanted, name, outcome)
-            }
-            InFlight::Return { machines, .. } => self.on_released(machines, outcome),
         }
     }
 
@@ -473,7 +410,7 @@
 
     /// Another controller has taken over: everything that the leader kept goes.
     pub(crate) fn step_down(&mut self) {
-        if !matches!(self.membership.role, Role::Follower) {
+        if !matches!(self.membership.role(), Role::Follower) {
             tracing::info!(epoch = self.epoch(), "no longer leading");
         }
         self.set_role(Role::Follower);
@@ -494,9 +431,7 @@
         self.machines_to_dispatch.clear();
         self.machines_to_command.clear();
         self.attempts = 0;
-        self.record_reads_to_retry.clear();
-        self.handoff_reads_to_retry.clear();
-        self.indeterminate_submissions.clear();
+        self.recorded_job_reads = RecordedJobReads::default();
         self.gang_holds.clear();
         self.clear_mailbox();
     }
@@ -526,14 +461,14 @@
     /// Whether a read for a user may be made now.
     pub(crate) fn may_read_for_request(&mut self) -> bool {
         let now = self.context.now.steady_ms;
-        self.membership.reads.take(now, 1.0, 0.1)
+        self.membership.store_reads().take(now, 1.0, 0.1)
     }
 
     /// The same for a question, which can be asked again: it leaves some for what is submitted
     /// or cancelled.
     pub(crate) fn may_read_for_status(&mut self) -> bool {
         let now = self.context.now.steady_ms;
-        self.membership.reads.take(now, 1.0, 0.3)
+        self.membership.store_reads().take(now, 1.0, 0.3)
     }
 
     /// The state service asked for a pause.
@@ -542,7 +477,7 @@
         let pause = self.context.rng.random_range(100..300);
         let now = self.context.now.steady_ms;
         if status == 429 {
-            self.membership.reads.close(now, pause);
+            self.membership.store_reads().close(now, pause);
         }
         self.record_writer.writes.close(now, pause);
     }
@@ -553,11 +488,11 @@
     pub(crate) fn fit_rate_limits(&mut self) {
         let limits = self.limits().clone();
         let controllers = self.context.config.platform.siblings.len() + 1;
-        let reads = match self.membership.role {
+        let reads = match self.membership.role() {
             Role::Recovering | Role::Leader => leader_share(limits.rps),
             _ => follower_share(limits.rps, controllers),
         };
-        self.membership.reads.set_rate(reads);
+        self.membership.store_reads().set_rate(reads);
         self.record_writer.writes.set_rate(RecordWriter::write_rate(&limits));
         self.admission.set_rate(RecordWriter::write_rate(&limits));
     }
--- a/crates/core/src/storage/job_batches/batch_lookup.rs
+++ b/crates/core/src/storage/job_batches/batch_lookup.rs
@@ -191,11 +191,11 @@
     fn verify_absence(&mut self, mut lookup: BatchLookup) {
         lookup.last_batch = self.job_batches.last_number;
         let guards = vec![
-            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision },
+            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision() },
             Guard { path: job_key(&lookup.job_id), revision: 0 },
         ];
         let body = to_cbor(&Transaction { guards, apply: Vec::new() });
-        self.membership.reads.force(self.context.now.steady_ms, 1.0);
+        self.membership.store_reads().force(self.context.now.steady_ms, 1.0);
         let call = BatchCall::VerifyAbsence { lookup, epoch: self.epoch() };
         self.call_store("POST", "/multi".into(), body, InFlight::Batch(call));
     }
@@ -242,7 +242,7 @@
     }
 
     fn call_for_scan(&mut self, target: String, call: BatchCall) {
-        self.membership.reads.force(self.context.now.steady_ms, 1.0);
+        self.membership.store_reads().force(self.context.now.steady_ms, 1.0);
         let timeout_ms = SCAN_TIMEOUT_FACTOR * self.context.config.store_timeout_ms();
         let call = InFlight::Batch(call);
         self.call(Peer::State, "GET", target, Vec::new(), timeout_ms, call);
@@ -339,12 +339,12 @@
 
     fn reread_own_record(&mut self, lookup: BatchLookup) {
         let job_id = lookup.job_id.clone();
-        self.membership.reads.force(self.context.now.steady_ms, 1.0);
+        self.membership.store_reads().force(self.context.now.steady_ms, 1.0);
         self.read_own_record(&job_id, InFlight::Batch(BatchCall::RereadJob(lookup)));
     }
 
     /// Handles the second read of a job's own record, which takes precedence over a batch record.
-    pub(super) fn on_job_reread(&mut self, lookup: BatchLookup, outcome: Outcome) {
+    pub(super) fn on_lookup_job_reread(&mut self, lookup: BatchLookup, outcome: Outcome) {
         self.job_batches.lookups.last_batch_checked = lookup.last_batch;
         match lookup.batched_record {
             Some(record) if is_not_found(&outcome) => {
--- a/crates/core/src/storage/job_batches/batch_writer.rs
+++ b/crates/core/src/storage/job_batches/batch_writer.rs
@@ -65,7 +65,7 @@
         }
         let path = batch_key(number);
         let mut guards = vec![
-            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision },
+            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision() },
             Guard { path: path.clone(), revision },
         ];
         if is_new {
--- a/crates/core/src/storage/job_batches/mod.rs
+++ b/crates/core/src/storage/job_batches/mod.rs
@@ -224,7 +224,7 @@
             BatchCall::Write { number, .. } => self.on_batch_written(number, outcome),
             BatchCall::Read { number, .. } => self.on_batch_read(number, outcome),
             BatchCall::ReadJob(lookup) => self.on_job_read(lookup, outcome),
-            BatchCall::RereadJob(lookup) => self.on_job_reread(lookup, outcome),
+            BatchCall::RereadJob(lookup) => self.on_lookup_job_reread(lookup, outcome),
             BatchCall::VerifyAbsence { lookup, epoch } => {
                 self.on_absence_verified(lookup, epoch, outcome)
             }
