--- a/crates/core/src/api/abort.rs
+++ b/crates/core/src/api/abort.rs
@@ -14,7 +14,7 @@
 use crate::ids::JobIndex;
 use crate::jobs::JobState;
 use crate::storage::placement_records::RecordLocation;
-use crate::storage::record_writer::{FlushItem, Purpose};
+use crate::storage::record_writer::{FlushItem, WritePurpose};
 use crate::storage::records::{decode, encode, handoff_key, job_key, JobRecord, RecordedStatus};
 use crate::{Outcome, Peer, RequestId};
 
@@ -44,8 +44,8 @@
         if !self.record_writer.writes.take(now_ms, 1.0, 0.0) {
             return false;
         }
-        self.record_writer.note(Purpose::Abort, 1);
-        if job.state != JobState::Doubtful {
+        self.record_writer.note(WritePurpose::Abort, 1);
+        if job.state != JobState::AbortIndeterminate {
             self.set_job_state(job_index, JobState::Aborting);
         }
         let Some(job) = self.jobs.get(job_index) else { return false };
@@ -59,7 +59,7 @@
         match placement {
             Some(placement) => {
                 placement.enter(&job_id, 0, &mut guards, &mut apply);
-                self.chunk_sent(job_index, 0, placed);
+                self.on_placement_sent(job_index, 0, placed);
             }
             None => {
                 let key = job_key(&job_id);
@@ -85,7 +85,7 @@
         outcome: Outcome,
     ) {
         let was_indeterminate =
-            self.jobs.get(job_index).is_some_and(|j| j.state == JobState::Doubtful);
+            self.jobs.get(job_index).is_some_and(|j| j.state == JobState::AbortIndeterminate);
         let is_conflict = match &outcome {
             Outcome::Answer(answer) => {
                 if let (200, Ok(done)) = (answer.status, from_cbor(&answer.body)) {
@@ -101,7 +101,7 @@
         // The abort may be recorded, or the record has changed: it is read before anything else.
         self.answer_abort_busy(request);
         if !is_conflict {
-            self.set_job_state(job_index, JobState::Doubtful);
+            self.set_job_state(job_index, JobState::AbortIndeterminate);
         }
         match placed.own {
             true => self.reread_record(FlushItem::Chunk { job: job_index, chunk: 0, placed }),
@@ -125,10 +125,10 @@
         job.revision = answer.store_revision;
         let job_id = job.id.clone();
         if placed.own {
-            self.chunk_stands(job_index, 0, placed, answer.store_revision);
+            self.on_placement_recorded(job_index, 0, placed, answer.store_revision);
         }
         self.set_job_state(job_index, JobState::Aborted);
-        self.record_writer.touch_job(job_index);
+        self.record_writer.mark_job_dirty(job_index);
         if let Some(id) = request {
             self.answer_terminal(id, &job_id, RecordedStatus::Aborted);
         }
@@ -151,7 +151,7 @@
         }
         self.set_job_state(job_index, JobState::Live);
         if placed.own {
-            self.unwritten(FlushItem::Chunk { job: job_index, chunk: 0, placed });
+            self.requeue_write(FlushItem::Chunk { job: job_index, chunk: 0, placed });
         }
         self.answer_abort_busy(request);
     }
@@ -181,7 +181,7 @@
         if !self.leads() {
             return self.abort_without_leader(id, job, record, &pair);
         }
-        match self.adopt(&job, record, pair.revision) {
+        match self.add_recorded_job(&job, record, pair.revision) {
             Some(job_index) => self.abort_job(id, job_index),
             None => self.answer_busy(id),
         }
@@ -200,7 +200,7 @@
             return self.answer_busy(id);
         }
         record.status = RecordedStatus::Aborted;
-        record.end_within(self.value_most());
+        record.end_within(self.max_value_bytes());
         let body = to_cbor(&Transaction {
             guards: vec![Guard { path: job_key(&job), revision: read.revision }],
             apply: vec![
@@ -208,12 +208,12 @@
                 Change::Set { set: handoff_key(&job), value: encode(&true), lease_id: None },
             ],
         });
-        let call = InFlight::AbortAlone { request: id, id: job };
+        let call = InFlight::AbortWithoutLeader { request: id, id: job };
         self.call_store("POST", "/multi".into(), body, call);
     }
 
     /// Handles the outcome of an abort that was recorded without the leader.
-    pub(crate) fn on_abort_alone(&mut self, id: RequestId, job: String, outcome: Outcome) {
+    pub(crate) fn on_abort_without_leader(&mut self, id: RequestId, job: String, outcome: Outcome) {
         match outcome {
             Outcome::Answer(answer) if answer.status == 200 => {
                 self.note_store_answer();
@@ -243,7 +243,7 @@
             });
             let timeout_ms = self.context.config.mesh_timeout_ms();
             let (peer, body) = (Peer::Sibling(sibling), to_cbor(&message));
-            self.call(peer, "POST", "/mesh".into(), body, timeout_ms, InFlight::Told);
+            self.call(peer, "POST", "/mesh".into(), body, timeout_ms, InFlight::AbortNotice);
         }
     }
 
@@ -252,7 +252,7 @@
         if !valid_job_id(job) {
             return self.answer_error(id, 400, "malformed ref");
         }
-        self.proxy_learns_abort(job);
+        self.on_abort_for_proxy(job);
         self.on_abort_recorded(job);
         let body = to_cbor(&self.mesh_message());
         self.answer(id, Response::new(200, body));
--- a/crates/core/src/api/admissibility.rs
+++ b/crates/core/src/api/admissibility.rs
@@ -52,7 +52,7 @@
         if exceeds_team_limit(spec, team) {
             return Admissibility::Inadmissible("the job needs more than the team's limit");
         }
-        if self.types_at_ms.is_none() {
+        if self.machine_types_at_ms.is_none() {
             return Admissibility::Unknown;
         }
         let zones = self.usable_zones(spec).len();
--- a/crates/core/src/api/handoff.rs
+++ b/crates/core/src/api/handoff.rs
@@ -13,12 +13,12 @@
         let job = path.strip_prefix(HANDOFF_PREFIX).filter(|job| valid_job_id(job));
         let Some(job) = job else { return };
         let is_aborted = decode::<bool>(value).unwrap_or(false);
-        self.record_writer.remove_note(path.to_string(), revision);
+        self.record_writer.schedule_deletion_at(path.to_string(), revision);
         if is_aborted {
             // The abort was recorded in the same transaction.
             self.on_abort_recorded(job);
         } else if self.jobs.find(job).is_none() {
-            let call = InFlight::InboxRead { job: job.to_string(), epoch: self.epoch() };
+            let call = InFlight::HandoffJobRead { job: job.to_string(), epoch: self.epoch() };
             self.call_store("GET", format!("/keys/{}", job_key(job)), Vec::new(), call);
         }
     }
--- a/crates/core/src/api/machine_types.rs
+++ b/crates/core/src/api/machine_types.rs
@@ -34,19 +34,21 @@
 
 impl Controller {
     /// Reads the list if that is due.
-    pub(crate) fn tick_types(&mut self) {
+    pub(crate) fn tick_machine_types(&mut self) {
         let now_ms = self.context.now.steady_ms;
-        if self.types_asked_ms > 0 && now_ms < self.types_asked_ms + self.types_interval_ms() {
+        if self.machine_types_requested_ms > 0
+            && now_ms < self.machine_types_requested_ms + self.types_interval_ms()
+        {
             return;
         }
-        self.types_asked_ms = now_ms.max(1);
+        self.machine_types_requested_ms = now_ms.max(1);
         let target = "/machine_types".to_string();
         self.call(Peer::Cloud, "GET", target, Vec::new(), READ_TIMEOUT_MS, InFlight::Types);
     }
 
     fn types_interval_ms(&self) -> u64 {
         let lag_ms = (self.context.config.platform.params.cloud.list_lag_s * 1000.0) as u64;
-        match self.types_at_ms {
+        match self.machine_types_at_ms {
             None => FIRST_READ_INTERVAL_MS,
             Some(_) if self.leads() => (lag_ms * LEADER_INTERVAL_LAGS).max(MIN_LEADER_INTERVAL_MS),
             Some(_) => (lag_ms * FOLLOWER_INTERVAL_LAGS).max(MIN_FOLLOWER_INTERVAL_MS),
@@ -54,7 +56,7 @@
     }
 
     /// Takes over a list that came, unless it is empty or implausible.
-    pub(crate) fn on_types(&mut self, outcome: Outcome) {
+    pub(crate) fn on_machine_types(&mut self, outcome: Outcome) {
         let Outcome::Answer(response) = outcome else { return };
         if response.status != 200 {
             return;
@@ -64,7 +66,7 @@
             return;
         }
         self.types = list.types;
-        self.types_at_ms = Some(self.context.now.steady_ms);
+        self.machine_types_at_ms = Some(self.context.now.steady_ms);
         self.supply_changed = true;
     }
 }
--- a/crates/core/src/api/routing.rs
+++ b/crates/core/src/api/routing.rs
@@ -175,7 +175,7 @@
             return self.decide_as_leader(id, work);
         }
         // A leader that has missed its heartbeat would keep the user waiting.
-        let leader = self.leader_sibling().filter(|_| !self.leader_missed());
+        let leader = self.live_leader_index().filter(|_| !self.leader_missed());
         match leader.filter(|_| !passed_on) {
             Some(sibling) => self.forward(id, sibling, work),
             None => self.decide_without_leader(id, work, passed_on),
@@ -207,7 +207,7 @@
         was_forwarded: bool,
     ) {
         if !self.store_reachable() {
-            if let (false, Some(sibling)) = (was_forwarded, self.sibling_with_store()) {
+            if let (false, Some(sibling)) = (was_forwarded, self.peer_with_store()) {
                 return self.forward(id, sibling, work);
             }
             return self.answer_busy(id);
--- a/crates/core/src/api/status.rs
+++ b/crates/core/src/api/status.rs
@@ -82,7 +82,7 @@
     /// theirs are read, as it is aborted with any of them.
     fn answer_live_record(&mut self, id: RequestId, job: &str, record: JobRecord, revision: u64) {
         let dependencies = record.spec.as_ref().map(|spec| spec.dependencies.clone());
-        let known = self.adopt(job, record, revision);
+        let known = self.add_recorded_job(job, record, revision);
         let answer = match known.and_then(|job_index| self.jobs.get(job_index)) {
             Some(job) => live_answer(job),
             None => answer_without_counts(job, JobStatus::Running),
--- a/crates/core/src/api/status_queries.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -188,7 +188,12 @@
     }
 
     /// Handles the outcome of a validated read that was sent in an epoch.
-    pub(crate) fn on_compare(&mut self, mut compared: ValidatedRead, epoch: u64, outcome: Outcome) {
+    pub(crate) fn on_validated_read(
+        &mut self,
+        mut compared: ValidatedRead,
+        epoch: u64,
+        outcome: Outcome,
+    ) {
         let failed = self.failed_conditions(&outcome);
         // Job indexes of an earlier epoch mean nothing in the present memory.
         let Some(failed) = failed.filter(|_| epoch == self.epoch()) else {
--- a/crates/core/src/api/submit.rs
+++ b/crates/core/src/api/submit.rs
@@ -16,7 +16,7 @@
 use crate::ids::JobIndex;
 use crate::jobs::JobState;
 use crate::storage::placement_records::{PlacementWrite, RecordLocation};
-use crate::storage::record_writer::Purpose;
+use crate::storage::record_writer::WritePurpose;
 use crate::storage::records::{
     batch_key, checked_size, encode, handoff_key, job_key, JobRecord, RecordedStatus, EPOCH_KEY,
 };
@@ -90,7 +90,7 @@
             return None;
         }
         let record = self.job_record(spec);
-        let fits_record = checked_size(&record) <= self.value_most();
+        let fits_record = checked_size(&record) <= self.max_value_bytes();
         let spec = record.spec?;
         if !fits_record {
             self.refuse(id, spec.id, 400, "too large to be kept: fewer prereqs or shorter names");
@@ -113,7 +113,7 @@
     }
 
     /// Handles the read of a job whose submission is to be rejected or can't be decided.
-    pub(crate) fn on_known(
+    pub(crate) fn on_submitted_job_read(
         &mut self,
         id: RequestId,
         job: String,
@@ -173,7 +173,7 @@
     /// The leader writes the record of an accepted job, together with its first placement if that
     /// is possible now.
     fn record_submission(&mut self, id: RequestId, spec: JobSpec, team: usize) {
-        self.record_writer.note(Purpose::Accept, 1);
+        self.record_writer.note(WritePurpose::Accept, 1);
         let record = self.job_record(spec.clone());
         let job_id = spec.id.clone();
         let priority = spec.priority;
@@ -192,7 +192,7 @@
         }
         if let Some(placement) = placement {
             placement.enter(&job_id, 0, &mut guards, &mut apply);
-            self.chunk_sent(job_index, 0, placed);
+            self.on_placement_sent(job_index, 0, placed);
         }
         if let Some(job) = self.jobs.get_mut(job_index) {
             job.busy = true;
@@ -210,18 +210,18 @@
         job_index: JobIndex,
         priority: Priority,
     ) -> Option<PlacementWrite> {
-        let is_inline = self.inlines(job_index);
+        let is_inline = self.may_inline_placement(job_index);
         if !is_inline && !self.may_place_immediately(priority) {
             return None;
         }
         let prepaid = if is_inline { 0.0 } else { 1.0 };
         let placement = self.place_before_acceptance(job_index, priority, is_inline);
-        let spent = match &placement {
+        let changes_made = match &placement {
             Some(write) if !write.placed.inline => write.changes() as f64,
             _ => 0.0,
         };
-        self.record_writer.writes.force(self.context.now.steady_ms, spent - prepaid);
-        self.record_writer.note(Purpose::Deal, spent as usize);
+        self.record_writer.writes.force(self.context.now.steady_ms, changes_made - prepaid);
+        self.record_writer.note(WritePurpose::Deal, changes_made as usize);
         placement
     }
 
@@ -301,7 +301,7 @@
         job.busy = false;
         let job_id = job.id.clone();
         if placed != RecordLocation::default() {
-            self.chunk_stands(job_index, 0, placed, answer.store_revision);
+            self.on_placement_recorded(job_index, 0, placed, answer.store_revision);
         }
         self.link(job_index);
         self.set_job_state(job_index, JobState::Live);
@@ -312,7 +312,7 @@
         };
         let answer = answer_without_counts(&job_id, status);
         self.answer(id, Response::new(201, to_cbor(&answer)));
-        self.touch_probed(job_index);
+        self.dispatch_probed_machines(job_index);
         self.placement_due = true;
         self.preempt_due = true;
     }
@@ -328,12 +328,13 @@
             return self.answer_busy(id);
         }
         let job = spec.id.clone();
-        let call = InFlight::AloneRead { request: id, spec: Box::new(spec), cancelled };
+        let call =
+            InFlight::LookupBeforeSubmission { request: id, spec: Box::new(spec), cancelled };
         self.look_up_in_batches(&job, call);
     }
 
     /// Handles the lookup of a job that is to be recorded without the leader.
-    pub(crate) fn on_alone_read(
+    pub(crate) fn on_lookup_before_submission(
         &mut self,
         id: RequestId,
         spec: JobSpec,
@@ -375,12 +376,12 @@
                 Change::Set { set: handoff_key(&job), value: encode(&false), lease_id: None },
             ],
         });
-        let call = InFlight::AcceptAlone { request: id, id: job, cancelled };
+        let call = InFlight::AcceptWithoutLeader { request: id, id: job, cancelled };
         self.call_store("POST", "/multi".into(), body, call);
     }
 
     /// Handles the outcome of a write that accepts a job without the leader.
-    pub(crate) fn on_accept_alone(
+    pub(crate) fn on_accept_without_leader(
         &mut self,
         id: RequestId,
         job: String,
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -37,21 +37,21 @@
 #[derive(Debug)]
 pub(crate) enum InFlight {
     ProxiedJobRead { job: String, sent_ms: u64 },
-    InboxRead { job: String, epoch: u64 },
+    HandoffJobRead { job: String, epoch: u64 },
     Accept { request: RequestId, job: JobIndex, placed: RecordLocation, epoch: u64 },
-    AcceptAlone { request: RequestId, id: String, cancelled: bool },
+    AcceptWithoutLeader { request: RequestId, id: String, cancelled: bool },
     AbortWrite { request: Option<RequestId>, job: JobIndex, placed: RecordLocation, epoch: u64 },
     AbortRead { request: RequestId, id: String },
-    AbortAlone { request: RequestId, id: String },
+    AbortWithoutLeader { request: RequestId, id: String },
     Known { request: RequestId, job: String, refusal: Option<Refusal> },
-    ChainRead { job: String, epoch: u64 },
+    DependencyRead { job: String, epoch: u64 },
     WalkRead { request: RequestId, job: String },
     Poll { request: RequestId, id: String },
-    AloneRead { request: RequestId, spec: Box<JobSpec>, cancelled: bool },
+    LookupBeforeSubmission { request: RequestId, spec: Box<JobSpec>, cancelled: bool },
     Batch(BatchCall),
     Compare { compared: ValidatedRead, epoch: u64 },
     Forward { request: RequestId, sibling: usize, work: Box<UserRequest> },
-    Told,
+    AbortNotice,
     Types,
 }
 
@@ -115,8 +115,8 @@
     pub(crate) out_of_zone_workers: OutOfZoneWorkers,
     pub(crate) stall: ProcessStall,
     pub(crate) types: Vec<MachineType>,
-    pub(crate) types_at_ms: Option<u64>,
-    pub(crate) types_asked_ms: u64,
+    pub(crate) machine_types_at_ms: Option<u64>,
+    pub(crate) machine_types_requested_ms: u64,
     // The leader's memory.
     pub(crate) jobs: Jobs,
     pub(crate) machines: Machines,
@@ -147,7 +147,7 @@
     pub(crate) second_at_ms: u64,
     pub(crate) recorded_job_reads: RecordedJobReads,
     /// Heartbeats that were answered with a redirect.
-    pub(crate) let_go: u64,
+    pub(crate) redirected_workers: u64,
     /// Resources that are held for gangs, by machine.
     pub(crate) gang_holds: BTreeMap<MachineIndex, GangHold>,
     /// Duplicates of heartbeats that were dropped.
@@ -184,8 +184,8 @@
             out_of_zone_workers: OutOfZoneWorkers::default(),
             stall,
             types: Vec::new(),
-            types_at_ms: None,
-            types_asked_ms: 0,
+            machine_types_at_ms: None,
+            machine_types_requested_ms: 0,
             jobs: Jobs::default(),
             machines: Machines::default(),
             teams,
@@ -213,7 +213,7 @@
             round_at_ms: 0,
             second_at_ms: 0,
             recorded_job_reads: RecordedJobReads::default(),
-            let_go: 0,
+            redirected_workers: 0,
             gang_holds: BTreeMap::new(),
             duplicates_dropped: 0,
         }
@@ -255,11 +255,11 @@
     }
 
     fn on_tick(&mut self) {
-        self.tick_member();
+        self.tick_membership();
         self.verify_leadership();
         self.tick_held_heartbeats();
         self.tick_format();
-        self.tick_types();
+        self.tick_machine_types();
         self.tick_lease_proxy();
         self.tick_recovery();
         self.tick_mailbox();
@@ -273,18 +273,18 @@
         if now >= self.second_at_ms {
             self.second_at_ms = now + 1000.min(self.context.config.heartbeat_interval_ms());
             self.expire_silent_leases();
-            self.inspect_silent();
-            self.release_silent();
+            self.inspect_silent_machines();
+            self.release_silent_machines();
             self.fence_aborted_tasks();
             self.read_live_records();
             self.tick_provisioning();
             self.drain();
             self.retry_record_reads();
             self.read_unverified_jobs();
-            self.retry_handoff_reads();
+            self.read_recorded_jobs();
             self.retry_batch_reads();
             self.placement_due = true;
-            self.touch_waiting();
+            self.dispatch_waiting_machines();
             self.log_pulse();
             self.preempt_due = true;
         }
@@ -324,7 +324,7 @@
             self.preempt();
         }
         for ix in std::mem::take(&mut self.machines_to_command) {
-            self.send_orders(ix);
+            self.send_command(ix);
         }
         self.flush();
     }
@@ -332,29 +332,33 @@
     pub(crate) fn on_outcome(&mut self, pending: InFlight, outcome: Outcome) {
         let current = self.epoch();
         match pending {
-            InFlight::Told => {}
+            InFlight::AbortNotice => {}
             InFlight::ProxiedJobRead { job, sent_ms } => {
                 self.on_proxied_job_read(job, sent_ms, outcome)
             }
-            InFlight::AcceptAlone { request, id, cancelled } => {
-                self.on_accept_alone(request, id, cancelled, outcome)
+            InFlight::AcceptWithoutLeader { request, id, cancelled } => {
+                self.on_accept_without_leader(request, id, cancelled, outcome)
             }
             InFlight::AbortRead { request, id } => self.on_abort_read(request, id, outcome),
-            InFlight::AbortAlone { request, id } => self.on_abort_alone(request, id, outcome),
+            InFlight::AbortWithoutLeader { request, id } => {
+                self.on_abort_without_leader(request, id, outcome)
+            }
             InFlight::Known { request, job, refusal } => {
-                self.on_known(request, job, refusal, outcome)
+                self.on_submitted_job_read(request, job, refusal, outcome)
             }
             InFlight::WalkRead { request, job } => self.on_walk_read(request, job, outcome),
-            InFlight::Compare { compared, epoch } => self.on_compare(compared, epoch, outcome),
+            InFlight::Compare { compared, epoch } => {
+                self.on_validated_read(compared, epoch, outcome)
+            }
             InFlight::Poll { request, id } => self.on_status_read(request, id, outcome),
-            InFlight::AloneRead { request, spec, cancelled } => {
-                self.on_alone_read(request, *spec, cancelled, outcome)
+            InFlight::LookupBeforeSubmission { request, spec, cancelled } => {
+                self.on_lookup_before_submission(request, *spec, cancelled, outcome)
             }
             InFlight::Batch(call) => self.on_batch_call(call, outcome),
             InFlight::Forward { request, sibling, work } => {
                 self.on_forwarded(request, sibling, *work, outcome)
             }
-            InFlight::Types => self.on_types(outcome),
+            InFlight::Types => self.on_machine_types(outcome),
             InFlight::Accept { request, job, placed, epoch } => {
                 if epoch == current {
                     self.on_accept(request, job, placed, outcome)
@@ -370,10 +374,10 @@
                 }
             }
             // What follows concerns a memory that is gone if the epoch has changed.
-            InFlight::InboxRead { epoch, .. } | InFlight::ChainRead { epoch, .. }
+            InFlight::HandoffJobRead { epoch, .. } | InFlight::DependencyRead { epoch, .. }
                 if epoch != current => {}
-            InFlight::ChainRead { job, .. } => self.on_dependency_read(job, outcome),
-            InFlight::InboxRead { job, .. } => self.on_handoff_job_read(job, outcome),
+            InFlight::DependencyRead { job, .. } => self.on_dependency_read(job, outcome),
+            InFlight::HandoffJobRead { job, .. } => self.on_handoff_job_read(job, outcome),
         }
     }
 
@@ -436,12 +440,12 @@
         self.clear_mailbox();
     }
 
-    pub(crate) fn touch_all(&mut self) {
+    pub(crate) fn dispatch_all_machines(&mut self) {
         self.machines_to_dispatch.extend(self.machines.indexes());
     }
 
     /// Machines whose queues hold something that may have become due.
-    fn touch_waiting(&mut self) {
+    fn dispatch_waiting_machines(&mut self) {
         let waiting: Vec<MachineIndex> =
             self.machines.iter().filter(|(_, m)| !m.queue.is_empty()).map(|(ix, _)| ix).collect();
         self.machines_to_dispatch.extend(waiting);
--- a/crates/core/src/fleet/calls.rs
+++ b/crates/core/src/fleet/calls.rs
@@ -47,12 +47,12 @@
         match purpose {
             FleetCall::Command { machine, fencing_token, starts } => {
                 if epoch_of(fencing_token) == current_epoch {
-                    self.on_orders_outcome(machine, fencing_token, starts, outcome)
+                    self.on_command_outcome(machine, fencing_token, starts, outcome)
                 }
             }
-            FleetCall::RelayCommand { request } => self.on_orders_relayed(request, outcome),
+            FleetCall::RelayCommand { request } => self.on_command_relayed(request, outcome),
             FleetCall::RelayHeartbeat { request, heartbeat } => {
-                self.on_relayed(request, *heartbeat, outcome)
+                self.on_heartbeat_relayed(request, *heartbeat, outcome)
             }
             FleetCall::ListMachines { since } => self.on_list(since, outcome),
             FleetCall::Provision { request, epoch } => {
--- a/crates/core/src/fleet/commands.rs
+++ b/crates/core/src/fleet/commands.rs
@@ -43,7 +43,7 @@
         self.command_in_flight
             || matches!(
                 self.state,
-                MachineState::LeaseExpired | MachineState::Terminated | MachineState::Returning
+                MachineState::LeaseExpired | MachineState::Terminated | MachineState::Releasing
             )
     }
 
@@ -69,7 +69,7 @@
 
 impl Controller {
     /// Sends a machine its pending starts and reconciling orders, if a command is due.
-    pub(crate) fn send_orders(&mut self, index: MachineIndex) {
+    pub(crate) fn send_command(&mut self, index: MachineIndex) {
         if !self.may_command_workers() {
             return;
         }
@@ -151,7 +151,7 @@
         let unreachable = self.machines.get(index).filter(|machine| machine.cut);
         let relay = unreachable
             .and_then(|machine| machine.relayed_by)
-            .filter(|sibling| self.sibling_alive(*sibling));
+            .filter(|sibling| self.peer_is_alive(*sibling));
         match (relay, self.mailbox_route(index)) {
             (Some(sibling), _) => Route::Relay(sibling),
             (None, Some(proxy)) => Route::Mailbox(proxy),
@@ -160,7 +160,7 @@
     }
 
     /// Relays a command of the leader to a worker that the leader can't reach.
-    pub(crate) fn relay_orders(&mut self, id: RequestId, from: usize, body: &[u8]) {
+    pub(crate) fn relay_command(&mut self, id: RequestId, from: usize, body: &[u8]) {
         let envelope =
             from_cbor::<Envelope>(body).ok().filter(|_| self.leader_index() == Some(from));
         let addr = envelope.as_ref().and_then(|envelope| envelope.addr.parse().ok());
@@ -174,7 +174,7 @@
     }
 
     /// The worker's answer to a relayed command, or none, goes back to the leader.
-    pub(super) fn on_orders_relayed(&mut self, id: RequestId, outcome: Outcome) {
+    pub(super) fn on_command_relayed(&mut self, id: RequestId, outcome: Outcome) {
         match outcome {
             Outcome::Answer(response) => {
                 self.answer(id, Response::new(response.status, response.body))
@@ -184,7 +184,7 @@
     }
 
     /// A command with this token and these starts has ended, by whichever route it was sent.
-    pub(crate) fn on_orders_outcome(
+    pub(crate) fn on_command_outcome(
         &mut self,
         index: MachineIndex,
         fencing_token: u64,
--- a/crates/core/src/fleet/fault_attribution.rs
+++ b/crates/core/src/fleet/fault_attribution.rs
@@ -44,8 +44,8 @@
 
     /// Whether a task may be started now: a job that fails everywhere is tried one task at a
     /// time, after a pause.
-    pub fn may_try(&self, now_ms: u64) -> bool {
-        !self.failing_everywhere() || self.bound == 0 && now_ms >= self.trial_ms
+    pub fn may_start_now(&self, now_ms: u64) -> bool {
+        !self.failing_everywhere() || self.bound == 0 && now_ms >= self.next_trial_ms
     }
 
     /// For how many of these tasks resources are wanted: for one if the job fails everywhere,
@@ -70,9 +70,9 @@
         let old_health = std::mem::replace(&mut job.health, health);
         match health {
             JobHealth::FailingEverywhere => {
-                (job.trials, job.trial_ms) = (0, first_trial_ms);
+                (job.trials, job.next_trial_ms) = (0, first_trial_ms);
                 tracing::info!(
-                    job = %job.id, machines = job.errors_on.len(),
+                    job = %job.id, machines = job.failed_on.len(),
                     "job fails on every machine"
                 );
             }
@@ -87,7 +87,7 @@
     /// Counts a job's failures against the machines where it failed, or takes them back.
     fn attribute_failures_to_machines(&mut self, job_index: JobIndex, count: bool) {
         let Some(job) = self.jobs.get(job_index) else { return };
-        for machine_index in job.errors_on.clone() {
+        for machine_index in job.failed_on.clone() {
             if let Some(machine) = self.machines.get_mut(machine_index) {
                 match count {
                     true => machine.failures.insert(job_index),
@@ -104,15 +104,15 @@
         let now_ms = self.context.now.steady_ms;
         let interval_ms = self.context.config.heartbeat_interval_ms();
         let Some(job) = self.jobs.get_mut(key.job) else { return };
-        if !job.errors_on.contains(&index) {
-            job.errors_on.push(index);
+        if !job.failed_on.contains(&index) {
+            job.failed_on.push(index);
         }
-        let failed_on_many = job.errors_on.len() >= MACHINES_TO_BLAME_JOB;
+        let failed_on_many = job.failed_on.len() >= MACHINES_TO_BLAME_JOB;
         tracing::debug!(machine = ?index, job = %job.id, task = key.task, "task failed");
         match job.health {
             JobHealth::FailingEverywhere => {
                 let pause_ms = interval_ms << job.trials.min(MAX_TRIAL_PAUSE_EXPONENT);
-                job.trial_ms = now_ms + pause_ms;
+                job.next_trial_ms = now_ms + pause_ms;
             }
             JobHealth::Untried if failed_on_many => {
                 self.set_job_health(key.job, JobHealth::FailingEverywhere)
--- a/crates/core/src/fleet/heartbeat_relay.rs
+++ b/crates/core/src/fleet/heartbeat_relay.rs
@@ -27,7 +27,7 @@
         heartbeat: &Heartbeat,
         body: Vec<u8>,
     ) -> bool {
-        let Some(leader) = self.leader_sibling().filter(|_| !self.leader_missed()) else {
+        let Some(leader) = self.live_leader_index().filter(|_| !self.leader_missed()) else {
             return false;
         };
         let mut message = self.mesh_message();
@@ -42,7 +42,12 @@
     }
 
     /// The leader's answer to a relayed heartbeat, or none.
-    pub(crate) fn on_relayed(&mut self, id: RequestId, heartbeat: Heartbeat, outcome: Outcome) {
+    pub(crate) fn on_heartbeat_relayed(
+        &mut self,
+        id: RequestId,
+        heartbeat: Heartbeat,
+        outcome: Outcome,
+    ) {
         match outcome {
             Outcome::Answer(response) if response.status == 200 => {
                 self.answer(id, Response::new(200, response.body));
@@ -59,8 +64,8 @@
     /// Redirects a worker to the leader. A leader that this controller has no contact with is
     /// not named: the worker tries all controllers itself.
     pub(crate) fn redirect(&mut self, id: RequestId) {
-        self.let_go += 1;
-        let leader = self.leader_sibling().and(self.known_leader());
+        self.redirected_workers += 1;
+        let leader = self.live_leader_index().and(self.known_leader());
         self.answer(id, Response::new(421, to_cbor(&Redirect { leader })));
     }
 }
--- a/crates/core/src/fleet/heartbeats.rs
+++ b/crates/core/src/fleet/heartbeats.rs
@@ -139,7 +139,7 @@
             .siblings
             .iter()
             .enumerate()
-            .filter(|(at, sibling)| sibling.zone == heartbeat.zone && self.sibling_serves(*at))
+            .filter(|(at, sibling)| sibling.zone == heartbeat.zone && self.peer_can_serve(*at))
             .map(|(_, sibling)| sibling.node.as_str())
             .collect();
         let hash = hash_of(&machine.name);
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -24,7 +24,7 @@
     /// Silent for longer than its lease: its tasks have stopped.
     LeaseExpired,
     /// Being released to the cloud.
-    Returning,
+    Releasing,
     /// Released, failed or interrupted: nothing can run on it.
     Terminated,
 }
@@ -114,7 +114,7 @@
     /// Until when no start is sent to it.
     no_starts_until_ms: u64,
     /// When it was last asked for its status.
-    pub probed_ms: u64,
+    pub inspected_ms: u64,
 }
 
 impl Machine {
@@ -157,12 +157,12 @@
             quarantined: false,
             evict_from_ms: 0,
             no_starts_until_ms: 0,
-            probed_ms: 0,
+            inspected_ms: 0,
         }
     }
 
     /// Quarantined for long enough that it is drained and released.
-    pub fn condemned(&self, now_ms: u64) -> bool {
+    pub fn is_due_for_eviction(&self, now_ms: u64) -> bool {
         self.quarantined && now_ms >= self.evict_from_ms
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// Resources that work of this priority can't get from services as long as they run.
-    pub fn held_by_services(&self, priority: Priority) -> Resources {
+    pub fn used_by_services(&self, priority: Priority) -> Resources {
         sum(&self.services_by_priority[priority as usize..])
     }
 
--- a/crates/core/src/fleet/machine_states.rs
+++ b/crates/core/src/fleet/machine_states.rs
@@ -23,7 +23,7 @@
         let Some(machine) = self.machines.get_mut(index) else { return };
         // A release is over only when the cloud has confirmed it.
         let releasing =
-            machine.state == MachineState::Returning && state != MachineState::Terminated;
+            machine.state == MachineState::Releasing && state != MachineState::Terminated;
         if machine.state == state || releasing || machine.state == MachineState::Terminated {
             return;
         }
--- a/crates/core/src/fleet/machine_table.rs
+++ b/crates/core/src/fleet/machine_table.rs
@@ -46,7 +46,7 @@
     }
 
     /// Excludes a time in which no machine was given work from their idle times.
-    pub fn idle_later(&mut self, by_ms: u64, now_ms: u64) {
+    pub fn extend_idle_start(&mut self, by_ms: u64, now_ms: u64) {
         for machine in self.table.values_mut() {
             machine.idle_since_ms = (machine.idle_since_ms + by_ms).min(now_ms);
         }
--- a/crates/core/src/fleet/provisioning/cloud_list.rs
+++ b/crates/core/src/fleet/provisioning/cloud_list.rs
@@ -92,7 +92,7 @@
     fn is_released(&self, name: &str) -> bool {
         let machine = self.machines.find(name).and_then(|index| self.machines.get(index));
         machine.is_some_and(|machine| {
-            matches!(machine.state, MachineState::Terminated | MachineState::Returning)
+            matches!(machine.state, MachineState::Terminated | MachineState::Releasing)
         })
     }
 
@@ -151,7 +151,7 @@
             return;
         }
         let pause_ms = INSPECT_EVERY_INTERVALS * self.context.config.heartbeat_interval_ms();
-        if self.context.now.steady_ms >= machine.probed_ms + pause_ms {
+        if self.context.now.steady_ms >= machine.inspected_ms + pause_ms {
             self.inspect(index);
         }
     }
--- a/crates/core/src/fleet/provisioning/scale_in.rs
+++ b/crates/core/src/fleet/provisioning/scale_in.rs
@@ -111,7 +111,7 @@
             && machine.queue.is_empty()
             && !machine.command_in_flight
             && now_ms as f64 > machine.idle_since_ms as f64 + max_idle_ms;
-        let faulty = ready && machine.condemned(now_ms) && machine.tasks.is_empty();
+        let faulty = ready && machine.is_due_for_eviction(now_ms) && machine.tasks.is_empty();
         let last_contact_ms = machine.last_heard_ms.max(machine.last_answered_ms.unwrap_or(0));
         let release_lost_after_ms =
             RELEASE_LOST_AFTER_EXPIRIES * self.context.config.lease_expiry_ms();
@@ -163,9 +163,9 @@
     /// Begins to release a machine; its tasks are gone once the cloud has confirmed it.
     pub(crate) fn begin_release(&mut self, index: MachineIndex) {
         let state = self.machines.get(index).map(|machine| machine.state);
-        let released = matches!(state, Some(MachineState::Returning | MachineState::Terminated));
+        let released = matches!(state, Some(MachineState::Releasing | MachineState::Terminated));
         if !released && !self.provisioner.to_release.contains(&index) {
-            self.set_machine_state(index, MachineState::Returning);
+            self.set_machine_state(index, MachineState::Releasing);
             self.provisioner.to_release.push(index);
         }
     }
--- a/crates/core/src/fleet/reconciling_orders.rs
+++ b/crates/core/src/fleet/reconciling_orders.rs
@@ -53,7 +53,7 @@
         let completed = reported.cause == Some(ExitCause::Done);
         match task.state {
             TaskState::Done { version } => {
-                !completed || chunk.acked >= version || job.state == JobState::Done
+                !completed || chunk.stored_version >= version || job.state == JobState::Done
             }
             state => {
                 let own_attempt = state.machine() == Some((index, reported.attempt));
@@ -75,7 +75,7 @@
         if matches!(job.state, JobState::Unreadable | JobState::Aborting) {
             return None;
         }
-        let aborted = matches!(job.state, JobState::Aborted | JobState::Doubtful);
+        let aborted = matches!(job.state, JobState::Aborted | JobState::AbortIndeterminate);
         // During recovery, the job's placement record may not have been read yet.
         if !self.knows_all_jobs() && !aborted {
             return None;
--- a/crates/core/src/fleet/silent_machines.rs
+++ b/crates/core/src/fleet/silent_machines.rs
@@ -37,7 +37,7 @@
     /// are not: the cloud's confirmation that one is gone frees its tasks before its lease
     /// would. Where many are silent the network is the likelier cause, and only those are
     /// released that the cloud no longer lists.
-    pub(crate) fn release_silent(&mut self) {
+    pub(crate) fn release_silent_machines(&mut self) {
         let mut lost = Vec::new();
         let (mut heard, mut one_way_unreachable) = (0, 0);
         for (index, machine) in self.machines.iter() {
@@ -79,7 +79,7 @@
         let gone = one_way_unreachable && unlisted
             || machine.reachability.is_permanently_unreachable(now_ms, &self.reachability_timing());
         match machine.state {
-            MachineState::LeaseExpired | MachineState::Returning | MachineState::Terminated => {
+            MachineState::LeaseExpired | MachineState::Releasing | MachineState::Terminated => {
                 Contact::Untracked
             }
             _ if gone => Contact::Lost(LostContact { may_hold_tasks: true, unlisted }),
@@ -123,20 +123,20 @@
         unlisted: bool,
     ) -> bool {
         let time_to_answer_ms = self.context.config.heartbeat_interval_ms() / 2;
-        let unanswered = machine.probed_ms > machine.last_heard_ms
-            && self.context.now.steady_ms >= machine.probed_ms + time_to_answer_ms;
+        let unanswered = machine.inspected_ms > machine.last_heard_ms
+            && self.context.now.steady_ms >= machine.inspected_ms + time_to_answer_ms;
         unanswered || machine.addr.is_none() || unlisted || self.mailbox_route(index).is_some()
     }
 
     /// Asks machines that have been silent for a while for their status: they may send their
     /// heartbeats to a controller that this one has no contact with.
-    pub(crate) fn inspect_silent(&mut self) {
+    pub(crate) fn inspect_silent_machines(&mut self) {
         let now_ms = self.context.now.steady_ms;
         let pause_ms = self.context.config.heartbeat_interval_ms() * 3 / 2;
         let is_due = |machine: &Machine| {
             matches!(machine.state, MachineState::Ready | MachineState::Registering)
                 && now_ms > machine.last_heard_ms + pause_ms
-                && now_ms > machine.probed_ms + pause_ms
+                && now_ms > machine.inspected_ms + pause_ms
                 && !machine.command_in_flight
         };
         let due: Vec<MachineIndex> = self
@@ -157,7 +157,7 @@
         let unproxied_until_ms = self.unproxied_until_ms();
         for index in self.machines.indexes() {
             let Some(machine) = self.machines.get(index) else { continue };
-            let releasing = machine.state == MachineState::Returning;
+            let releasing = machine.state == MachineState::Releasing;
             let provisioning = machine.state == MachineState::Provisioning;
             let nothing_to_free = !machine.may_hold_tasks() && (releasing || provisioning);
             if !self.lease_has_expired(machine, unproxied_until_ms) || nothing_to_free {
--- a/crates/core/src/jobs/chunk.rs
+++ b/crates/core/src/jobs/chunk.rs
@@ -19,7 +19,7 @@
     /// Version of the newest record that was sent.
     pub version: u32,
     /// Version of the newest record that is known to be stored.
-    pub acked: u32,
+    pub stored_version: u32,
     /// The store's revision of the record's keys; 0 if there are none.
     pub revision: u64,
     /// Number of keys over which the stored record is spread, all with this revision.
@@ -62,7 +62,7 @@
             busy: false,
             blocks_starts: false,
             version: 0,
-            acked: 0,
+            stored_version: 0,
             revision: 0,
             pieces: 0,
             inline: false,
--- a/crates/core/src/jobs/dependencies/mod.rs
+++ b/crates/core/src/jobs/dependencies/mod.rs
@@ -135,7 +135,7 @@
         }
         self.dependency_graph.add_edge(&dependency, job_index);
         if let Some(job) = self.jobs.get_mut(job_index) {
-            job.waits_on.insert(dependency);
+            job.pending_dependencies.insert(dependency);
         }
     }
 
@@ -144,7 +144,7 @@
         self.dependency_graph.inheriting.remove(&job_index);
         let Some(job) = self.jobs.get_mut(job_index) else { return };
         let id = job.id.clone();
-        for dependency in std::mem::take(&mut job.waits_on) {
+        for dependency in std::mem::take(&mut job.pending_dependencies) {
             self.dependency_graph.remove_edge(&dependency, job_index);
         }
         // A job with dependents leaves memory although its end is not known.
@@ -178,8 +178,8 @@
 
     fn settle_dependent(&mut self, dependent: JobIndex, dependency: &str, status: RecordedStatus) {
         let Some(job) = self.jobs.get_mut(dependent) else { return };
-        job.waits_on.remove(dependency);
-        let ready = job.waits_on.is_empty() && job.state == JobState::Waiting;
+        job.pending_dependencies.remove(dependency);
+        let ready = job.pending_dependencies.is_empty() && job.state == JobState::Waiting;
         match status {
             RecordedStatus::Done if ready => self.set_job_state(dependent, JobState::Live),
             RecordedStatus::Aborted => self.abort_through_dependency(dependent),
@@ -195,7 +195,7 @@
         }
         tracing::info!(job = %job.id, "job aborted because a dependency was aborted");
         self.set_job_state(job_index, JobState::Aborted);
-        self.record_writer.touch_job(job_index);
+        self.record_writer.mark_job_dirty(job_index);
     }
 
     /// The jobs in memory that this one waits for, directly or through others; `None` if one of
@@ -205,7 +205,7 @@
         let mut seen = HashSet::from([job_index]);
         let mut open = vec![job_index];
         while let Some(index) = open.pop() {
-            for id in &self.jobs.get(index)?.waits_on {
+            for id in &self.jobs.get(index)?.pending_dependencies {
                 let dependency = self.jobs.find(id)?;
                 if seen.insert(dependency) {
                     found.push(dependency);
@@ -233,7 +233,7 @@
                 return;
             }
             self.dependency_graph.unknown.insert(id.clone(), now_ms.max(1));
-            let pending = InFlight::ChainRead { job: id.clone(), epoch: self.epoch() };
+            let pending = InFlight::DependencyRead { job: id.clone(), epoch: self.epoch() };
             self.look_up(&id, pending);
         }
     }
@@ -247,7 +247,7 @@
         };
         match record.status {
             RecordedStatus::Live => {
-                if self.adopt(&id, record, pair.revision).is_some() {
+                if self.add_recorded_job(&id, record, pair.revision).is_some() {
                     self.dependency_graph.unknown.remove(&id);
                 }
             }
--- a/crates/core/src/jobs/dependencies/propagation.rs
+++ b/crates/core/src/jobs/dependencies/propagation.rs
@@ -115,7 +115,7 @@
                 urgency.raise(other);
             }
             let for_dependencies = urgency.before(self.expected_duration_s(job));
-            for dependency in job.waits_on.iter().filter_map(|id| self.jobs.find(id)) {
+            for dependency in job.pending_dependencies.iter().filter_map(|id| self.jobs.find(id)) {
                 let entry = inherited.entry(dependency).or_insert(Urgency::LOWEST);
                 entry.raise(for_dependencies.clone());
                 if let Some(left) = dependents_left.get_mut(&dependency) {
--- a/crates/core/src/jobs/dependencies/walks.rs
+++ b/crates/core/src/jobs/dependencies/walks.rs
@@ -251,7 +251,7 @@
             }
         }
         if walk.admits_dependent_of(id) && self.leads() {
-            self.adopt(id, record, revision);
+            self.add_recorded_job(id, record, revision);
         }
     }
 }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -26,7 +26,7 @@
     Aborting,
     /// The outcome of writing its abort is indeterminate: its tasks are stopped, and the write
     /// is repeated until the abort is known to be recorded.
-    Doubtful,
+    AbortIndeterminate,
     /// Recorded as aborted; its placement records remain until no task is on a machine.
     Aborted,
     /// All tasks are done, and the write that says so is in flight.
@@ -65,7 +65,7 @@
     /// its dependencies.
     pub ready_ms: u64,
     /// Dependencies whose ends are not known to be recorded.
-    pub waits_on: BTreeSet<String>,
+    pub pending_dependencies: BTreeSet<String>,
     /// Effective priority, see [`crate::jobs::dependencies`].
     pub priority: Priority,
     /// Effective deadline, see [`crate::jobs::dependencies`].
@@ -79,7 +79,7 @@
     /// A write or a read of the job's own record is in flight.
     pub busy: bool,
     /// Another controller has stopped a task of it: no task starts before its record was read.
-    pub unsure: bool,
+    pub must_reread_record: bool,
     /// Batch record that holds it, unless it has a record of its own.
     pub page: Option<u64>,
     /// It is in a batch record and is to get a record of its own.
@@ -97,13 +97,13 @@
     /// No machine could take a task of it: steady clock before which it is not placed again.
     pub placement_from_ms: u64,
     /// Machines on which a task of it failed.
-    pub errors_on: Vec<MachineIndex>,
+    pub failed_on: Vec<MachineIndex>,
     /// Whether its failures are attributed to the job itself.
     pub health: JobHealth,
     /// Trial starts since its failures were attributed to it.
     pub trials: u32,
     /// Steady clock of the next trial start.
-    pub trial_ms: u64,
+    pub next_trial_ms: u64,
     /// Tasks that occupy a machine, or are about to.
     pub bound: u32,
     /// Steady clock of its abort; before that, of its entry into memory.
@@ -138,13 +138,13 @@
             revision,
             at_ms: submitted_ms,
             ready_ms: submitted_ms,
-            waits_on: BTreeSet::new(),
+            pending_dependencies: BTreeSet::new(),
             deadline: None,
             deadline_at_risk: false,
             chunks: BTreeMap::new(),
             done_chunks: Vec::new(),
             busy: false,
-            unsure: false,
+            must_reread_record: false,
             page: None,
             own: false,
             zone: None,
@@ -153,10 +153,10 @@
             waiting: 0,
             next: 0,
             placement_from_ms: 0,
-            errors_on: Vec::new(),
+            failed_on: Vec::new(),
             health: JobHealth::Untried,
             trials: 0,
-            trial_ms: 0,
+            next_trial_ms: 0,
             bound: 0,
             aborted_ms: now_ms,
             deferred_until_ms: 0,
--- a/crates/core/src/jobs/transitions.rs
+++ b/crates/core/src/jobs/transitions.rs
@@ -27,7 +27,7 @@
             self.update_machine_usage(key, &old, &state);
         }
         if state == TaskState::Dropped {
-            self.record_writer.touch_job(key.job);
+            self.record_writer.mark_job_dirty(key.job);
         }
         if state.is_done() && !old.is_done() {
             self.set_job_health(key.job, JobHealth::Proven);
@@ -94,7 +94,7 @@
     pub(crate) fn set_job_state(&mut self, job_index: JobIndex, state: JobState) {
         let Some(job) = self.jobs.get_mut(job_index) else { return };
         let state = match state {
-            JobState::Live if !job.waits_on.is_empty() => JobState::Waiting,
+            JobState::Live if !job.pending_dependencies.is_empty() => JobState::Waiting,
             other => other,
         };
         if job.state == state || matches!(job.state, JobState::Aborted | JobState::Done) {
@@ -105,8 +105,8 @@
             JobState::Aborted => self.on_job_aborted(job_index),
             JobState::Done => self.on_job_done(job_index),
             // The user needs none of its tasks any more, whether or not the abort is recorded.
-            JobState::Doubtful => self.stop_tasks(job_index),
-            JobState::Live if old == JobState::Aborting => self.touch_all(),
+            JobState::AbortIndeterminate => self.stop_tasks(job_index),
+            JobState::Live if old == JobState::Aborting => self.dispatch_all_machines(),
             JobState::Live if old == JobState::Waiting => self.on_dependencies_done(job_index),
             _ => {}
         }
@@ -151,7 +151,7 @@
         let Some(job) = self.jobs.get_mut(job_index) else { return };
         job.ready_ms = self.context.now.wall_ms;
         job.read_ms = self.context.now.steady_ms;
-        self.record_writer.touch_job(job_index);
+        self.record_writer.mark_job_dirty(job_index);
         self.placement_due = true;
         self.preempt_due = true;
     }
@@ -201,7 +201,7 @@
         self.mark_dirty(key.job, key.task / TASKS_PER_CHUNK);
         let completed = self.jobs.get(key.job).filter(|job| job.done >= job.spec.tasks);
         if completed.is_some_and(|job| self.dependency_graph.needed(&job.id)) {
-            self.record_writer.hurry();
+            self.record_writer.expedite();
         }
     }
 }
--- a/crates/core/src/lease_proxy/mailbox/sending.rs
+++ b/crates/core/src/lease_proxy/mailbox/sending.rs
@@ -110,7 +110,7 @@
 
     fn write_mailbox(&mut self, peer: usize, conditions: WriteConditions) {
         let now = self.context.now;
-        let room = (self.value_most() as f64 * RECORD_FILL) as usize;
+        let room = (self.max_value_bytes() as f64 * RECORD_FILL) as usize;
         self.drop_oversize(peer, room);
         let Some(batch) = self.mailbox.take_batch(peer, room, now.steady_ms) else { return };
         let order_ids = batch.orders.iter().map(|envelope| envelope.id).collect();
@@ -168,7 +168,7 @@
     pub(super) fn finish_mailed_orders(&mut self, id: u64, outcome: Outcome) {
         if let Some(mailed) = self.mailbox.finish_orders(id) {
             let MailedOrders { machine, fencing_token, starts, .. } = mailed;
-            self.on_orders_outcome(machine, fencing_token, starts, outcome);
+            self.on_command_outcome(machine, fencing_token, starts, outcome);
         }
     }
 }
--- a/crates/core/src/lease_proxy/proxied_jobs.rs
+++ b/crates/core/src/lease_proxy/proxied_jobs.rs
@@ -133,7 +133,7 @@
     }
 
     /// An abort of this job is on record: proxied workers that run its tasks must stop them.
-    pub(crate) fn proxy_learns_abort(&mut self, job: &str) {
+    pub(crate) fn on_abort_for_proxy(&mut self, job: &str) {
         self.lease_proxy.jobs.on_aborted(job);
     }
 }
--- a/crates/core/src/membership/election.rs
+++ b/crates/core/src/membership/election.rs
@@ -85,7 +85,7 @@
     /// Campaigns if there is no leader and that is due.
     pub(super) fn tick_election(&mut self) {
         let Some(lease_id) = self.controller_lease_id() else { return };
-        if self.foreign_format() || !self.membership.epoch_watch.is_read() {
+        if self.has_unsupported_format() || !self.membership.epoch_watch.is_read() {
             return;
         }
         match self.next_election_step() {
--- a/crates/core/src/membership/mesh.rs
+++ b/crates/core/src/membership/mesh.rs
@@ -58,7 +58,7 @@
     fn on_forwarded_request(&mut self, id: RequestId, from: Option<usize>, forward: Forward) {
         match (forward.path.as_str(), from) {
             (HEARTBEAT_PATH, _) => self.on_heartbeat(id, forward.body, from),
-            (ORDERS_PATH, Some(peer)) => self.relay_orders(id, peer, &forward.body),
+            (ORDERS_PATH, Some(peer)) => self.relay_command(id, peer, &forward.body),
             (ORDERS_PATH, None) => self.answer_error(id, 400, "unknown sibling"),
             (path, _) if path.starts_with(ABORTED_PATH) => {
                 self.on_abort_notice(id, path.trim_start_matches(ABORTED_PATH))
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -241,17 +241,17 @@
     }
 
     /// The peer that leads, if it is alive.
-    pub(crate) fn leader_sibling(&self) -> Option<usize> {
-        self.leader_index().filter(|&peer| self.sibling_alive(peer))
+    pub(crate) fn live_leader_index(&self) -> Option<usize> {
+        self.leader_index().filter(|&peer| self.peer_is_alive(peer))
     }
 
     /// A peer that has been heard very lately, and that the store answers.
-    pub(crate) fn sibling_serves(&self, peer: usize) -> bool {
+    pub(crate) fn peer_can_serve(&self, peer: usize) -> bool {
         self.membership.peers.is_serving(peer, &self.context)
     }
 
     /// A peer that has been heard lately.
-    pub(crate) fn sibling_alive(&self, peer: usize) -> bool {
+    pub(crate) fn peer_is_alive(&self, peer: usize) -> bool {
         self.membership.peers.is_alive(peer, &self.context)
     }
 
@@ -277,7 +277,7 @@
     }
 
     /// A peer that the store answers.
-    pub(crate) fn sibling_with_store(&self) -> Option<usize> {
+    pub(crate) fn peer_with_store(&self) -> Option<usize> {
         self.membership.peers.first_with_store(&self.context)
     }
 
@@ -289,7 +289,7 @@
     /// Whether users should be sent here: it can decide, or forward what it can't decide, or
     /// nobody else can either.
     pub(crate) fn ready(&self) -> bool {
-        if self.membership.store_answered_ms.is_none() || self.foreign_format() {
+        if self.membership.store_answered_ms.is_none() || self.has_unsupported_format() {
             return false;
         }
         self.store_reachable() || self.membership.peers.any_alive(&self.context)
@@ -340,7 +340,7 @@
     }
 
     /// Does what has become due. The order is part of the behaviour: calls are sent in it.
-    pub(crate) fn tick_member(&mut self) {
+    pub(crate) fn tick_membership(&mut self) {
         self.membership.tick_lease(&mut self.context);
         self.membership.tick_epoch_watch(&mut self.context);
         self.tick_election();
--- a/crates/core/src/membership/stall.rs
+++ b/crates/core/src/membership/stall.rs
@@ -68,7 +68,7 @@
         let now = self.context.now.steady_ms;
         tracing::info!(gap_ms, "process stall detected");
         self.stall.on_resumed(now);
-        self.machines.idle_later(gap_ms, now);
+        self.machines.extend_idle_start(gap_ms, now);
         self.membership.restart_after_stall(now);
         if self.membership.role().holds_leadership() {
             self.set_stall_state(StallState::Unverified);
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -10,7 +10,7 @@
 use crate::controller::Controller;
 use crate::fleet::machines::MachineState;
 use crate::jobs::JobState;
-use crate::storage::record_writer::Purpose;
+use crate::storage::record_writer::WritePurpose;
 
 /// Values by name.
 #[derive(Default)]
@@ -149,13 +149,13 @@
         metrics.set("machines_unheard", not_ready);
         metrics.set("machines_ready", in_state(MachineState::Ready));
         metrics.set("machines_presumed_empty", in_state(MachineState::LeaseExpired));
-        metrics.set("machines_returning", in_state(MachineState::Returning));
+        metrics.set("machines_returning", in_state(MachineState::Releasing));
         metrics.set("machines_quarantined", quarantined);
         metrics.set("machines_deaf", unreachable);
         metrics.set("machines_doubted", suspected);
         metrics.set_count("machines_expected", self.provisioner.expected() as u64);
         metrics.set_count("copies_dropped", self.duplicates_dropped);
-        metrics.set_count("workers_let_go", self.let_go);
+        metrics.set_count("workers_let_go", self.redirected_workers);
     }
 
     fn queue_metrics(&self, metrics: &mut Metrics) {
@@ -178,8 +178,8 @@
         let now_ms = self.context.now.steady_ms;
         metrics.set("writes_left", self.record_writer.writes.room(now_ms, 0.0));
         metrics.set("reads_left", self.membership.store_reads().room(now_ms, 0.0));
-        for (purpose, name) in Purpose::ALL {
-            metrics.set_count(format!("writes.{name}"), self.record_writer.spent(purpose));
+        for (purpose, name) in WritePurpose::ALL {
+            metrics.set_count(format!("writes.{name}"), self.record_writer.changes_made(purpose));
         }
         metrics.set_flag("writes_short", self.admission.short());
         metrics.set_count("records_behind", self.record_writer.unwritten_records() as u64);
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -355,5 +355,5 @@
 
 /// Whether a task of the job fits a machine beside its services, which never end.
 fn fits_beside_services(machine: &Machine, capacity: &Resources, job: &Job) -> bool {
-    capacity.minus(&machine.held_by_services(job.priority)).fits(&job.resources())
+    capacity.minus(&machine.used_by_services(job.priority)).fits(&job.resources())
 }
--- a/crates/core/src/placement/demand_ratios.rs
+++ b/crates/core/src/placement/demand_ratios.rs
@@ -234,7 +234,7 @@
     /// Whether a machine can ever have enough free for a task, as services never end.
     pub(crate) fn may_come_free(&self, m: &Machine, priority: Priority, need: &Resources) -> bool {
         let capacity = self.capacity_of(&m.kind);
-        capacity.is_some_and(|all| all.minus(&m.held_by_services(priority)).fits(need))
+        capacity.is_some_and(|all| all.minus(&m.used_by_services(priority)).fits(need))
     }
 
     /// E\[W\] of a machine's queue.
--- a/crates/core/src/placement/dispatch.rs
+++ b/crates/core/src/placement/dispatch.rs
@@ -140,13 +140,16 @@
     ) -> bool {
         let Some(chunk) = job.chunks.get(&(key.task / TASKS_PER_CHUNK)) else { return false };
         job.state == JobState::Live
-            && !job.unsure
+            && !job.must_reread_record
             && task.state == TaskState::Waiting
             && task.not_before_ms <= self.context.now.steady_ms
-            && job.may_try(self.context.now.steady_ms)
+            && job.may_start_now(self.context.now.steady_ms)
             && self.may_start(job.team, &job.resources())
             && task.probes.iter().all(|probe| !probe.unproven)
-            && task.probes.iter().any(|p| p.machine == machine_index && p.version <= chunk.acked)
+            && task
+                .probes
+                .iter()
+                .any(|p| p.machine == machine_index && p.version <= chunk.stored_version)
             && self.machines.get(machine_index).is_some_and(|machine| {
                 (task.zone.is_none() || task.zone == machine.zone)
                     && self.allows(&job.spec, &machine.kind, machine.zone, machine.spot)
--- a/crates/core/src/placement/drain.rs
+++ b/crates/core/src/placement/drain.rs
@@ -16,7 +16,7 @@
         let now_ms = self.context.now.steady_ms;
         let mut to_stop: Vec<TaskKey> = Vec::new();
         for (_, machine) in self.machines.iter() {
-            if machine.interruption_at_ms.is_none() && !machine.condemned(now_ms) {
+            if machine.interruption_at_ms.is_none() && !machine.is_due_for_eviction(now_ms) {
                 continue;
             }
             let left_ms = machine.interruption_at_ms.map(|at_ms| at_ms.saturating_sub(now_ms));
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -219,7 +219,7 @@
         for (index, machine) in self.machines.iter() {
             if !machine.takes_work(now_ms)
                 || !self.allows(&job.spec, &machine.kind, machine.zone, machine.spot)
-                || job.errors_on.contains(&index)
+                || job.failed_on.contains(&index)
             {
                 continue;
             }
@@ -301,7 +301,7 @@
         }
         let mut all = Resources::default();
         all.add(&job.resources(), places.len() as f64);
-        if job.unsure || !self.may_start(job.team, &all) {
+        if job.must_reread_record || !self.may_start(job.team, &all) {
             return true;
         }
         let attempt = self.next_attempt();
--- a/crates/core/src/placement/probes.rs
+++ b/crates/core/src/placement/probes.rs
@@ -59,7 +59,7 @@
     }
 
     /// Lets the machines of all probes of the job's waiting tasks bind them.
-    pub(crate) fn touch_probed(&mut self, job_index: JobIndex) {
+    pub(crate) fn dispatch_probed_machines(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get(job_index) else { return };
         let waiting = job.tasks().filter(|(_, task)| task.state == TaskState::Waiting);
         let probes = waiting.flat_map(|(_, task)| &task.probes);
--- a/crates/core/src/placement/reprobe.rs
+++ b/crates/core/src/placement/reprobe.rs
@@ -34,7 +34,7 @@
         let now_ms = self.context.now.steady_ms;
         let is_concerned = |job: &Job| {
             let gang = job.spec.shape == JobKind::Gang;
-            job.state == JobState::Live && job.waiting > 0 && !gang && job.may_try(now_ms)
+            job.state == JobState::Live && job.waiting > 0 && !gang && job.may_start_now(now_ms)
         };
         let mut jobs: Vec<(JobIndex, &Job)> =
             self.jobs.iter().filter(|(_, job)| is_concerned(job)).collect();
@@ -106,7 +106,7 @@
             let Some(machine) = machine.filter(|machine| machine.usable()) else { continue };
             may_come_free |= self.may_come_free(machine, job.priority, &need);
             is_free |= self.resources_for(probe.machine, machine, job).fits(&need)
-                && !job.errors_on.contains(&probe.machine);
+                && !job.failed_on.contains(&probe.machine);
         }
         let is_elsewhere =
             |other: &MachineIndex| !task.probes.iter().any(|probe| probe.machine == *other);
@@ -117,7 +117,7 @@
     fn reprobe_task(&mut self, key: TaskKey, candidates: &mut Candidates) -> bool {
         let Some(job) = self.jobs.get(key.job) else { return false };
         let Some(task) = job.task(key.task) else { return false };
-        let (spec, job_zone, avoid) = (job.spec.clone(), job.zone, job.errors_on.clone());
+        let (spec, job_zone, avoid) = (job.spec.clone(), job.zone, job.failed_on.clone());
         let has_prospects = self.has_prospects(job, task);
         if has_prospects && !candidates.has_spare(None) {
             return false;
@@ -157,10 +157,11 @@
     /// task gets no other probes: if the write is late, it would get new ones again and again, and
     /// never start.
     fn has_unrecorded_probe(&self, job: &Job, key: TaskKey, task: &Task) -> bool {
-        let acked = job.chunks.get(&(key.task / TASKS_PER_CHUNK)).map_or(0, |chunk| chunk.acked);
+        let stored_version =
+            job.chunks.get(&(key.task / TASKS_PER_CHUNK)).map_or(0, |chunk| chunk.stored_version);
         task.probes.iter().any(|probe| {
             let machine = self.machines.get(probe.machine);
-            machine.is_some_and(Machine::usable) && probe.version > acked
+            machine.is_some_and(Machine::usable) && probe.version > stored_version
         })
     }
 }
--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -157,7 +157,7 @@
         // In this leader's epoch nobody else can change the formats.
         if self.recovery.phase == Phase::Format {
             self.see_format(&list.pairs);
-            if self.foreign_format() {
+            if self.has_unsupported_format() {
                 return self.set_role(Role::Follower);
             }
         }
@@ -256,7 +256,7 @@
         match record.status {
             RecordedStatus::Live => {
                 if let Some(ix) = self.insert_recorded(record, revision) {
-                    self.record_writer.touch_job(ix);
+                    self.record_writer.mark_job_dirty(ix);
                 }
             }
             status => {
@@ -299,7 +299,7 @@
             if let Some(job) = self.jobs.get_mut(ix) {
                 job.page = Some(batch);
             }
-            self.record_writer.touch_job(ix);
+            self.record_writer.mark_job_dirty(ix);
             let placement = placement.map(|piece| InlinePlacement {
                 job: id,
                 piece,
@@ -351,7 +351,7 @@
     /// entries are reported by the watch.
     fn load_handoff(&mut self, pair: KeyValue) {
         if self.recovery.start_revision.is_some_and(|revision| pair.revision <= revision) {
-            self.record_writer.remove_note(pair.path, pair.revision);
+            self.record_writer.schedule_deletion_at(pair.path, pair.revision);
         }
     }
 
@@ -366,7 +366,7 @@
         if let Some(job) = self.jobs.get_mut(ix) {
             job.state = JobState::Aborted;
         }
-        self.record_writer.touch_job(ix);
+        self.record_writer.mark_job_dirty(ix);
         Some(ix)
     }
 
@@ -397,7 +397,7 @@
         self.set_role(Role::Leader);
         // Jobs that have no placement yet, and completions that were not recorded.
         for ix in self.jobs.indexes() {
-            self.record_writer.touch_job(ix);
+            self.record_writer.mark_job_dirty(ix);
             self.apply_known_terminal_state(ix);
         }
         for ix in self.machines.indexes() {
--- a/crates/core/src/recovery/placements.rs
+++ b/crates/core/src/recovery/placements.rs
@@ -116,7 +116,7 @@
     /// A chunk as recorded, without its tasks' states.
     fn recorded_chunk(&mut self, tasks: TaskRange, placement: &AssembledPlacement) -> Chunk {
         let mut chunk = self.new_chunk(tasks.len);
-        (chunk.version, chunk.acked, chunk.inline) = (0, 0, placement.inline);
+        (chunk.version, chunk.stored_version, chunk.inline) = (0, 0, placement.inline);
         (chunk.revision, chunk.pieces) = match placement.inline {
             true => (0, 0),
             false => (placement.revision, placement.piece_count),
--- a/crates/core/src/recovery/reconciliation.rs
+++ b/crates/core/src/recovery/reconciliation.rs
@@ -15,7 +15,7 @@
     pub(crate) fn inspect(&mut self, ix: MachineIndex) {
         let Some(machine) = self.machines.get_mut(ix) else { return };
         let Some(addr) = machine.addr else { return };
-        machine.probed_ms = self.context.now.steady_ms;
+        machine.inspected_ms = self.context.now.steady_ms;
         let call = RecoveryCall::Inspect { machine: ix, epoch: self.epoch() };
         let timeout_ms = self.context.config.worker_timeout_ms();
         self.get_for_recovery(Peer::Worker(addr), "/inspect".into(), timeout_ms, call);
--- a/crates/core/src/recovery/recorded_jobs.rs
+++ b/crates/core/src/recovery/recorded_jobs.rs
@@ -30,7 +30,7 @@
 impl Controller {
     /// Adds a job to memory that is recorded as live. Its placements are read before any task of
     /// it starts. Returns `None` if the job has ended or can't be added.
-    pub(crate) fn adopt(
+    pub(crate) fn add_recorded_job(
         &mut self,
         id: &str,
         mut record: JobRecord,
@@ -101,7 +101,7 @@
             job.busy = false;
         }
         self.set_job_state(ix, JobState::Live);
-        self.record_writer.touch_job(ix);
+        self.record_writer.mark_job_dirty(ix);
         self.placement_due = true;
     }
 
@@ -113,7 +113,7 @@
         };
         let Some(pair) = pair else { return };
         match decode::<JobRecord>(&pair.value) {
-            Some(record) => drop(self.adopt(&job, record, pair.revision)),
+            Some(record) => drop(self.add_recorded_job(&job, record, pair.revision)),
             None => {
                 tracing::error!(job = %job, "the job's record can't be decoded; it is not run")
             }
@@ -148,7 +148,7 @@
     }
 
     /// Periodic work: reads indeterminate submissions, and repeats the reads that failed.
-    pub(crate) fn retry_handoff_reads(&mut self) {
+    pub(crate) fn read_recorded_jobs(&mut self) {
         self.read_indeterminate_submissions();
         for job in std::mem::take(&mut self.recorded_job_reads.to_retry) {
             self.read_recorded_job(job);
@@ -157,7 +157,7 @@
 
     fn read_recorded_job(&mut self, job: String) {
         let target = format!("/keys/{}", job_key(&job));
-        let pending = InFlight::InboxRead { job, epoch: self.epoch() };
+        let pending = InFlight::HandoffJobRead { job, epoch: self.epoch() };
         self.call_store("GET", target, Vec::new(), pending);
     }
 }
--- a/crates/core/src/storage/feature_state.rs
+++ b/crates/core/src/storage/feature_state.rs
@@ -103,7 +103,7 @@
     }
 
     /// Whether something is active that this version does not support: it must not touch records.
-    pub(crate) fn foreign_format(&self) -> bool {
+    pub(crate) fn has_unsupported_format(&self) -> bool {
         self.feature_state.gates.is_unsupported()
     }
 
@@ -123,7 +123,7 @@
 
     /// Largest value in bytes that may be written, as
     /// [`checked_size`](crate::storage::records::checked_size) counts them.
-    pub(crate) fn value_most(&self) -> usize {
+    pub(crate) fn max_value_bytes(&self) -> usize {
         (self.limits().value_kb * 1024.0) as usize
     }
 
@@ -159,7 +159,7 @@
         let Some(list) = self.listed(outcome) else { return };
         self.see_format(&list.pairs);
         // No settings name more controllers than one answer holds.
-        if list.more || self.foreign_format() {
+        if list.more || self.has_unsupported_format() {
             return;
         }
         let capabilities = list.pairs.iter().filter_map(stored_capabilities).collect();
--- a/crates/core/src/storage/job_batches/batch_writer.rs
+++ b/crates/core/src/storage/job_batches/batch_writer.rs
@@ -13,7 +13,7 @@
 use crate::ids::JobIndex;
 use crate::jobs::JobState;
 use crate::storage::placement_records::RecordLocation;
-use crate::storage::record_writer::{write_outcome, Purpose};
+use crate::storage::record_writer::{write_outcome, WritePurpose};
 use crate::storage::records::{
     batch_key, checked_size, decode, encode, inline_piece, job_key, BatchRecord, EPOCH_KEY,
 };
@@ -74,11 +74,11 @@
         let value = encode(&contents.record);
         let apply = vec![Change::Set { set: path, value, lease_id: None }];
         for member in &contents.members {
-            self.chunk_sent(*member, 0, RecordLocation::default());
+            self.on_placement_sent(*member, 0, RecordLocation::default());
             self.record_writer.settled(*member, 0);
         }
         self.record_writer.writes.force(self.context.now.steady_ms, 1.0);
-        self.record_writer.note(if is_new { Purpose::Accept } else { Purpose::Deal }, 1);
+        self.record_writer.note(if is_new { WritePurpose::Accept } else { WritePurpose::Deal }, 1);
         self.job_batches.set_batch_state(number, BatchState::Writing);
         let body = to_cbor(&Transaction { guards, apply });
         let call = BatchCall::Write { number, epoch: self.epoch() };
@@ -102,7 +102,7 @@
         if self.any_member_leaving(&members) {
             return None;
         }
-        let max_bytes = self.value_most();
+        let max_bytes = self.max_value_bytes();
         loop {
             let record = self.batch_record(&members);
             if checked_size(&record) <= max_bytes || members.is_empty() {
@@ -240,13 +240,13 @@
         let uses_batch_record = !job.own;
         if let Some(chunk) = job.chunks.get_mut(&0).filter(|c| c.busy && uses_batch_record) {
             chunk.busy = false;
-            chunk.acked = chunk.version;
+            chunk.stored_version = chunk.version;
         }
         if is_accepted_now {
             self.accept_member(member);
         }
-        self.touch_probed(member);
-        self.record_writer.touch_job(member);
+        self.dispatch_probed_machines(member);
+        self.record_writer.mark_job_dirty(member);
     }
 
     fn accept_member(&mut self, member: JobIndex) {
@@ -400,7 +400,7 @@
                 if is_recording {
                     self.accept_member(member);
                 }
-                self.record_writer.touch_job(member);
+                self.record_writer.mark_job_dirty(member);
             }
             Some(_) => self.drop_job(member),
             None => {
--- a/crates/core/src/storage/job_batches/intake.rs
+++ b/crates/core/src/storage/job_batches/intake.rs
@@ -104,7 +104,7 @@
     fn is_small_enough_for_batch(&self, spec: &JobSpec) -> bool {
         // A batch record holds the placements of first chunks only.
         spec.tasks <= TASKS_PER_CHUNK
-            && self.max_batched_size(spec) * MIN_JOBS_PER_RECORD <= self.value_most()
+            && self.max_batched_size(spec) * MIN_JOBS_PER_RECORD <= self.max_value_bytes()
     }
 
     /// Bytes that a job may come to take in a batch record once it is placed.
@@ -170,7 +170,7 @@
     /// Takes as many submissions as one record can hold, oldest first.
     fn take_submissions_for_batch(&mut self) -> Vec<BatchSubmission> {
         let max_jobs = self.max_jobs_per_batch();
-        let max_bytes = self.value_most();
+        let max_bytes = self.max_value_bytes();
         let mut batch_bytes = 0;
         let mut chosen: Vec<BatchSubmission> = Vec::new();
         let queue = std::mem::take(&mut self.job_batches.intake.queue);
--- a/crates/core/src/storage/live_record_reads.rs
+++ b/crates/core/src/storage/live_record_reads.rs
@@ -65,7 +65,7 @@
         }
         if self.jobs.get(ix).is_some_and(|job| job.state != JobState::Aborted) {
             self.set_job_state(ix, JobState::Aborted);
-            self.record_writer.touch_job(ix);
+            self.record_writer.mark_job_dirty(ix);
         }
     }
 
@@ -74,7 +74,7 @@
         let Some(job) = self.jobs.get_mut(ix).filter(|job| job.state == JobState::Live) else {
             return;
         };
-        job.unsure = true;
+        job.must_reread_record = true;
         if !job.busy {
             self.reread_job(ix);
         }
@@ -83,8 +83,10 @@
     /// Reads the records of jobs that could not be read at once because a write or a read of them
     /// was in flight.
     pub(crate) fn read_unverified_jobs(&mut self) {
-        let unverified =
-            self.jobs.iter().filter(|(_, job)| job.unsure && !job.busy && job.state.lives());
+        let unverified = self
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.must_reread_record && !job.busy && job.state.lives());
         for ix in unverified.map(|(ix, _)| ix).collect::<Vec<_>>() {
             self.reread_job(ix);
         }
--- a/crates/core/src/storage/placement_records.rs
+++ b/crates/core/src/storage/placement_records.rs
@@ -99,7 +99,7 @@
         let job = self.jobs.get(ix)?;
         let recorded = job.chunks.get(&chunk)?;
         if !self.has(Feature::SplitPlacementRecords) {
-            return Some(unsplit_write(&record, recorded, self.value_most()));
+            return Some(unsplit_write(&record, recorded, self.max_value_bytes()));
         }
         let inline_write = self.inline_write(ix, job, recorded, &record);
         Some(inline_write.unwrap_or_else(|| self.split_write(ix, job, chunk, recorded, &record)))
@@ -113,13 +113,13 @@
         recorded: &Chunk,
         record: &PlacementRecord,
     ) -> Option<PlacementWrite> {
-        if !self.inlines(ix) {
+        if !self.may_inline_placement(ix) {
             return None;
         }
         let mut own_record = self.own_record(job);
         own_record.share = Some(inline_piece(record));
         let bytes = checked_size(&own_record);
-        if bytes + ABORT_SPARE_BYTES > self.value_most() {
+        if bytes + ABORT_SPARE_BYTES > self.max_value_bytes() {
             return None;
         }
         Some(PlacementWrite {
@@ -142,9 +142,9 @@
         recorded: &Chunk,
         record: &PlacementRecord,
     ) -> PlacementWrite {
-        let max_bytes = self.value_most();
+        let max_bytes = self.max_value_bytes();
         // A placement that has outgrown the job's own record must not remain there as well.
-        let leaves_own_record = self.inlines(ix) && recorded.inline;
+        let leaves_own_record = self.may_inline_placement(ix) && recorded.inline;
         // A job that leaves its batch record has no record of its own yet.
         let leaves_batch = job.own && job.page.is_some();
         let own_record = (leaves_own_record || leaves_batch)
@@ -167,7 +167,7 @@
     }
 
     /// Whether the placement of a job belongs in the job's own record, if it fits.
-    pub(crate) fn inlines(&self, ix: JobIndex) -> bool {
+    pub(crate) fn may_inline_placement(&self, ix: JobIndex) -> bool {
         self.has(Feature::InlinePlacements)
             && self.jobs.get(ix).is_some_and(|job| {
                 job.chunk_count() == 1 && job.chunks.get(&0).is_none_or(|c| c.pieces == 0)
@@ -177,9 +177,12 @@
     /// A job's own record as memory has it, without its placement.
     pub(crate) fn own_record(&self, job: &Job) -> JobRecord {
         let mut record = self.folded_record(job, &[]);
-        if matches!(job.state, JobState::Aborted | JobState::Aborting | JobState::Doubtful) {
+        if matches!(
+            job.state,
+            JobState::Aborted | JobState::Aborting | JobState::AbortIndeterminate
+        ) {
             record.status = RecordedStatus::Aborted;
-            record.end_within(self.value_most());
+            record.end_within(self.max_value_bytes());
         }
         record
     }
@@ -205,7 +208,7 @@
         let completed = job.chunks.iter().filter(|(_, chunk)| chunk.whole());
         let completed: Vec<u32> = completed.map(|(number, _)| *number).collect();
         completed.is_empty()
-            || checked_size(&self.folded_record(job, &completed)) <= self.value_most()
+            || checked_size(&self.folded_record(job, &completed)) <= self.max_value_bytes()
     }
 
     /// Adds the deletion of these chunks' placement records to a transaction.
@@ -221,7 +224,7 @@
     }
 
     /// A write of a chunk's placement has been sent, perhaps with the job's own record.
-    pub(crate) fn chunk_sent(&mut self, ix: JobIndex, chunk: u32, placed: RecordLocation) {
+    pub(crate) fn on_placement_sent(&mut self, ix: JobIndex, chunk: u32, placed: RecordLocation) {
         let Some(job) = self.jobs.get_mut(ix) else { return };
         job.busy |= placed.own;
         if let Some(chunk) = job.chunks.get_mut(&chunk) {
@@ -230,7 +233,7 @@
     }
 
     /// A chunk's placement has been recorded as it was sent.
-    pub(crate) fn chunk_stands(
+    pub(crate) fn on_placement_recorded(
         &mut self,
         ix: JobIndex,
         chunk: u32,
@@ -242,7 +245,7 @@
             (job.busy, job.revision) = (false, revision);
         }
         if let Some(chunk) = job.chunks.get_mut(&chunk) {
-            (chunk.busy, chunk.acked) = (false, chunk.version);
+            (chunk.busy, chunk.stored_version) = (false, chunk.version);
             (chunk.pieces, chunk.inline) = (placed.pieces, placed.inline);
             chunk.revision = if placed.inline { 0 } else { revision };
         }
--- a/crates/core/src/storage/record_writer.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -63,7 +63,7 @@
 
 /// What changes at the store are for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Purpose {
+pub(crate) enum WritePurpose {
     /// Accepting a job.
     Accept,
     /// Recording an abort.
@@ -80,16 +80,16 @@
     Cleanup,
 }
 
-impl Purpose {
+impl WritePurpose {
     /// All purposes, with their names in the metric keys.
-    pub const ALL: [(Purpose, &'static str); 7] = [
-        (Purpose::Accept, "accept"),
-        (Purpose::Abort, "abort"),
-        (Purpose::Deal, "deal"),
-        (Purpose::TaskCompletions, "ends"),
-        (Purpose::Fold, "fold"),
-        (Purpose::TerminalState, "end"),
-        (Purpose::Cleanup, "tidy"),
+    pub const ALL: [(WritePurpose, &'static str); 7] = [
+        (WritePurpose::Accept, "accept"),
+        (WritePurpose::Abort, "abort"),
+        (WritePurpose::Deal, "deal"),
+        (WritePurpose::TaskCompletions, "ends"),
+        (WritePurpose::Fold, "fold"),
+        (WritePurpose::TerminalState, "end"),
+        (WritePurpose::Cleanup, "tidy"),
     ];
 }
 
@@ -98,7 +98,7 @@
     /// Limits the rate of changes of this controller, in changes a second.
     pub writes: RateLimiter,
     /// Changes made since the process began to lead.
-    changes_by_purpose: BTreeMap<Purpose, u64>,
+    changes_by_purpose: BTreeMap<WritePurpose, u64>,
     dirty_chunks: BTreeSet<(JobIndex, u32)>,
     /// Jobs whose own record may have to be written.
     dirty_jobs: BTreeSet<JobIndex>,
@@ -164,12 +164,12 @@
     }
 
     /// Counts changes for the metrics.
-    pub fn note(&mut self, purpose: Purpose, changes: usize) {
+    pub fn note(&mut self, purpose: WritePurpose, changes: usize) {
         *self.changes_by_purpose.entry(purpose).or_default() += changes as u64;
     }
 
     /// Changes made for this purpose since the process began to lead.
-    pub fn spent(&self, purpose: Purpose) -> u64 {
+    pub fn changes_made(&self, purpose: WritePurpose) -> u64 {
         self.changes_by_purpose.get(&purpose).copied().unwrap_or(0)
     }
 
@@ -184,13 +184,13 @@
     }
 
     /// The job's own record may have to be written.
-    pub fn touch_job(&mut self, ix: JobIndex) {
+    pub fn mark_job_dirty(&mut self, ix: JobIndex) {
         self.dirty_jobs.insert(ix);
     }
 
     /// The next flush does not wait for a batch to fill, because other jobs wait for a terminal
     /// state.
-    pub fn hurry(&mut self) {
+    pub fn expedite(&mut self) {
         self.expedited = true;
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Schedules the deletion of a key as it was read: a newer value in its place stays.
-    pub fn remove_note(&mut self, path: String, revision: u64) {
+    pub fn schedule_deletion_at(&mut self, path: String, revision: u64) {
         let newest = self.deletions.entry(path).or_default();
         *newest = revision.max(*newest);
     }
--- a/crates/core/src/storage/record_writer/flush.rs
+++ b/crates/core/src/storage/record_writer/flush.rs
@@ -4,7 +4,7 @@
 use quartzgate_wire::to_cbor;
 
 use super::placements::BEST_EFFORT_RESERVE;
-use super::{FlushItem, Purpose};
+use super::{FlushItem, WritePurpose};
 use crate::controller::Controller;
 use crate::ids::JobIndex;
 use crate::storage::calls::StorageCall;
@@ -146,7 +146,7 @@
                 draft.transaction.guards.push(Guard { path: path.clone(), revision });
             }
             draft.transaction.apply.push(Change::Delete { delete: path.clone() });
-            self.record_writer.note(Purpose::Cleanup, 1);
+            self.record_writer.note(WritePurpose::Cleanup, 1);
             self.record_writer.deletions.remove(&path);
             draft.items.push(FlushItem::Deletion { path, revision });
         }
--- a/crates/core/src/storage/record_writer/outcomes.rs
+++ b/crates/core/src/storage/record_writer/outcomes.rs
@@ -38,7 +38,7 @@
                     tracing::debug!("a write exceeded the store's rate limit");
                 }
                 self.on_store_throttled(status);
-                items.into_iter().for_each(|item| self.unwritten(item));
+                items.into_iter().for_each(|item| self.requeue_write(item));
             }
             // It may have been applied, or may be applied later.
             _ => items.into_iter().for_each(|item| self.reread_record(item)),
@@ -64,7 +64,7 @@
             // Which of the records is at fault shows when each is sent by itself.
             self.record_writer.single_record_flushes = items.len();
         }
-        items.into_iter().for_each(|item| self.unwritten(item));
+        items.into_iter().for_each(|item| self.requeue_write(item));
     }
 
     /// Nothing of a transaction was executed, since the revisions of these keys have changed. The
@@ -76,7 +76,7 @@
         for deletion in deletions {
             let FlushItem::Deletion { path, .. } = &deletion else { continue };
             if !failed.contains(path) {
-                self.unwritten(deletion);
+                self.requeue_write(deletion);
             }
         }
         let record_changed = failed.iter().any(|path| !path.starts_with(HANDOFF_PREFIX));
@@ -86,7 +86,7 @@
         for item in records {
             match record_changed {
                 true => self.reread_record(item),
-                false => self.unwritten(item),
+                false => self.requeue_write(item),
             }
         }
     }
@@ -111,16 +111,16 @@
         placed: RecordLocation,
         revision: u64,
     ) {
-        self.chunk_stands(ix, chunk, placed, revision);
+        self.on_placement_recorded(ix, chunk, placed, revision);
         // A job with a record of its own is no longer part of a batch record.
         let with_own_record = self.jobs.get_mut(ix).filter(|_| placed.own);
         if let Some(batch) = with_own_record.and_then(|job| job.page.take()) {
             self.remove_from_batch(ix, batch);
         }
-        self.touch_probed(ix);
+        self.dispatch_probed_machines(ix);
         self.preempt_due = true;
         self.placement_due = true;
-        self.record_writer.touch_job(ix);
+        self.record_writer.mark_job_dirty(ix);
     }
 
     fn on_terminal_state_written(&mut self, ix: JobIndex, deleted: &[u32], revision: u64) {
@@ -147,7 +147,7 @@
         (job.busy, job.revision) = (false, revision);
         job.chunks.retain(|number, _| !folded.contains(number));
         job.done_chunks = job.done_chunks_with(folded);
-        self.record_writer.touch_job(ix);
+        self.record_writer.mark_job_dirty(ix);
         self.placement_due = true;
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// A record was not written: memory is still ahead of it.
-    pub(crate) fn unwritten(&mut self, item: FlushItem) {
+    pub(crate) fn requeue_write(&mut self, item: FlushItem) {
         match item {
             FlushItem::Chunk { job: ix, chunk, placed } => {
                 let Some(job) = self.jobs.get_mut(ix) else { return };
@@ -184,10 +184,10 @@
                         self.set_job_state(ix, JobState::Live);
                     }
                 }
-                self.record_writer.touch_job(ix);
+                self.record_writer.mark_job_dirty(ix);
             }
             FlushItem::Deletion { path, revision } => {
-                self.record_writer.remove_note(path, revision)
+                self.record_writer.schedule_deletion_at(path, revision)
             }
         }
     }
--- a/crates/core/src/storage/record_writer/placements.rs
+++ b/crates/core/src/storage/record_writer/placements.rs
@@ -5,7 +5,7 @@
 use quartzgate_wire::msg::Priority;
 
 use super::flush::{ChangeLimits, Draft, MAX_TRANSACTION_BYTES};
-use super::{FlushItem, Purpose};
+use super::{FlushItem, WritePurpose};
 use crate::controller::Controller;
 use crate::ids::JobIndex;
 use crate::jobs::{Chunk, Job, JobState};
@@ -46,10 +46,10 @@
         }
     }
 
-    fn purpose(self) -> Purpose {
+    fn purpose(self) -> WritePurpose {
         match self {
-            Urgency::BlocksStarts(_) | Urgency::BlocksBestEffortStarts => Purpose::Deal,
-            Urgency::Overdue | Urgency::Patient => Purpose::TaskCompletions,
+            Urgency::BlocksStarts(_) | Urgency::BlocksBestEffortStarts => WritePurpose::Deal,
+            Urgency::Overdue | Urgency::Patient => WritePurpose::TaskCompletions,
         }
     }
 }
@@ -237,7 +237,7 @@
         let placed = write.placed;
         self.record_writer.note(urgency.purpose(), write.changes());
         write.enter(&id, chunk, &mut draft.transaction.guards, &mut draft.transaction.apply);
-        self.chunk_sent(ix, chunk, placed);
+        self.on_placement_sent(ix, chunk, placed);
         self.record_writer.settled(ix, chunk);
         draft.items.push(FlushItem::Chunk { job: ix, chunk, placed });
         true
--- a/crates/core/src/storage/record_writer/rereads.rs
+++ b/crates/core/src/storage/record_writer/rereads.rs
@@ -22,7 +22,7 @@
     pub(crate) fn reread_record(&mut self, item: FlushItem) {
         match &item {
             FlushItem::Deletion { path, revision } => {
-                return self.record_writer.remove_note(path.clone(), *revision)
+                return self.record_writer.schedule_deletion_at(path.clone(), *revision)
             }
             // The placements that the write deletes may or may not be there.
             FlushItem::Terminal { job, chunks } | FlushItem::Fold { job, chunks } => {
@@ -120,7 +120,7 @@
             }
             RecordedStatus::Aborted => {
                 self.set_job_state(ix, JobState::Aborted);
-                self.record_writer.touch_job(ix);
+                self.record_writer.mark_job_dirty(ix);
             }
             RecordedStatus::Live => self.on_live_reread(ix),
         }
@@ -155,7 +155,7 @@
     /// The record says that the job is live. If the write of its abort is indeterminate, the abort
     /// is recorded once more: whichever write is executed first, the other one fails.
     fn on_live_reread(&mut self, ix: JobIndex) {
-        if self.jobs.get(ix).is_some_and(|job| job.state == JobState::Doubtful) {
+        if self.jobs.get(ix).is_some_and(|job| job.state == JobState::AbortIndeterminate) {
             if !self.record_abort(None, ix) {
                 if let Some(job) = self.jobs.get_mut(ix) {
                     job.busy = true;
@@ -166,11 +166,11 @@
             return;
         }
         if let Some(job) = self.jobs.get_mut(ix) {
-            job.unsure = false;
+            job.must_reread_record = false;
         }
         self.set_job_state(ix, JobState::Live);
-        self.record_writer.touch_job(ix);
-        self.touch_probed(ix);
+        self.record_writer.mark_job_dirty(ix);
+        self.dispatch_probed_machines(ix);
     }
 
     /// A record of the job can't be decoded. The job stops, with an error in the log, and its
--- a/crates/core/src/storage/record_writer/terminal_states.rs
+++ b/crates/core/src/storage/record_writer/terminal_states.rs
@@ -6,7 +6,7 @@
 use quartzgate_wire::msg::{Change, Guard, JobKind};
 
 use super::flush::{Draft, CLEANUP_RESERVE};
-use super::{FlushItem, Purpose};
+use super::{FlushItem, WritePurpose};
 use crate::controller::Controller;
 use crate::ids::JobIndex;
 use crate::jobs::{Chunk, Job, JobState};
@@ -170,8 +170,8 @@
         let before_deletions = draft.changes();
         self.record_writer.completion_queue.record_service(job.team, &job.spec.class);
         self.remove_placements(ix, &chunks, &mut draft.transaction);
-        self.record_writer.note(Purpose::TerminalState, 1);
-        self.record_writer.note(Purpose::Cleanup, draft.changes() - before_deletions);
+        self.record_writer.note(WritePurpose::TerminalState, 1);
+        self.record_writer.note(WritePurpose::Cleanup, draft.changes() - before_deletions);
         draft.bytes += TERMINAL_STATE_BYTES + DELETION_BYTES * chunks.len();
         self.record_writer.forget_job(ix);
         if let Some(job) = self.jobs.get_mut(ix) {
@@ -223,7 +223,7 @@
             lease_id: None,
         });
         self.remove_placements(ix, &chunks, &mut draft.transaction);
-        self.record_writer.note(Purpose::Fold, draft.changes() - before);
+        self.record_writer.note(WritePurpose::Fold, draft.changes() - before);
         if let Some(job) = self.jobs.get_mut(ix) {
             job.busy = true;
         }
