--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -278,6 +278,7 @@
         at_ms: u64,
     ) -> Job {
         let ratio = self.ratio_of(&spec);
+        // `quartzgate-loadtest service-report --logs` reads this line and `begun`.
         tracing::debug!(job = %spec.id, class = %spec.class, tasks = spec.tasks, "job entered");
         Job::new(spec, team, state, revision, at_ms, self.context.now.steady_ms, ratio)
     }
--- a/crates/loadtest/src/service_report/controller_log.rs
+++ b/crates/loadtest/src/service_report/controller_log.rs
@@ -3,8 +3,10 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Messages of the log that name a job: when it becomes known, and when its first task starts.
-const JOB_KNOWN: &str = " known job=";
+/// Messages of the log that name a job when it enters a leader's memory: today's, and that of
+/// earlier versions, whose logs can be read as well.
+const JOB_ENTERED: [&str; 2] = [" job entered job=", " known job="];
+/// Message of the log when the first task of a job starts.
 const JOB_STARTED: &str = " begun job=";
 
 /// The largest jobs are a class's first tenth by number of tasks, at least one.
@@ -62,7 +64,7 @@
 
 fn parse_line(line: &str) -> Option<LogEntry<'_>> {
     let started = line.contains(JOB_STARTED);
-    if !started && !line.contains(JOB_KNOWN) {
+    if !started && !JOB_ENTERED.iter().any(|message| line.contains(message)) {
         return None;
     }
     let wait_ms = field(line, "waited_ms").and_then(|wait| wait.parse().ok());
--- a/crates/loadtest/tests/unit/service_report.rs
+++ b/crates/loadtest/tests/unit/service_report.rs
@@ -28,7 +28,9 @@
     for number in 0..20 {
         let tasks = if number < 2 { 500 } else { number };
         let job = format!("job=wk-{number} class=c tasks={tasks}");
-        log += &format!("1.0 n0 DEBUG known {job}\n");
+        // The message of this version, and that of earlier ones.
+        let entered = if number % 3 == 1 { "job entered" } else { "known" };
+        log += &format!("1.0 n0 DEBUG {entered} {job}\n");
         if number != 1 {
             log += &format!("9 n0 DEBUG begun {job} waited_ms=7000\n");
             log += &format!("9 n1 DEBUG begun {job} waited_ms=9000\n");
