--- a/crates/core/src/api/abort.rs
+++ b/crates/core/src/api/abort.rs
@@ -10,8 +10,9 @@
 };
 use quartzgate_wire::{from_cbor, to_cbor};
 
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
 use crate::ids::JobIndex;
+use crate::in_flight::InFlight;
 use crate::jobs::JobState;
 use crate::storage::placement_records::RecordLocation;
 use crate::storage::record_writer::{FlushItem, WritePurpose};
--- a/crates/core/src/api/admissibility.rs
+++ b/crates/core/src/api/admissibility.rs
@@ -70,7 +70,8 @@
     /// Zones that the job allows and that have a machine type which its tasks fit.
     fn usable_zones(&self, spec: &JobSpec) -> BTreeSet<&String> {
         let is_allowed = |zone: &&String| spec.zone.as_ref().is_none_or(|allowed| allowed == *zone);
-        let fitting = self.types.iter().filter(|machine_type| fits_type(spec, machine_type));
+        let fitting =
+            self.machine_types.iter().filter(|machine_type| fits_type(spec, machine_type));
         fitting.flat_map(|machine_type| &machine_type.zones).filter(is_allowed).collect()
     }
 }
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -120,7 +120,7 @@
     pub(crate) fn may_accept(&mut self, priority: Priority) -> bool {
         let now_ms = self.context.now.steady_ms;
         let is_limited = self.admission.short() && priority < Priority::High;
-        if is_limited && self.admission.acceptances.room(now_ms, 0.0) < 1.0 {
+        if is_limited && self.admission.acceptances.available(now_ms, 0.0) < 1.0 {
             return false;
         }
         let is_taken = self.record_writer.writes.take(now_ms, 1.0, 0.0);
--- a/crates/core/src/api/forwarding.rs
+++ b/crates/core/src/api/forwarding.rs
@@ -4,7 +4,8 @@
 use quartzgate_wire::msg::{Forward, JobAnswer, JobStatus};
 use quartzgate_wire::{from_cbor, to_cbor};
 
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
+use crate::in_flight::InFlight;
 use crate::storage::records::RecordedStatus;
 use crate::{Outcome, Peer, RequestId};
 
--- a/crates/core/src/api/handoff.rs
+++ b/crates/core/src/api/handoff.rs
@@ -3,7 +3,8 @@
 use ciborium::value::Value;
 use quartzgate_wire::msg::valid_job_id;
 
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
+use crate::in_flight::InFlight;
 use crate::storage::records::{decode, job_key, HANDOFF_PREFIX};
 
 impl Controller {
--- a/crates/core/src/api/machine_types.rs
+++ b/crates/core/src/api/machine_types.rs
@@ -3,7 +3,8 @@
 use quartzgate_wire::from_cbor;
 use quartzgate_wire::msg::{MachineType, MachineTypes};
 
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
+use crate::in_flight::InFlight;
 use crate::{Outcome, Peer};
 
 /// Time after a read of the list until the next while there is no list yet.
@@ -65,7 +66,7 @@
         if list.types.is_empty() || !list.types.iter().all(is_plausible) {
             return;
         }
-        self.types = list.types;
+        self.machine_types = list.types;
         self.machine_types_at_ms = Some(self.context.now.steady_ms);
         self.supply_changed = true;
     }
--- a/crates/core/src/api/routing.rs
+++ b/crates/core/src/api/routing.rs
@@ -6,7 +6,8 @@
 use quartzgate_wire::http::{Request, Response};
 use quartzgate_wire::msg::{valid_job_id, JobSpec};
 
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
+use crate::in_flight::InFlight;
 use crate::latency::LatencySpan;
 use crate::RequestId;
 
@@ -168,7 +169,7 @@
             return self.answer_terminal(id, work.id(), status);
         }
         // The first version drops dependencies, so that none is accepted while it may lead.
-        if work.has_dependencies() && !self.has(Feature::JobDependencies) {
+        if work.has_dependencies() && !self.is_active(Feature::JobDependencies) {
             return self.answer_busy(id);
         }
         if self.leads() {
--- a/crates/core/src/api/status_queries.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -10,8 +10,9 @@
 use quartzgate_wire::msg::{Guard, JobAnswer, JobStatus, Transaction, TransactionAnswer};
 use quartzgate_wire::{from_cbor, to_cbor};
 
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
 use crate::ids::JobIndex;
+use crate::in_flight::InFlight;
 use crate::jobs::Job;
 use crate::storage::records::{job_key, JOB_PREFIX};
 use crate::{Outcome, RequestId};
@@ -249,7 +250,7 @@
         let is_changed = |job_index: &JobIndex| changed.contains(job_index);
         let is_outdated = is_changed(&job_index)
             || self.before(job_index).is_none_or(|jobs| jobs.iter().any(is_changed));
-        let is_valid = |job: &&Job| job.state.lives() && !is_outdated;
+        let is_valid = |job: &&Job| job.state.is_accepted() && !is_outdated;
         let Some(answer) = self.jobs.get(job_index).filter(is_valid).map(live_answer) else {
             return self.read_statuses(job_index, requests);
         };
@@ -268,7 +269,7 @@
 
 /// Whether memory is based on a record of the job whose revision is known.
 fn is_validatable(job: &Job) -> bool {
-    job.state.lives() && !job.busy && (job.revision > 0 || job.page.is_some())
+    job.state.is_accepted() && !job.busy && (job.revision > 0 || job.page.is_some())
 }
 
 /// The answer for a job that had not ended at the time of a read: its end is reported only once it
--- a/crates/core/src/api/submit.rs
+++ b/crates/core/src/api/submit.rs
@@ -12,8 +12,9 @@
 };
 use quartzgate_wire::{from_cbor, to_cbor};
 
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
 use crate::ids::JobIndex;
+use crate::in_flight::InFlight;
 use crate::jobs::JobState;
 use crate::storage::placement_records::{PlacementWrite, RecordLocation};
 use crate::storage::record_writer::WritePurpose;
@@ -303,7 +304,7 @@
         if placed != RecordLocation::default() {
             self.on_placement_recorded(job_index, 0, placed, answer.store_revision);
         }
-        self.link(job_index);
+        self.add_to_dependency_graph(job_index);
         self.set_job_state(job_index, JobState::Live);
         // The job may depend on one that is aborted.
         let status = match self.terminal_jobs.get(&job_id) {
@@ -319,12 +320,12 @@
 
     /// Records a submission by the store alone, after a look whether a batch record holds the job.
     fn submit_without_leader(&mut self, id: RequestId, spec: JobSpec, cancelled: bool) {
-        if !self.has(Feature::BatchRecords) {
+        if !self.is_active(Feature::BatchRecords) {
             return self.record_without_leader(id, spec, cancelled, None);
         }
         // No lookup is worth it if the job could not be recorded.
         let now_ms = self.context.now.steady_ms;
-        if self.record_writer.writes.room(now_ms, 0.0) < WRITES_WITHOUT_LEADER {
+        if self.record_writer.writes.available(now_ms, 0.0) < WRITES_WITHOUT_LEADER {
             return self.answer_busy(id);
         }
         let job = spec.id.clone();
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -1,20 +1,20 @@
 //! The controller: takes events, routes them to the modules, and returns actions.
 
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 
 use quartzgate_wire::http::Response;
-use quartzgate_wire::msg::{JobSpec, MachineType};
+use quartzgate_wire::msg::MachineType;
 use rand::rngs::SmallRng;
 
 use crate::api::admission::AdmissionControl;
-use crate::api::status_queries::{StatusQueries, ValidatedRead};
-use crate::api::{Refusal, UserRequest};
+use crate::api::status_queries::StatusQueries;
 use crate::config::Config;
 use crate::context::{CallTable, Context};
 use crate::fleet::machines::{Machines, Resources};
 use crate::fleet::provisioning::Provisioner;
 use crate::fleet::{FleetCall, OutOfZoneWorkers};
-use crate::ids::{JobIndex, MachineIndex};
+use crate::ids::MachineIndex;
+use crate::in_flight::InFlight;
 use crate::jobs::dependencies::DependencyGraph;
 use crate::jobs::Jobs;
 use crate::lease_proxy::mailbox::Mailbox;
@@ -27,62 +27,11 @@
 use crate::recovery::{RecordedJobReads, Recovery, RecoveryCall};
 use crate::storage::calls::StorageCall;
 use crate::storage::feature_state::FeatureState;
-use crate::storage::job_batches::{BatchCall, JobBatches};
-use crate::storage::placement_records::RecordLocation;
+use crate::storage::job_batches::JobBatches;
 use crate::storage::record_writer::RecordWriter;
-use crate::storage::records::RecordedStatus;
+use crate::terminal_jobs::TerminalJobs;
 use crate::{Action, Event, LoadState, Now, Outcome, Peer, RequestId};
 
-/// What a call of ours was for.
-#[derive(Debug)]
-pub(crate) enum InFlight {
-    ProxiedJobRead { job: String, sent_ms: u64 },
-    HandoffJobRead { job: String, epoch: u64 },
-    Accept { request: RequestId, job: JobIndex, placed: RecordLocation, epoch: u64 },
-    AcceptWithoutLeader { request: RequestId, id: String, cancelled: bool },
-    AbortWrite { request: Option<RequestId>, job: JobIndex, placed: RecordLocation, epoch: u64 },
-    AbortRead { request: RequestId, id: String },
-    AbortWithoutLeader { request: RequestId, id: String },
-    Known { request: RequestId, job: String, refusal: Option<Refusal> },
-    DependencyRead { job: String, epoch: u64 },
-    WalkRead { request: RequestId, job: String },
-    Poll { request: RequestId, id: String },
-    LookupBeforeSubmission { request: RequestId, spec: Box<JobSpec>, cancelled: bool },
-    Batch(BatchCall),
-    Compare { compared: ValidatedRead, epoch: u64 },
-    Forward { request: RequestId, sibling: usize, work: Box<UserRequest> },
-    AbortNotice,
-    Types,
-}
-
-/// Terminal states of jobs, which never change again. Bounded: the oldest are read anew.
-pub(crate) struct TerminalJobs {
-    known: HashMap<String, RecordedStatus>,
-    order: VecDeque<String>,
-    max_terminal_jobs: usize,
-}
-
-impl TerminalJobs {
-    pub fn new(max_terminal_jobs: usize) -> Self {
-        TerminalJobs { known: HashMap::new(), order: VecDeque::new(), max_terminal_jobs }
-    }
-
-    pub fn insert(&mut self, id: String, status: RecordedStatus) {
-        if self.known.insert(id.clone(), status).is_none() {
-            self.order.push_back(id);
-            if self.order.len() > self.max_terminal_jobs {
-                if let Some(old) = self.order.pop_front() {
-                    self.known.remove(&old);
-                }
-            }
-        }
-    }
-
-    pub fn get(&self, id: &str) -> Option<RecordedStatus> {
-        self.known.get(id).copied()
-    }
-}
-
 /// Resources that a team uses.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TeamUsage {
@@ -114,7 +63,7 @@
     pub(crate) mailbox: Mailbox,
     pub(crate) out_of_zone_workers: OutOfZoneWorkers,
     pub(crate) stall: ProcessStall,
-    pub(crate) types: Vec<MachineType>,
+    pub(crate) machine_types: Vec<MachineType>,
     pub(crate) machine_types_at_ms: Option<u64>,
     pub(crate) machine_types_requested_ms: u64,
     // The leader's memory.
@@ -183,7 +132,7 @@
             mailbox: Mailbox::default(),
             out_of_zone_workers: OutOfZoneWorkers::default(),
             stall,
-            types: Vec::new(),
+            machine_types: Vec::new(),
             machine_types_at_ms: None,
             machine_types_requested_ms: 0,
             jobs: Jobs::default(),
@@ -231,7 +180,7 @@
             Event::Client { id, request } => self.on_client(id, request),
             Event::Mesh { id, request } => self.on_mesh(id, request),
             Event::Load { state, figures } => {
-                self.search_budget.fit(state);
+                self.search_budget.adapt_to_load(state);
                 (self.load, self.intake) = (state, figures);
             }
             Event::Outcome { call, outcome } => {
@@ -250,7 +199,7 @@
                 }
             }
         }
-        self.pump();
+        self.follow_up();
         self.context.take_actions()
     }
 
@@ -296,7 +245,7 @@
     }
 
     /// Follows up on whatever the event has made possible.
-    fn pump(&mut self) {
+    fn follow_up(&mut self) {
         if !self.leads() {
             return;
         }
--- a/crates/core/src/fleet/heartbeats.rs
+++ b/crates/core/src/fleet/heartbeats.rs
@@ -205,7 +205,7 @@
         machine.reported_tasks = heartbeat.tasks;
         machine.new_agent_epoch = new_agent_epoch;
         self.on_reachability_changed(index, was_unreachable);
-        self.settle(index);
+        self.reconcile_machine(index);
     }
 
     fn step_down_for_later_epoch(&mut self, heartbeat: &Heartbeat) {
--- a/crates/core/src/fleet/provisioning/mod.rs
+++ b/crates/core/src/fleet/provisioning/mod.rs
@@ -125,7 +125,7 @@
     }
 
     fn boot_ms(&self, kind: &str) -> u64 {
-        let machine_type = self.types.iter().find(|machine_type| machine_type.name == kind);
+        let machine_type = self.machine_types.iter().find(|machine_type| machine_type.name == kind);
         let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
         (boot_s * 1000.0) as u64
     }
--- a/crates/core/src/fleet/provisioning/scale_in.rs
+++ b/crates/core/src/fleet/provisioning/scale_in.rs
@@ -124,7 +124,7 @@
     /// beside the regular price of its type.
     fn max_idle_ms(&self, kind: &str, spot: bool) -> f64 {
         let min_stay_ms = (self.boot_ms(kind) as f64).max(MIN_CHARGE_S * 1000.0);
-        let spot_type = self.types.iter().find(|machine_type| {
+        let spot_type = self.machine_types.iter().find(|machine_type| {
             machine_type.name == kind && spot && machine_type.spot_price > 0.0
         });
         let times_cheaper = spot_type
--- a/crates/core/src/fleet/provisioning/scale_out.rs
+++ b/crates/core/src/fleet/provisioning/scale_out.rs
@@ -70,7 +70,7 @@
     }
 
     fn may_provision(&self) -> bool {
-        if self.types.is_empty()
+        if self.machine_types.is_empty()
             || !self.may_command_workers()
             || self.provisioner.requests_in_flight >= MAX_REQUESTS_IN_FLIGHT
             || !self.provisioner.listed_once
@@ -93,7 +93,7 @@
         demand: &UnmetDemand,
         chosen: &BTreeMap<Offer, f64>,
     ) -> Option<PricedOffer> {
-        self.types
+        self.machine_types
             .iter()
             .flat_map(|machine_type| self.offers_of_type(machine_type, demand, chosen))
             .min_by(|a, b| a.price_per_task.total_cmp(&b.price_per_task))
--- a/crates/core/src/fleet/reconciliation.rs
+++ b/crates/core/src/fleet/reconciliation.rs
@@ -17,7 +17,7 @@
 
 impl Controller {
     /// Draws the conclusions from a machine's newest heartbeat.
-    pub(crate) fn settle(&mut self, index: MachineIndex) {
+    pub(crate) fn reconcile_machine(&mut self, index: MachineIndex) {
         let first_token = scoped_to_epoch(self.epoch(), 0);
         let Some(machine) = self.machines.get_mut(index) else { return };
         if !machine.has_been_heard() || machine.state == MachineState::Terminated {
--- a/crates/core/src/jobs/dependencies/mod.rs
+++ b/crates/core/src/jobs/dependencies/mod.rs
@@ -18,8 +18,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 
 use self::walks::DependencyWalk;
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
 use crate::ids::JobIndex;
+use crate::in_flight::InFlight;
 use crate::jobs::JobState;
 use crate::storage::records::{decode, JobRecord, RecordedStatus};
 use crate::{Outcome, RequestId};
@@ -59,7 +60,7 @@
     }
 
     /// Whether any job in memory waits for this one.
-    pub fn needed(&self, id: &str) -> bool {
+    pub fn has_dependents(&self, id: &str) -> bool {
         self.dependents.contains_key(id)
     }
 
@@ -106,7 +107,7 @@
 impl Controller {
     /// Enters a job's dependencies into the graph. Those that ended are known by their recorded
     /// ends; the records of those that memory does not know are read later.
-    pub(crate) fn link(&mut self, job_index: JobIndex) {
+    pub(crate) fn add_to_dependency_graph(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get(job_index) else { return };
         let dependencies = job.spec.dependencies.clone();
         if dependencies.is_empty() {
@@ -140,7 +141,7 @@
     }
 
     /// Takes a job that has ended, or leaves memory, out of the graph.
-    pub(crate) fn unlink(&mut self, job_index: JobIndex) {
+    pub(crate) fn remove_from_dependency_graph(&mut self, job_index: JobIndex) {
         self.dependency_graph.inheriting.remove(&job_index);
         let Some(job) = self.jobs.get_mut(job_index) else { return };
         let id = job.id.clone();
@@ -148,7 +149,7 @@
             self.dependency_graph.remove_edge(&dependency, job_index);
         }
         // A job with dependents leaves memory although its end is not known.
-        if self.dependency_graph.needed(&id) && self.terminal_jobs.get(&id).is_none() {
+        if self.dependency_graph.has_dependents(&id) && self.terminal_jobs.get(&id).is_none() {
             self.dependency_graph.unknown.insert(id, 0);
         }
     }
@@ -156,7 +157,7 @@
     /// Remembers the recorded end of a job, whichever controller wrote it.
     pub(crate) fn learn_terminal_state(&mut self, id: &str, status: RecordedStatus) {
         self.terminal_jobs.insert(id.to_string(), status);
-        if self.dependency_graph.needed(id) {
+        if self.dependency_graph.has_dependents(id) {
             self.dependency_graph.ended.push_back((id.to_string(), status));
         }
     }
--- a/crates/core/src/jobs/dependencies/propagation.rs
+++ b/crates/core/src/jobs/dependencies/propagation.rs
@@ -92,7 +92,8 @@
     /// Expected time from when a job could start until its end is recorded, in seconds: all tasks
     /// at once, the fetch of an image, a heartbeat that reports the end and a write.
     pub(crate) fn expected_duration_s(&self, job: &Job) -> f64 {
-        let fetches = self.types.iter().map(|machine| self.fetch_s(&job.spec, &machine.name));
+        let fetches =
+            self.machine_types.iter().map(|machine| self.fetch_s(&job.spec, &machine.name));
         let fetch_s = fetches.fold(0.0, f64::max);
         let report_ms =
             self.context.config.heartbeat_interval_ms() + 2 * self.context.config.write_batch_ms();
--- a/crates/core/src/jobs/dependencies/walks.rs
+++ b/crates/core/src/jobs/dependencies/walks.rs
@@ -11,7 +11,8 @@
 use quartzgate_wire::to_cbor;
 
 use super::DependencyGraph;
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
+use crate::in_flight::InFlight;
 use crate::storage::records::{decode, JobRecord, RecordedStatus};
 use crate::{Outcome, RequestId};
 
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -39,7 +39,7 @@
 
 impl JobState {
     /// Whether it is accepted, and not known to be recorded as ended.
-    pub fn lives(self) -> bool {
+    pub fn is_accepted(self) -> bool {
         matches!(self, JobState::Live | JobState::Waiting)
     }
 }
--- a/crates/core/src/jobs/transitions.rs
+++ b/crates/core/src/jobs/transitions.rs
@@ -127,7 +127,7 @@
         }
         self.stop_tasks(job_index);
         self.remember_terminal_state(job_index, RecordedStatus::Aborted);
-        self.unlink(job_index);
+        self.remove_from_dependency_graph(job_index);
     }
 
     fn on_job_done(&mut self, job_index: JobIndex) {
@@ -200,7 +200,7 @@
         self.set_task_state(key, TaskState::Done { version });
         self.mark_dirty(key.job, key.task / TASKS_PER_CHUNK);
         let completed = self.jobs.get(key.job).filter(|job| job.done >= job.spec.tasks);
-        if completed.is_some_and(|job| self.dependency_graph.needed(&job.id)) {
+        if completed.is_some_and(|job| self.dependency_graph.has_dependents(&job.id)) {
             self.record_writer.expedite();
         }
     }
--- a/crates/core/src/lease_proxy/proxied_jobs.rs
+++ b/crates/core/src/lease_proxy/proxied_jobs.rs
@@ -8,7 +8,8 @@
 use crate::capacity::forget_oldest;
 use crate::config::Config;
 use crate::context::Context;
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
+use crate::in_flight::InFlight;
 use crate::storage::records::{decode, JobRecord, RecordedStatus};
 use crate::Outcome;
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -14,6 +14,7 @@
 mod controller;
 mod fleet;
 mod ids;
+mod in_flight;
 mod jobs;
 mod latency;
 mod lease_proxy;
@@ -23,6 +24,7 @@
 mod recovery;
 mod start_latency;
 mod storage;
+mod terminal_jobs;
 
 pub use controller::Controller;
 pub use placement::{queue, wait};
--- a/crates/core/src/membership/election.rs
+++ b/crates/core/src/membership/election.rs
@@ -133,7 +133,7 @@
         if retakes >= MAX_RETAKES {
             return ElectionStep::YieldLeadership { leader_revision };
         }
-        let counted = self.has(Feature::SplitPlacementRecords);
+        let counted = self.is_active(Feature::SplitPlacementRecords);
         let retakes = if counted { retakes + 1 } else { 0 };
         ElectionStep::Campaign(Candidacy { leader_revision, continued_epoch: None, retakes })
     }
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -91,7 +91,7 @@
             metrics.set(format!("format_node.{node}"), capabilities.version);
         }
         for feature in Feature::all() {
-            metrics.set_flag(format!("feature.{}", feature.name()), self.has(feature));
+            metrics.set_flag(format!("feature.{}", feature.name()), self.is_active(feature));
         }
         for blocked in gates.blocked_steps() {
             let blocked_ms = now_ms.saturating_sub(blocked.since_ms);
@@ -176,8 +176,8 @@
 
     fn storage_metrics(&mut self, metrics: &mut Metrics) {
         let now_ms = self.context.now.steady_ms;
-        metrics.set("writes_left", self.record_writer.writes.room(now_ms, 0.0));
-        metrics.set("reads_left", self.membership.store_reads().room(now_ms, 0.0));
+        metrics.set("writes_left", self.record_writer.writes.available(now_ms, 0.0));
+        metrics.set("reads_left", self.membership.store_reads().available(now_ms, 0.0));
         for (purpose, name) in WritePurpose::ALL {
             metrics.set_count(format!("writes.{name}"), self.record_writer.changes_made(purpose));
         }
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -335,7 +335,7 @@
     fn allowed_types<'a>(&'a self, spec: &JobSpec) -> Vec<AllowedType<'a>> {
         let max_wait_s = self.may_wait_s(&spec.class);
         let is_allowed = |name: &String| spec.types.as_ref().is_none_or(|t| t.contains(name));
-        let types = self.types.iter().filter(|t| is_allowed(&t.name));
+        let types = self.machine_types.iter().filter(|t| is_allowed(&t.name));
         let allowed = types.map(|t| AllowedType {
             name: &t.name,
             capacity: Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: t.memory_gb },
--- a/crates/core/src/placement/placer.rs
+++ b/crates/core/src/placement/placer.rs
@@ -46,7 +46,8 @@
 impl Controller {
     /// Resources of an empty machine of this type; `None` if the type is unknown.
     pub(crate) fn capacity_of(&self, kind: &str) -> Option<Resources> {
-        let machine_type = self.types.iter().find(|machine_type| machine_type.name == kind)?;
+        let machine_type =
+            self.machine_types.iter().find(|machine_type| machine_type.name == kind)?;
         Some(Resources {
             cpus: machine_type.cpus,
             gpus: machine_type.gpus,
@@ -163,7 +164,7 @@
 
     /// Time to fetch a job's image on a machine type, in seconds.
     pub(crate) fn fetch_s(&self, spec: &JobSpec, kind: &str) -> f64 {
-        let machine_type = self.types.iter().find(|machine_type| machine_type.name == kind);
+        let machine_type = self.machine_types.iter().find(|machine_type| machine_type.name == kind);
         let gb_per_s = machine_type.map_or(0.0, |machine_type| machine_type.fetch_gb_per_s);
         if gb_per_s > 0.0 {
             spec.image_gb / gb_per_s
--- a/crates/core/src/placement/search_budget.rs
+++ b/crates/core/src/placement/search_budget.rs
@@ -28,7 +28,7 @@
     }
 
     /// Adapts the budget to the load of the process: heartbeats go before placement.
-    pub fn fit(&mut self, state: LoadState) {
+    pub fn adapt_to_load(&mut self, state: LoadState) {
         let fraction = match state {
             LoadState::Normal => 1.0,
             LoadState::Pressed => PRESSED_FRACTION,
@@ -40,7 +40,7 @@
     /// Whether machines may be looked at now. One look at the whole fleet is allowed as soon as the
     /// last is paid for, however large the fleet is.
     pub fn left(&mut self, now_ms: u64) -> bool {
-        self.looks.room(now_ms, 0.0) > 0.0
+        self.looks.available(now_ms, 0.0) > 0.0
     }
 
     /// Counts looks at so many machines.
--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -191,7 +191,7 @@
     /// All records of the present phase have been read. Returns the next phase, if there is one.
     fn complete_recovery_phase(&mut self) -> Option<Phase> {
         match self.recovery.phase {
-            Phase::Format if self.has(Feature::BatchRecords) => Some(Phase::JobBatches),
+            Phase::Format if self.is_active(Feature::BatchRecords) => Some(Phase::JobBatches),
             Phase::Format | Phase::JobBatches => Some(Phase::Jobs),
             Phase::Jobs => {
                 self.complete_jobs();
@@ -273,7 +273,7 @@
     fn complete_jobs(&mut self) {
         self.restore_batched_jobs();
         for ix in self.jobs.indexes() {
-            self.link(ix);
+            self.add_to_dependency_graph(ix);
         }
         for placement in std::mem::take(&mut self.recovery.inline_placements) {
             let Some(ix) = self.job_of_placement(&placement.job) else { continue };
@@ -401,7 +401,7 @@
             self.apply_known_terminal_state(ix);
         }
         for ix in self.machines.indexes() {
-            self.settle(ix);
+            self.reconcile_machine(ix);
             let Some(machine) = self.machines.get(ix) else { continue };
             if machine.state == MachineState::Provisioning && machine.addr.is_some() {
                 self.inspect(ix);
@@ -413,7 +413,7 @@
 
     /// A job's terminal state may have been learnt after its record had been read.
     fn apply_known_terminal_state(&mut self, ix: JobIndex) {
-        let Some(job) = self.jobs.get(ix).filter(|job| job.state.lives()) else { return };
+        let Some(job) = self.jobs.get(ix).filter(|job| job.state.is_accepted()) else { return };
         let id = job.id.clone();
         match self.terminal_jobs.get(&id) {
             Some(RecordedStatus::Aborted) => self.on_abort_recorded(&id),
--- a/crates/core/src/recovery/recorded_jobs.rs
+++ b/crates/core/src/recovery/recorded_jobs.rs
@@ -8,8 +8,9 @@
 
 use super::placements::PartialPlacements;
 use super::{RecoveryCall, LIST_LIMIT};
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
 use crate::ids::JobIndex;
+use crate::in_flight::InFlight;
 use crate::jobs::JobState;
 use crate::storage::records::{
     decode, job_key, parse_placement_key, placement_key, read_placement, JobRecord, RecordedStatus,
@@ -57,7 +58,7 @@
         if let Some(job) = self.jobs.get_mut(ix) {
             (job.state, job.busy) = (JobState::Recording, true);
         }
-        self.link(ix);
+        self.add_to_dependency_graph(ix);
         // Placements, if there are any, were written by this leader, which started nothing.
         if let Some(piece) = inline_placement {
             self.load_inline(ix, &piece, revision);
--- a/crates/core/src/storage/feature_state.rs
+++ b/crates/core/src/storage/feature_state.rs
@@ -98,7 +98,7 @@
 
 impl Controller {
     /// Whether a feature is known to be active.
-    pub(crate) fn has(&self, feature: Feature) -> bool {
+    pub(crate) fn is_active(&self, feature: Feature) -> bool {
         self.feature_state.active.contains(feature)
     }
 
@@ -115,7 +115,7 @@
     /// Limits of the store to observe: the lowest announced ones once all controllers observe
     /// them, since the limits change without notice.
     pub(crate) fn limits(&self) -> &StateLimits {
-        match self.has(Feature::AnnouncedLimits) {
+        match self.is_active(Feature::AnnouncedLimits) {
             true => &self.context.config.lowest,
             false => &self.context.config.platform.params.state,
         }
--- a/crates/core/src/storage/job_batches/batch_lookup.rs
+++ b/crates/core/src/storage/job_batches/batch_lookup.rs
@@ -17,7 +17,8 @@
 use quartzgate_wire::{from_cbor, to_cbor};
 
 use crate::config::Config;
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
+use crate::in_flight::InFlight;
 use crate::jobs::JobState;
 use crate::storage::record_writer::write_outcome;
 use crate::storage::records::{encode, job_key, JobRecord, BATCH_PREFIX, EPOCH_KEY};
@@ -135,7 +136,7 @@
     /// Reads a job's record: its own, or else as a batch record holds it. The outcome is that of
     /// `then`, as if the job's own key had been read; a record from a batch has revision 0.
     pub(crate) fn look_up(&mut self, job: &str, then: InFlight) {
-        if !self.has(Feature::BatchRecords) {
+        if !self.is_active(Feature::BatchRecords) {
             return self.read_own_record(job, then);
         }
         let lookup = BatchLookup::new(job, false, then);
--- a/crates/core/src/storage/job_batches/batch_writer.rs
+++ b/crates/core/src/storage/job_batches/batch_writer.rs
@@ -9,8 +9,9 @@
 use quartzgate_wire::msg::{Change, Guard, KeyValue, Transaction};
 use quartzgate_wire::to_cbor;
 
-use crate::controller::{Controller, InFlight};
+use crate::controller::Controller;
 use crate::ids::JobIndex;
+use crate::in_flight::InFlight;
 use crate::jobs::JobState;
 use crate::storage::placement_records::RecordLocation;
 use crate::storage::record_writer::{write_outcome, WritePurpose};
@@ -250,7 +251,7 @@
     }
 
     fn accept_member(&mut self, member: JobIndex) {
-        self.link(member);
+        self.add_to_dependency_graph(member);
         self.set_job_state(member, JobState::Live);
     }
 
--- a/crates/core/src/storage/job_batches/intake.rs
+++ b/crates/core/src/storage/job_batches/intake.rs
@@ -83,7 +83,7 @@
 impl Controller {
     /// Whether a submission is to share a record with others.
     pub(crate) fn belongs_in_batch(&mut self, spec: &JobSpec) -> bool {
-        self.has(Feature::BatchRecords)
+        self.is_active(Feature::BatchRecords)
             && may_be_batched(spec)
             && self.writes_are_scarce()
             && self.is_small_enough_for_batch(spec)
@@ -97,7 +97,7 @@
         self.admission.short()
             || !self.job_batches.intake.queue.is_empty()
             || self.job_batches.intake.batch_opened_since(now_ms, window_ms)
-            || self.record_writer.writes.room(now_ms, 0.0) < threshold * rate
+            || self.record_writer.writes.available(now_ms, 0.0) < threshold * rate
             || threshold >= 1.0
     }
 
@@ -140,7 +140,8 @@
         if !self.is_batch_due(now_ms) {
             return;
         }
-        if self.job_batches.is_creating_batch() || self.record_writer.writes.room(now_ms, 0.0) < 1.0
+        if self.job_batches.is_creating_batch()
+            || self.record_writer.writes.available(now_ms, 0.0) < 1.0
         {
             return self.reject_late_submissions(now_ms);
         }
--- a/crates/core/src/storage/job_removal.rs
+++ b/crates/core/src/storage/job_removal.rs
@@ -13,7 +13,7 @@
         for task in reserved.map(|(number, _)| number).collect::<Vec<u32>>() {
             self.set_task_state(TaskKey { job: ix, task }, TaskState::Dropped);
         }
-        self.unlink(ix);
+        self.remove_from_dependency_graph(ix);
         let batch = self.jobs.remove(ix).and_then(|job| job.page);
         if let Some(batch) = batch {
             self.remove_from_batch(ix, batch);
--- a/crates/core/src/storage/live_record_reads.rs
+++ b/crates/core/src/storage/live_record_reads.rs
@@ -40,7 +40,9 @@
         let mut due: Vec<(u64, JobIndex)> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.state.lives() && !job.busy && now > job.read_ms + interval_ms)
+            .filter(|(_, job)| {
+                job.state.is_accepted() && !job.busy && now > job.read_ms + interval_ms
+            })
             .map(|(ix, job)| (job.read_ms, ix))
             .collect();
         due.sort_unstable();
@@ -86,7 +88,7 @@
         let unverified = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.must_reread_record && !job.busy && job.state.lives());
+            .filter(|(_, job)| job.must_reread_record && !job.busy && job.state.is_accepted());
         for ix in unverified.map(|(ix, _)| ix).collect::<Vec<_>>() {
             self.reread_job(ix);
         }
--- a/crates/core/src/storage/placement_records.rs
+++ b/crates/core/src/storage/placement_records.rs
@@ -98,7 +98,7 @@
         let record = self.placement_record(ix, chunk)?;
         let job = self.jobs.get(ix)?;
         let recorded = job.chunks.get(&chunk)?;
-        if !self.has(Feature::SplitPlacementRecords) {
+        if !self.is_active(Feature::SplitPlacementRecords) {
             return Some(unsplit_write(&record, recorded, self.max_value_bytes()));
         }
         let inline_write = self.inline_write(ix, job, recorded, &record);
@@ -168,7 +168,7 @@
 
     /// Whether the placement of a job belongs in the job's own record, if it fits.
     pub(crate) fn may_inline_placement(&self, ix: JobIndex) -> bool {
-        self.has(Feature::InlinePlacements)
+        self.is_active(Feature::InlinePlacements)
             && self.jobs.get(ix).is_some_and(|job| {
                 job.chunk_count() == 1 && job.chunks.get(&0).is_none_or(|c| c.pieces == 0)
             })
--- a/crates/core/src/storage/rate_limiter.rs
+++ b/crates/core/src/storage/rate_limiter.rs
@@ -36,7 +36,7 @@
 
     /// Tokens that may be taken now while `reserve`, a fraction of a second's worth, stays for
     /// more urgent uses.
-    pub fn room(&mut self, now_ms: u64, reserve: f64) -> f64 {
+    pub fn available(&mut self, now_ms: u64, reserve: f64) -> f64 {
         if now_ms < self.closed_until_ms {
             return 0.0;
         }
@@ -46,7 +46,7 @@
 
     /// Takes this many tokens if the reserve stays; otherwise takes none and returns false.
     pub fn take(&mut self, now_ms: u64, amount: f64, reserve: f64) -> bool {
-        let allowed = self.room(now_ms, reserve) >= amount;
+        let allowed = self.available(now_ms, reserve) >= amount;
         if allowed {
             self.tokens -= amount;
         }
--- a/crates/core/src/storage/record_writer/flush.rs
+++ b/crates/core/src/storage/record_writer/flush.rs
@@ -66,7 +66,7 @@
         }
         let now = self.context.now.steady_ms;
         let max_per_transaction = self.limits().txn_ops;
-        let available = self.record_writer.writes.room(now, FLUSH_RESERVE) as usize;
+        let available = self.record_writer.writes.available(now, FLUSH_RESERVE) as usize;
         let limits =
             ChangeLimits { available: available.min(max_per_transaction), max_per_transaction };
         if limits.available == 0 {
@@ -126,7 +126,7 @@
     /// placements do.
     fn gather_best_effort_terminal_states(&mut self, limits: ChangeLimits, draft: &mut Draft) {
         let now = self.context.now.steady_ms;
-        let spare = self.record_writer.writes.room(now, BEST_EFFORT_RESERVE) as usize;
+        let spare = self.record_writer.writes.available(now, BEST_EFFORT_RESERVE) as usize;
         self.gather_terminal_states(true, limits.available.min(spare), draft);
     }
 
@@ -136,7 +136,7 @@
         let deletions: Vec<(String, u64)> =
             self.record_writer.deletions.iter().map(|(p, r)| (p.clone(), *r)).collect();
         for (path, revision) in deletions {
-            let spare = self.record_writer.writes.room(now, CLEANUP_RESERVE) as usize;
+            let spare = self.record_writer.writes.available(now, CLEANUP_RESERVE) as usize;
             if self.record_writer.must_send_alone(draft)
                 || draft.changes() >= limits.available.min(spare)
             {
--- a/crates/core/src/storage/record_writer/placements.rs
+++ b/crates/core/src/storage/record_writer/placements.rs
@@ -95,7 +95,7 @@
     pub(super) fn gather_placements(&mut self, limits: ChangeLimits, draft: &mut Draft) -> bool {
         let now = self.context.now.steady_ms;
         for dirty in self.dirty_chunks_in_order() {
-            let spare = self.record_writer.writes.room(now, dirty.urgency.reserve()) as usize;
+            let spare = self.record_writer.writes.available(now, dirty.urgency.reserve()) as usize;
             if self.record_writer.must_send_alone(draft)
                 || draft.changes() >= limits.available.min(spare)
                 || draft.bytes > MAX_TRANSACTION_BYTES
--- a/crates/core/src/storage/record_writer/terminal_states.rs
+++ b/crates/core/src/storage/record_writer/terminal_states.rs
@@ -105,7 +105,7 @@
             let job = self.jobs.get(*ix);
             let rank = match job {
                 Some(job) if job.state == JobState::Aborted => 2,
-                Some(job) if self.dependency_graph.needed(&job.id) => 0,
+                Some(job) if self.dependency_graph.has_dependents(&job.id) => 0,
                 _ => 1,
             };
             let fairness_tag = job.map(|job| tags.next_tag(job.team, &job.spec.class));
@@ -145,12 +145,12 @@
     ) -> bool {
         let now = self.context.now.steady_ms;
         let writes = &mut self.record_writer.writes;
-        if status == RecordedStatus::Aborted && writes.room(now, ABORTED_RESERVE) < 1.0 {
+        if status == RecordedStatus::Aborted && writes.available(now, ABORTED_RESERVE) < 1.0 {
             return true;
         }
         // Placement records of an ended job only occupy the store: while changes are scarce they
         // are deleted later, in transactions of their own.
-        let delete_now = writes.room(now, CLEANUP_RESERVE) >= MIN_CHANGES_FOR_DELETIONS;
+        let delete_now = writes.available(now, CLEANUP_RESERVE) >= MIN_CHANGES_FOR_DELETIONS;
         let changes_left = max_changes.saturating_sub(draft.changes());
         if changes_left < 1 + usize::from(delete_now) && draft.changes() > 0 {
             return false;
@@ -191,7 +191,7 @@
             spec: None,
             at_ms: job.at_ms,
             done_chunks: Vec::new(),
-            service: job.spec.shape == JobKind::Service && self.has(Feature::ServiceMark),
+            service: job.spec.shape == JobKind::Service && self.is_active(Feature::ServiceMark),
             share: None,
         }
     }
