--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -255,7 +255,7 @@
             self.drain();
         }
         let (now, pause) = (self.context.now.steady_ms, self.context.config.write_batch_ms());
-        // What has become possible within a moment is dealt in one go.
+        // What has become possible within a moment is placed in one pass.
         if self.placement_due && now >= self.placed_at_ms + pause / 10 {
             (self.placement_due, self.placed_at_ms) = (false, now);
             self.place_all();
@@ -322,7 +322,7 @@
                     self.answer_busy(request)
                 }
             }
-            // What follows concerns a memory that is gone if the epoch has changed.
+            // These concern the leader's memory, which is gone if the epoch has changed.
             InFlight::HandoffJobRead { epoch, .. } | InFlight::DependencyRead { epoch, .. }
                 if epoch != current => {}
             InFlight::DependencyRead { job, .. } => self.on_dependency_read(job, outcome),
--- a/crates/core/src/storage/record_writer.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -258,7 +258,7 @@
     /// machine can't be told, and goes back to the cloud with all that is on it.
     pub(crate) fn fence_aborted_tasks(&mut self) {
         let now = self.context.now.steady_ms;
-        // A keeper stops what is cancelled among the machines that we don't hear.
+        // A lease proxy stops aborted tasks on machines that don't reach this leader.
         if self.membership.has_proxy_claims() {
             return;
         }
