--- a/crates/core/src/storage/record_writer.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -1,21 +1,22 @@
-//! Writes of records: changes are gathered into transactions, within the store's limits, and every
-//! transaction is guarded, so that one that is applied late can do no harm.
+//! Writes records to the key-value store. Changes are batched into transactions within the store's
+//! limits. Every transaction is guarded, so that one that is applied late can't overwrite newer
+//! data.
 //!
-//! The record writer knows which records memory is ahead of. [`Controller::flush`] composes one
-//! transaction at a time from them (`flush.rs`), in this order:
+//! The record writer tracks the dirty records: those that are older in the store than in memory.
+//! [`Controller::flush`] composes one transaction at a time from them (`flush.rs`), in this order:
 //!
 //! 1. terminal states of jobs, and completed chunks that are folded into their job's record
 //!    (`terminal_states.rs`);
-//! 2. placements, the most urgent first (`placements.rs`);
-//! 3. terminal states of jobs of teams without a quota;
-//! 4. deletions of keys that nobody reads any more.
+//! 2. placements, most urgent first (`placements.rs`);
+//! 3. terminal states of best-effort jobs, those of lowest priority of teams without a quota;
+//! 4. deletions of unused keys.
 //!
-//! `outcomes.rs` handles the transaction's outcome, `rereads.rs` reads records again whose
+//! `outcomes.rs` handles the outcome of the transaction. `rereads.rs` rereads records whose
 //! revisions are uncertain.
 //!
-//! Invariants: at most one flush is in flight; every record in a transaction is guarded by the
-//! revision that memory knows, and the transaction by the epoch record's; a record whose write is
-//! indeterminate is read before it is written again.
+//! Invariants: at most one flush is in flight. Every record that a transaction sets is guarded by
+//! the revision known in memory, and the transaction as a whole by the revision of the epoch
+//! record. A record whose last write is indeterminate is reread before it is written again.
 
 mod flush;
 mod outcomes;
@@ -39,40 +40,41 @@
 
 use flush::Draft;
 
-/// Fraction of the store's write rate that one controller may use: the others write little while
-/// one leads, and what exceeds the limit is refused and retried.
+/// Fraction of the store's write rate that one controller may use. While one controller leads, the
+/// others write little; writes above the limit are refused and retried.
 const WRITE_RATE_FRACTION: f64 = 0.95;
 
-/// One record in a transaction.
+/// One record that a flush writes or deletes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum FlushItem {
     /// A chunk's placement record.
     Chunk {
         job: JobIndex,
         chunk: u32,
-        /// Where the record is once the write is executed.
+        /// Location of the record once the write has been executed.
         placed: RecordLocation,
     },
-    /// The job's terminal state, together with the deletion of its placement records.
+    /// Terminal state of a job, with the deletion of these chunks' placement records.
     Terminal { job: JobIndex, chunks: Vec<u32> },
-    /// Completed chunks are folded into the job's record.
+    /// Folding of completed chunks into the job's own record.
     Fold { job: JobIndex, chunks: Vec<u32> },
-    /// Deletion of an unused key. With a revision, the key is deleted only as it was read.
+    /// Deletion of an unused key. A revision other than 0 restricts the deletion to that version of
+    /// the key.
     Deletion { path: String, revision: u64 },
 }
 
-/// What changes at the store are for.
+/// Purpose of changes to the store, by which the metrics count them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum WritePurpose {
-    /// Accepting a job.
+    /// Acceptance of a job.
     Accept,
-    /// Recording an abort.
+    /// Abort of a job.
     Abort,
-    /// Placements of tasks that may start once they are recorded.
+    /// Placements of tasks that may start once the placements are recorded.
     Deal,
     /// Completions of tasks.
     TaskCompletions,
-    /// Folding completed chunks into their job's record.
+    /// Folding of completed chunks into their job's record.
     Fold,
     /// Terminal states of jobs.
     TerminalState,
@@ -81,7 +83,7 @@
 }
 
 impl WritePurpose {
-    /// All purposes, with their names in the metric keys.
+    /// All purposes, each with its name in the metric keys.
     pub const ALL: [(WritePurpose, &'static str); 7] = [
         (WritePurpose::Accept, "accept"),
         (WritePurpose::Abort, "abort"),
@@ -93,41 +95,44 @@
     ];
 }
 
-/// Which records memory is ahead of, and the limits on writing them.
+/// The dirty records, which are older in the store than in memory, and the limits on writing them.
 pub(crate) struct RecordWriter {
-    /// Limits the rate of changes of this controller, in changes a second.
+    /// Limits this controller's changes per second.
     pub writes: RateLimiter,
-    /// Changes made since the process began to lead.
+    /// Changes made since this process became the leader.
     changes_by_purpose: BTreeMap<WritePurpose, u64>,
     dirty_chunks: BTreeSet<(JobIndex, u32)>,
     /// Jobs whose own record may have to be written.
     dirty_jobs: BTreeSet<JobIndex>,
-    /// Unused keys, with the revision at which to delete each; 0 for those that nobody writes
-    /// any more.
+    /// Unused keys to be deleted, each with the revision at which to delete it; 0 for keys that no
+    /// controller writes any more.
     deletions: BTreeMap<String, u64>,
     flush_in_flight: bool,
-    /// When the oldest unwritten change was made.
-    dirty_since_ms: Option<u64>,
+    /// Steady time at which the current batch of changes began to fill. A batch without this time
+    /// counts as complete.
+    batch_started_ms: Option<u64>,
     last_check_ms: u64,
-    /// A terminal state that other jobs wait for does not wait for a batch to fill.
+    /// The next flush does not wait for a batch to fill, because other jobs wait for a terminal
+    /// state.
     expedited: bool,
-    /// The last flush left out terminal states for lack of changes.
+    /// The last flush left out terminal states because the rate limit allowed too few changes.
     completions_left: bool,
-    /// Whether terminal states get the odd change when placements wait as well; alternates.
+    /// Whether terminal states get the larger half of an odd number of changes while placements
+    /// wait too. Alternates.
     odd_change_to_completions: bool,
-    /// Fairness between teams and classes for terminal states.
+    /// Orders terminal states fairly between teams and classes.
     completion_queue: FairQueue,
-    /// Fairness between teams and classes for placements.
+    /// Orders placements fairly between teams and classes.
     placement_queue: FairQueue,
-    /// Transactions that take a single record each, until it is known which record the store
-    /// refused as malformed or too large.
-    single_record_flushes: usize,
-    /// Records whose reads failed and are to be retried.
+    /// Number of upcoming transactions that take a single record each, to find the record that the
+    /// store rejected as malformed or too large.
+    single_record_flushes_left: usize,
+    /// Items whose records could not be reread; the reads are to be retried.
     reads_to_retry: Vec<FlushItem>,
 }
 
-/// Status and body of the answer to a write. The status is 503 if the write was not sent, and 0 if
-/// its outcome is indeterminate.
+/// Returns the status and body of the answer to a write. The status is 503 if the write was not
+/// sent, and 0 if its outcome is indeterminate.
 pub(crate) fn write_outcome(outcome: &Outcome) -> (u16, Option<TransactionAnswer>) {
     match outcome {
         Outcome::Answer(r) => (r.status, from_cbor(&r.body).ok()),
@@ -137,7 +142,7 @@
 }
 
 impl RecordWriter {
-    /// A writer that has nothing to write.
+    /// Creates a writer without dirty records.
     pub fn new(limits: &StateLimits) -> Self {
         RecordWriter {
             writes: RateLimiter::new(Self::write_rate(limits)),
@@ -146,19 +151,19 @@
             dirty_jobs: BTreeSet::new(),
             deletions: BTreeMap::new(),
             flush_in_flight: false,
-            dirty_since_ms: None,
+            batch_started_ms: None,
             last_check_ms: 0,
             expedited: false,
             completions_left: false,
             odd_change_to_completions: false,
             completion_queue: FairQueue::default(),
             placement_queue: FairQueue::default(),
-            single_record_flushes: 0,
+            single_record_flushes_left: 0,
             reads_to_retry: Vec::new(),
         }
     }
 
-    /// Changes a second that this controller may make.
+    /// Returns the number of changes per second that this controller may make.
     pub fn write_rate(limits: &StateLimits) -> f64 {
         limits.write_rps * WRITE_RATE_FRACTION
     }
@@ -168,74 +173,75 @@
         *self.changes_by_purpose.entry(purpose).or_default() += changes as u64;
     }
 
-    /// Changes made for this purpose since the process began to lead.
+    /// Returns the number of changes made for this purpose since the process became the leader.
     pub fn changes_made(&self, purpose: WritePurpose) -> u64 {
         self.changes_by_purpose.get(&purpose).copied().unwrap_or(0)
     }
 
-    /// Placement records that memory is ahead of.
+    /// Returns the number of dirty placement records.
     pub fn unwritten_records(&self) -> usize {
         self.dirty_chunks.len()
     }
 
-    /// A write of a chunk's record was sent: memory is not ahead of it any more.
-    pub fn settled(&mut self, ix: JobIndex, chunk: u32) {
-        self.dirty_chunks.remove(&(ix, chunk));
+    /// Marks a chunk's record as clean, because a write of it was sent or none is needed any more.
+    pub fn clear_dirty_chunk(&mut self, job_index: JobIndex, chunk: u32) {
+        self.dirty_chunks.remove(&(job_index, chunk));
     }
 
-    /// The job's own record may have to be written.
-    pub fn mark_job_dirty(&mut self, ix: JobIndex) {
-        self.dirty_jobs.insert(ix);
+    /// Marks a job whose own record may have to be written.
+    pub fn mark_job_dirty(&mut self, job_index: JobIndex) {
+        self.dirty_jobs.insert(job_index);
     }
 
-    /// The next flush does not wait for a batch to fill, because other jobs wait for a terminal
-    /// state.
+    /// Lets the next flush go ahead before a batch has filled, because other jobs wait for a
+    /// terminal state.
     pub fn expedite(&mut self) {
         self.expedited = true;
     }
 
-    /// Schedules the deletion of a key that nobody writes any more.
+    /// Schedules the deletion of a key that no controller writes any more.
     pub fn remove(&mut self, path: String) {
         self.deletions.insert(path, 0);
     }
 
-    /// Schedules the deletion of a key as it was read: a newer value in its place stays.
+    /// Schedules the deletion of a key at the revision at which it was read. A newer value under
+    /// the key is kept.
     pub fn schedule_deletion_at(&mut self, path: String, revision: u64) {
         let newest = self.deletions.entry(path).or_default();
         *newest = revision.max(*newest);
     }
 
-    /// Memory has no such job any more.
-    pub(super) fn forget_job(&mut self, ix: JobIndex) {
-        self.dirty_jobs.remove(&ix);
+    /// Removes a job from those whose own record may have to be written.
+    pub(super) fn clear_dirty_job(&mut self, job_index: JobIndex) {
+        self.dirty_jobs.remove(&job_index);
     }
 
-    fn mark_chunk_dirty(&mut self, ix: JobIndex, chunk: u32, now_ms: u64) {
-        self.dirty_chunks.insert((ix, chunk));
-        self.dirty_jobs.insert(ix);
-        self.dirty_since_ms.get_or_insert(now_ms);
+    fn mark_chunk_dirty(&mut self, job_index: JobIndex, chunk: u32, now_ms: u64) {
+        self.dirty_chunks.insert((job_index, chunk));
+        self.dirty_jobs.insert(job_index);
+        self.batch_started_ms.get_or_insert(now_ms);
     }
 
     fn has_unwritten(&self) -> bool {
         !self.dirty_chunks.is_empty() || !self.dirty_jobs.is_empty() || !self.deletions.is_empty()
     }
 
-    /// Half of the changes, for terminal states. Of an odd number they get the larger half every
-    /// other time.
+    /// Returns the part of the changes that terminal states get while placements wait too: half of
+    /// them. Of an odd number, terminal states get the larger half every other time.
     fn half_for_completions(&mut self, changes: usize) -> usize {
         self.odd_change_to_completions = !self.odd_change_to_completions;
         changes / 2 + changes % 2 * usize::from(self.odd_change_to_completions)
     }
 
-    /// Whether the transaction takes no more records, because the store refused an earlier one and
-    /// each record is sent by itself until it is known which one is at fault.
+    /// Returns whether the transaction takes no more records. After the store has rejected a
+    /// transaction, each record is sent alone until it is known which one is at fault.
     fn must_send_alone(&self, draft: &Draft) -> bool {
-        self.single_record_flushes > 0 && !draft.items.is_empty()
+        self.single_record_flushes_left > 0 && !draft.items.is_empty()
     }
 }
 
 impl Controller {
-    /// A chunk's record lags behind memory.
+    /// Marks a chunk's record as dirty: the stored record is older than the chunk in memory.
     pub(crate) fn mark_dirty(&mut self, job: JobIndex, chunk: u32) {
         if let Some(c) = self.jobs.get_mut(job).and_then(|j| j.chunks.get_mut(&chunk)) {
             let now = self.context.now.steady_ms;
@@ -246,7 +252,7 @@
         }
     }
 
-    /// A chunk's record is to be written soon: tasks may start once it is recorded.
+    /// Marks a chunk's record as dirty and urgent, because tasks may start once it is recorded.
     pub(crate) fn mark_blocking_starts(&mut self, job: JobIndex, chunk: u32) {
         if let Some(c) = self.jobs.get_mut(job).and_then(|j| j.chunks.get_mut(&chunk)) {
             c.blocks_starts = true;
@@ -254,29 +260,35 @@
         self.mark_dirty(job, chunk);
     }
 
-    /// A task of an aborted job that is still on its machine after half its time: the
-    /// machine can't be told, and goes back to the cloud with all that is on it.
+    /// Releases the machines that still hold, or may hold, a task of an aborted job half a lease
+    /// bound after the abort. The controller can't tell these machines to stop the task, so that
+    /// they are returned to the cloud with everything on them.
     pub(crate) fn fence_aborted_tasks(&mut self) {
         let now = self.context.now.steady_ms;
-        // A lease proxy stops aborted tasks on machines that don't reach this leader.
+        // Lease proxies stop the aborted tasks on machines that can't reach this leader.
         if self.membership.has_proxy_claims() {
             return;
         }
-        let patience = self.context.config.lease_bound_ms() / 2;
-        let mut stuck = BTreeSet::new();
+        let grace_ms = self.context.config.lease_bound_ms() / 2;
+        let mut unreachable_machines = BTreeSet::new();
         for (_, job) in self.jobs.iter() {
-            if job.state == JobState::Aborted && now > job.aborted_ms + patience {
-                for (_, t) in job.tasks() {
-                    stuck.extend(t.state.machine().map(|(m, _)| m));
-                    stuck.extend(t.probes.iter().filter(|p| p.unproven).map(|p| p.machine));
+            if job.state == JobState::Aborted && now > job.aborted_ms + grace_ms {
+                for (_, task) in job.tasks() {
+                    unreachable_machines.extend(task.state.machine().map(|(machine, _)| machine));
+                    unreachable_machines.extend(
+                        task.probes
+                            .iter()
+                            .filter(|probe| probe.unproven)
+                            .map(|probe| probe.machine),
+                    );
                 }
             }
         }
-        for ix in stuck {
-            if let Some(m) = self.machines.get(ix) {
-                tracing::info!(machine = %m.name, "holds a cancelled task and can't be told");
+        for machine_index in unreachable_machines {
+            if let Some(machine) = self.machines.get(machine_index) {
+                tracing::info!(machine = %machine.name, "the machine holds a task of an aborted job and can't be told to stop it; releasing it");
             }
-            self.begin_release(ix);
+            self.begin_release(machine_index);
         }
     }
 }
--- a/crates/core/src/storage/record_writer/flush.rs
+++ b/crates/core/src/storage/record_writer/flush.rs
@@ -1,4 +1,4 @@
-//! Composition of a flush: when to write, how many changes, and in which order.
+//! Composes flushes: decides when to write, how many changes, and in which order.
 
 use quartzgate_wire::msg::{Change, Guard, Transaction};
 use quartzgate_wire::to_cbor;
@@ -10,32 +10,34 @@
 use crate::storage::calls::StorageCall;
 use crate::storage::records::EPOCH_KEY;
 
-/// Fraction of a second's writes that flushes leave to acceptances and aborts, which come first.
+/// Fraction of one second's writes that flushes leave to acceptances and aborts, which take
+/// precedence.
 const FLUSH_RESERVE: f64 = 0.4;
-/// Fraction of a second's writes that deletions of unused keys leave to everything else.
+/// Fraction of one second's writes that deletions of unused keys leave to all other writes.
 pub(super) const CLEANUP_RESERVE: f64 = 0.6;
-/// A flush is considered once in this fraction of the write batch delay.
+/// Number of times per write batch delay that the writer checks whether a flush is due.
 const CHECKS_PER_BATCH: u64 = 10;
-/// Bytes of records after which a transaction takes no more of them.
+/// Estimated size in bytes above which a transaction takes no more placement records.
 pub(super) const MAX_TRANSACTION_BYTES: usize = 60 * 1024;
 
-/// A transaction that is being composed, and the records in it.
+/// A transaction that is being composed, and the records that it covers.
 pub(super) struct Draft {
     pub(super) transaction: Transaction,
     pub(super) items: Vec<FlushItem>,
-    /// Estimated size of the records.
+    /// Estimated size of the records in bytes.
     pub(super) bytes: usize,
 }
 
 impl Draft {
-    /// An empty transaction that takes effect only in this epoch.
+    /// Creates an empty transaction that takes effect only while the epoch record has this
+    /// revision.
     fn new(epoch_revision: u64) -> Self {
         let epoch_guard = Guard { path: EPOCH_KEY.into(), revision: epoch_revision };
         let transaction = Transaction { guards: vec![epoch_guard], ..Transaction::default() };
         Draft { transaction, items: Vec::new(), bytes: 0 }
     }
 
-    /// Changes in the transaction so far.
+    /// Returns the number of changes in the transaction so far.
     pub(super) fn changes(&self) -> usize {
         self.transaction.apply.len()
     }
@@ -44,22 +46,22 @@
 /// Limits on the changes of one transaction.
 #[derive(Clone, Copy)]
 pub(super) struct ChangeLimits {
-    /// Changes that the rate limit and the store allow now.
+    /// Changes that both the rate limit and the store allow now.
     pub(super) available: usize,
-    /// Changes that the store allows in any transaction.
+    /// Changes that the store allows in one transaction.
     pub(super) max_per_transaction: usize,
 }
 
 impl ChangeLimits {
-    /// Whether the rate limit is what bounds the transaction. A transaction that is full otherwise
-    /// is followed by the next one at once.
+    /// Returns whether the transaction is bounded by the rate limit. If it is bounded by the
+    /// store's limit on transactions instead, another one can follow at once.
     pub(super) fn is_rate_limited(&self) -> bool {
         self.available < self.max_per_transaction
     }
 }
 
 impl Controller {
-    /// Writes records that memory is ahead of, as far as the limits allow.
+    /// Writes dirty records, as far as the limits allow.
     pub(crate) fn flush(&mut self) {
         if !self.is_flush_due() {
             return;
@@ -70,8 +72,8 @@
         let limits =
             ChangeLimits { available: available.min(max_per_transaction), max_per_transaction };
         if limits.available == 0 {
-            let left = self.record_writer.completions_left || self.any_placement_waits();
-            return self.update_write_supply(left);
+            let writes_left = self.record_writer.completions_left || self.any_placement_waits();
+            return self.update_write_supply(writes_left);
         }
         let mut draft = Draft::new(self.membership.epoch_revision());
         self.gather_records(limits, &mut draft);
@@ -80,8 +82,8 @@
         self.send_flush(draft);
     }
 
-    /// Whether to compose a transaction now. A batch fills for a while first, unless tasks could
-    /// start or other jobs wait for a terminal state.
+    /// Returns whether to compose a transaction now. A batch of changes first fills for a while,
+    /// unless tasks could start or other jobs wait for a terminal state.
     fn is_flush_due(&mut self) -> bool {
         let now = self.context.now.steady_ms;
         let batch_ms = self.context.config.write_batch_ms();
@@ -93,20 +95,21 @@
             return false;
         }
         writer.last_check_ms = now;
-        let batch_complete = writer.dirty_since_ms.is_none_or(|since| now >= since + batch_ms);
+        let batch_complete = writer.batch_started_ms.is_none_or(|since| now >= since + batch_ms);
         let expedited = std::mem::take(&mut writer.expedited);
         batch_complete
             || expedited
             || self.record_writer.dirty_chunks.iter().any(|key| self.blocks_starts(*key))
     }
 
-    /// Whether placements wait to be recorded, other than those of teams without a quota.
+    /// Returns whether placements that block task starts wait to be recorded, other than those of
+    /// best-effort jobs.
     fn any_placement_waits(&self) -> bool {
         self.record_writer.dirty_chunks.iter().any(|key| self.blocks_starts_with_quota(*key))
     }
 
-    /// Terminal states and placements. When both wait for changes, each gets half of them; what
-    /// placements leave goes to terminal states again.
+    /// Adds terminal states and placements to the transaction. While both wait, each gets half of
+    /// the available changes; changes that placements do not use go to terminal states.
     fn gather_records(&mut self, limits: ChangeLimits, draft: &mut Draft) {
         let for_completions = match self.any_placement_waits() {
             true => self.record_writer.half_for_completions(limits.available),
@@ -122,15 +125,15 @@
         self.update_write_supply(placements_left || completions_left);
     }
 
-    /// Terminal states of jobs of teams without a quota use spare changes only, as their
-    /// placements do.
+    /// Adds terminal states of best-effort jobs, which use only spare changes, as their placements
+    /// do.
     fn gather_best_effort_terminal_states(&mut self, limits: ChangeLimits, draft: &mut Draft) {
         let now = self.context.now.steady_ms;
         let spare = self.record_writer.writes.available(now, BEST_EFFORT_RESERVE) as usize;
         self.gather_terminal_states(true, limits.available.min(spare), draft);
     }
 
-    /// Deletions of unused keys use changes that nothing else needs.
+    /// Adds deletions of unused keys, which use only changes that no other write needs.
     fn gather_deletions(&mut self, limits: ChangeLimits, draft: &mut Draft) {
         let now = self.context.now.steady_ms;
         let deletions: Vec<(String, u64)> =
@@ -152,31 +155,32 @@
         }
     }
 
-    /// Sends the transaction, if there is anything in it.
+    /// Sends the transaction, unless it is empty.
     fn send_flush(&mut self, draft: Draft) {
         let now = self.context.now.steady_ms;
         let writer = &mut self.record_writer;
         if draft.items.is_empty() {
-            // What remains is not urgent, or waits for something in flight.
-            writer.dirty_since_ms = (!writer.dirty_chunks.is_empty()).then_some(now);
+            // The remaining records are not urgent, or wait for a call that is in flight.
+            writer.batch_started_ms = (!writer.dirty_chunks.is_empty()).then_some(now);
             return;
         }
         let dirty = !writer.dirty_chunks.is_empty() || !writer.dirty_jobs.is_empty();
-        writer.dirty_since_ms = dirty.then_some(now);
+        writer.batch_started_ms = dirty.then_some(now);
         writer.writes.force(now, draft.changes() as f64);
         writer.flush_in_flight = true;
-        writer.single_record_flushes = writer.single_record_flushes.saturating_sub(1);
+        writer.single_record_flushes_left = writer.single_record_flushes_left.saturating_sub(1);
         let body = to_cbor(&draft.transaction);
         let call = StorageCall::Flush { items: draft.items, sent_ms: now, epoch: self.epoch() };
         self.call_from_storage("POST", "/multi".into(), body, call);
     }
 
-    /// What can't be written now is not retried for the duration of a lease, so that it does not
-    /// hold up other records. Memory goes on; the record may be smaller by then.
-    pub(super) fn defer_write(&mut self, ix: JobIndex, chunk: Option<u32>) {
+    /// Defers the write of a record that can't be written now for the duration of a lease, so that
+    /// the record does not hold up others. The state in memory keeps changing, and the record may
+    /// be smaller by then.
+    pub(super) fn defer_write(&mut self, job_index: JobIndex, chunk: Option<u32>) {
         let until = self.context.now.steady_ms + self.context.config.lease_ms();
-        let Some(job) = self.jobs.get_mut(ix) else { return };
-        match chunk.and_then(|c| job.chunks.get_mut(&c)) {
+        let Some(job) = self.jobs.get_mut(job_index) else { return };
+        match chunk.and_then(|number| job.chunks.get_mut(&number)) {
             Some(c) => c.deferred_until_ms = until,
             None => job.deferred_until_ms = until,
         }
--- a/crates/core/src/storage/record_writer/outcomes.rs
+++ b/crates/core/src/storage/record_writer/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of flushes: what they change in memory, and what is written again.
+//! Handles the outcomes of flushes: updates memory, and marks records for another write or read.
 
 use super::{write_outcome, FlushItem};
 use crate::controller::Controller;
@@ -9,8 +9,8 @@
 use crate::Outcome;
 
 impl Controller {
-    /// A flush has ended. If its outcome is indeterminate, its records are read again before
-    /// anything else is written to them.
+    /// Handles the outcome of a flush. If the outcome is indeterminate, the records are reread
+    /// before anything else is written to them.
     pub(in crate::storage) fn on_flush(&mut self, items: Vec<FlushItem>, outcome: Outcome) {
         self.record_writer.flush_in_flight = false;
         let (status, answer) = write_outcome(&outcome);
@@ -40,12 +40,13 @@
                 self.on_store_throttled(status);
                 items.into_iter().for_each(|item| self.requeue_write(item));
             }
-            // It may have been applied, or may be applied later.
+            // The transaction may have been applied already, or may still be applied later.
             _ => items.into_iter().for_each(|item| self.reread_record(item)),
         }
     }
 
-    /// The store rejected a transaction as malformed or too large: nothing of it was executed.
+    /// Handles a transaction that the store rejected as malformed or too large. No part of it was
+    /// executed.
     fn on_flush_rejected(&mut self, items: Vec<FlushItem>) {
         tracing::error!(
             items = items.len(),
@@ -55,21 +56,21 @@
             let deferred = match item {
                 FlushItem::Chunk { job, chunk, .. } => Some((*job, Some(*chunk))),
                 FlushItem::Terminal { job, .. } | FlushItem::Fold { job, .. } => Some((*job, None)),
-                // Nothing is lost with a key that nobody reads: its deletion is given up.
+                // The deletion is given up: an unused key does no harm.
                 FlushItem::Deletion { .. } => None,
             };
             let Some((job, chunk)) = deferred else { return };
             self.defer_write(job, chunk);
         } else {
-            // Which of the records is at fault shows when each is sent by itself.
-            self.record_writer.single_record_flushes = items.len();
+            // Sending each record alone shows which one is at fault.
+            self.record_writer.single_record_flushes_left = items.len();
         }
         items.into_iter().for_each(|item| self.requeue_write(item));
     }
 
-    /// Nothing of a transaction was executed, since the revisions of these keys have changed. The
-    /// deletion of a changed entry of the handoff queue is given up: either it is gone already, or
-    /// the watch reports what took its place.
+    /// Handles a transaction that was not executed because the revisions of these keys have
+    /// changed. The deletion of a changed entry of the handoff queue is given up: either the entry
+    /// is gone already, or the watch reports its replacement.
     fn on_flush_conflict(&mut self, items: Vec<FlushItem>, failed: &[String]) {
         let (deletions, records): (Vec<_>, Vec<_>) =
             items.into_iter().partition(|item| matches!(item, FlushItem::Deletion { .. }));
@@ -106,25 +107,25 @@
 
     fn on_placement_written(
         &mut self,
-        ix: JobIndex,
+        job_index: JobIndex,
         chunk: u32,
         placed: RecordLocation,
         revision: u64,
     ) {
-        self.on_placement_recorded(ix, chunk, placed, revision);
-        // A job with a record of its own is no longer part of a batch record.
-        let with_own_record = self.jobs.get_mut(ix).filter(|_| placed.own);
+        self.on_placement_recorded(job_index, chunk, placed, revision);
+        // A job that has a record of its own no longer belongs to a batch record.
+        let with_own_record = self.jobs.get_mut(job_index).filter(|_| placed.own);
         if let Some(batch) = with_own_record.and_then(|job| job.page.take()) {
-            self.remove_from_batch(ix, batch);
+            self.remove_from_batch(job_index, batch);
         }
-        self.dispatch_probed_machines(ix);
+        self.dispatch_probed_machines(job_index);
         self.preempt_due = true;
         self.placement_due = true;
-        self.record_writer.mark_job_dirty(ix);
+        self.record_writer.mark_job_dirty(job_index);
     }
 
-    fn on_terminal_state_written(&mut self, ix: JobIndex, deleted: &[u32], revision: u64) {
-        let Some(job) = self.jobs.get_mut(ix) else { return };
+    fn on_terminal_state_written(&mut self, job_index: JobIndex, deleted: &[u32], revision: u64) {
+        let Some(job) = self.jobs.get_mut(job_index) else { return };
         (job.busy, job.revision) = (false, revision);
         for number in deleted {
             if let Some(chunk) = job.chunks.get_mut(number) {
@@ -133,28 +134,28 @@
         }
         let placements_left = job.chunks.values().any(|chunk| chunk.revision > 0);
         if job.state == JobState::Finishing {
-            self.set_job_state(ix, JobState::Done);
+            self.set_job_state(job_index, JobState::Done);
         }
         if placements_left {
-            self.remove_leftover_placements(ix);
+            self.remove_leftover_placements(job_index);
         } else {
-            self.drop_job(ix);
+            self.drop_job(job_index);
         }
     }
 
-    fn on_fold_written(&mut self, ix: JobIndex, folded: &[u32], revision: u64) {
-        let Some(job) = self.jobs.get_mut(ix) else { return };
+    fn on_fold_written(&mut self, job_index: JobIndex, folded: &[u32], revision: u64) {
+        let Some(job) = self.jobs.get_mut(job_index) else { return };
         (job.busy, job.revision) = (false, revision);
         job.chunks.retain(|number, _| !folded.contains(number));
         job.done_chunks = job.done_chunks_with(folded);
-        self.record_writer.mark_job_dirty(ix);
+        self.record_writer.mark_job_dirty(job_index);
         self.placement_due = true;
     }
 
-    /// Schedules the deletion of an ended job's placement records for which the write of its
-    /// terminal state had no room, and forgets the job.
-    pub(super) fn remove_leftover_placements(&mut self, ix: JobIndex) {
-        let Some(job) = self.jobs.get(ix) else { return };
+    /// Schedules the deletion of those placement records of an ended job that the write of its
+    /// terminal state did not delete, and removes the job from memory.
+    pub(super) fn remove_leftover_placements(&mut self, job_index: JobIndex) {
+        let Some(job) = self.jobs.get(job_index) else { return };
         let recorded = job.chunks.iter().filter(|(_, chunk)| chunk.revision > 0);
         let paths: Vec<String> = recorded
             .flat_map(|(number, chunk)| piece_keys(&job.id, *number, chunk.pieces))
@@ -162,29 +163,29 @@
         for path in paths {
             self.record_writer.remove(path);
         }
-        self.drop_job(ix);
+        self.drop_job(job_index);
     }
 
-    /// A record was not written: memory is still ahead of it.
+    /// Marks the record of an item as dirty again after its write was not executed.
     pub(crate) fn requeue_write(&mut self, item: FlushItem) {
         match item {
-            FlushItem::Chunk { job: ix, chunk, placed } => {
-                let Some(job) = self.jobs.get_mut(ix) else { return };
+            FlushItem::Chunk { job: job_index, chunk, placed } => {
+                let Some(job) = self.jobs.get_mut(job_index) else { return };
                 job.busy &= !placed.own;
                 if let Some(chunk) = job.chunks.get_mut(&chunk) {
-                    // Tasks may wait for this record to start.
+                    // Tasks may wait for this record before they start.
                     (chunk.busy, chunk.blocks_starts) = (false, true);
                 }
-                self.mark_dirty(ix, chunk);
+                self.mark_dirty(job_index, chunk);
             }
-            FlushItem::Terminal { job: ix, .. } | FlushItem::Fold { job: ix, .. } => {
-                if let Some(job) = self.jobs.get_mut(ix) {
+            FlushItem::Terminal { job: job_index, .. } | FlushItem::Fold { job: job_index, .. } => {
+                if let Some(job) = self.jobs.get_mut(job_index) {
                     job.busy = false;
                     if job.state == JobState::Finishing {
-                        self.set_job_state(ix, JobState::Live);
+                        self.set_job_state(job_index, JobState::Live);
                     }
                 }
-                self.record_writer.mark_job_dirty(ix);
+                self.record_writer.mark_job_dirty(job_index);
             }
             FlushItem::Deletion { path, revision } => {
                 self.record_writer.schedule_deletion_at(path, revision)
--- a/crates/core/src/storage/record_writer/placements.rs
+++ b/crates/core/src/storage/record_writer/placements.rs
@@ -1,4 +1,5 @@
-//! Placement records in a flush: in which order they are written, and which of them wait.
+//! Adds placement records to a flush: decides in which order they are written, and which of them
+//! wait.
 
 use std::cmp::Reverse;
 
@@ -10,51 +11,51 @@
 use crate::ids::JobIndex;
 use crate::jobs::{Chunk, Job, JobState};
 
-/// Fraction of a second's writes that placements of tasks that could start leave to acceptances
+/// Fraction of one second's writes that placements of tasks that could start leave to acceptances
 /// and aborts.
 const START_RESERVE: f64 = 0.4;
-/// The same for teams without a quota, which use spare changes only.
+/// The same for placements of best-effort jobs, which use only spare changes.
 pub(super) const BEST_EFFORT_RESERVE: f64 = 0.5;
-/// The same for completions of tasks that have been unrecorded for long.
+/// The same for completions of tasks that have been unrecorded for the maximum write delay.
 const OVERDUE_RESERVE: f64 = 0.5;
-/// The same for other completions of tasks.
-const PATIENT_RESERVE: f64 = 0.75;
-/// Estimated bytes of a placement record's keys and guards in a transaction.
+/// The same for all other completions of tasks.
+const DEFERRABLE_RESERVE: f64 = 0.75;
+/// Estimated size in bytes of a placement record's keys and guards in a transaction.
 const KEYS_BYTES: usize = 200;
 
-/// Why a placement record is to be written, most urgent first.
+/// Urgency of writing a placement record, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// Tasks may start once it is recorded.
+    /// Tasks may start once the placement is recorded.
     BlocksStarts(Reverse<Priority>),
-    /// The same, of a team without a quota.
+    /// The same, for a best-effort job.
     BlocksBestEffortStarts,
-    /// Completions of tasks that have been unrecorded for long.
+    /// Completions of tasks that have been unrecorded for the maximum write delay.
     Overdue,
-    /// Completions of tasks: nothing waits for them, and the job's terminal state will cover them.
-    Patient,
+    /// Completions of tasks that nothing waits for. The job's terminal state will cover them.
+    Deferrable,
 }
 
 impl Urgency {
-    /// Fraction of a second's writes that is left to more urgent changes.
+    /// Returns the fraction of one second's writes that is left to more urgent changes.
     fn reserve(self) -> f64 {
         match self {
             Urgency::BlocksStarts(_) => START_RESERVE,
             Urgency::BlocksBestEffortStarts => BEST_EFFORT_RESERVE,
             Urgency::Overdue => OVERDUE_RESERVE,
-            Urgency::Patient => PATIENT_RESERVE,
+            Urgency::Deferrable => DEFERRABLE_RESERVE,
         }
     }
 
     fn purpose(self) -> WritePurpose {
         match self {
             Urgency::BlocksStarts(_) | Urgency::BlocksBestEffortStarts => WritePurpose::Deal,
-            Urgency::Overdue | Urgency::Patient => WritePurpose::TaskCompletions,
+            Urgency::Overdue | Urgency::Deferrable => WritePurpose::TaskCompletions,
         }
     }
 }
 
-/// A chunk whose record lags behind memory. Sorts in the order of writing: by urgency, then by
+/// A chunk with a dirty placement record. Sorts in the order of writing: by urgency, then by
 /// fairness between teams and classes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DirtyChunk {
@@ -64,34 +65,36 @@
     chunk: u32,
 }
 
-/// What to do with a dirty chunk in this flush.
+/// How a flush treats a dirty chunk.
 enum ChunkAction {
-    /// Nothing is to be written any more.
+    /// The placement does not have to be written any more.
     Discard,
-    /// It can't be written before something else has happened.
+    /// The placement can't be written yet.
     Wait,
-    /// Its record is the job's batch record, which is written in a transaction of its own.
+    /// The placement is part of the job's batch record, which is written in a transaction of its
+    /// own.
     RewriteBatch { number: u64 },
-    /// Its job has outgrown the batch record and gets records of its own.
+    /// The job has outgrown its batch record and gets records of its own.
     MoveOutOfBatch,
-    /// It is written now.
+    /// The placement is written in this flush.
     Write,
 }
 
 impl Controller {
-    /// Whether a chunk has tasks that could start once it is recorded.
+    /// Returns whether the chunk has tasks that could start once its placement is recorded.
     pub(super) fn blocks_starts(&self, (job, chunk): (JobIndex, u32)) -> bool {
         self.jobs.get(job).and_then(|j| j.chunks.get(&chunk)).is_some_and(|c| c.blocks_starts)
     }
 
-    /// The same, of a team with a quota, whose jobs may use more than spare changes.
+    /// Returns the same for jobs that are not best-effort, which may use more than spare changes.
     pub(super) fn blocks_starts_with_quota(&self, (job, chunk): (JobIndex, u32)) -> bool {
         self.blocks_starts((job, chunk))
             && self.jobs.get(job).is_some_and(|j| !self.is_best_effort(j))
     }
 
-    /// Adds placement records to the transaction. Returns whether some that block starts are left
-    /// for lack of changes.
+    /// Adds placement records to the transaction. Returns whether placements that block task
+    /// starts, other than those of best-effort jobs, are left over because the rate limit allowed
+    /// too few changes.
     pub(super) fn gather_placements(&mut self, limits: ChangeLimits, draft: &mut Draft) -> bool {
         let now = self.context.now.steady_ms;
         for dirty in self.dirty_chunks_in_order() {
@@ -104,7 +107,9 @@
                     && self.blocks_starts_with_quota((dirty.job, dirty.chunk));
             }
             match self.chunk_action(dirty.job, dirty.chunk) {
-                ChunkAction::Discard => self.record_writer.settled(dirty.job, dirty.chunk),
+                ChunkAction::Discard => {
+                    self.record_writer.clear_dirty_chunk(dirty.job, dirty.chunk)
+                }
                 ChunkAction::Wait => {}
                 ChunkAction::RewriteBatch { number } => {
                     self.record_placement_service(dirty.job);
@@ -125,7 +130,7 @@
         false
     }
 
-    /// All dirty chunks in the order in which to write them.
+    /// Returns all dirty chunks in the order in which to write them.
     fn dirty_chunks_in_order(&self) -> Vec<DirtyChunk> {
         let mut tags = self.record_writer.placement_queue.tag_assigner();
         let mut chunks: Vec<DirtyChunk> = self
@@ -147,26 +152,26 @@
     }
 
     fn urgency(&self, job: JobIndex, chunk: u32) -> Urgency {
-        let Some(j) = self.jobs.get(job) else { return Urgency::Patient };
-        let Some(c) = j.chunks.get(&chunk) else { return Urgency::Patient };
+        let Some(j) = self.jobs.get(job) else { return Urgency::Deferrable };
+        let Some(c) = j.chunks.get(&chunk) else { return Urgency::Deferrable };
         let overdue =
             self.context.now.steady_ms >= c.dirty_ms + self.context.config.max_write_delay_ms();
         match (c.blocks_starts, self.is_best_effort(j)) {
             (true, false) => Urgency::BlocksStarts(Reverse(j.priority)),
             (true, true) => Urgency::BlocksBestEffortStarts,
             (false, _) if overdue => Urgency::Overdue,
-            (false, _) => Urgency::Patient,
+            (false, _) => Urgency::Deferrable,
         }
     }
 
-    fn chunk_action(&self, ix: JobIndex, chunk_number: u32) -> ChunkAction {
-        let Some(job) = self.jobs.get(ix) else { return ChunkAction::Discard };
+    fn chunk_action(&self, job_index: JobIndex, chunk_number: u32) -> ChunkAction {
+        let Some(job) = self.jobs.get(job_index) else { return ChunkAction::Discard };
         let must_write = |chunk: &&Chunk| self.must_write_placement(job, chunk);
         let Some(chunk) = job.chunks.get(&chunk_number).filter(must_write) else {
             return ChunkAction::Discard;
         };
-        // While the job's own record is in flight its placements wait: a write that folds a
-        // placement away or ends the job must not be followed by one that sets it anew.
+        // Placements wait while the job's own record is in flight: a write that folds a placement
+        // away or ends the job must not be followed by one that sets the placement again.
         if chunk.busy
             || job.busy
             || matches!(job.state, JobState::Recording | JobState::Unreadable)
@@ -176,59 +181,61 @@
         }
         if let Some(number) = job.page.filter(|_| !job.own) {
             return match job.chunk_count() {
-                // The terminal state will cover it.
+                // The job's terminal state will cover this placement.
                 _ if chunk.whole() => ChunkAction::Discard,
                 1 => ChunkAction::RewriteBatch { number },
-                // A batch record has room for a job's first chunk only.
+                // A batch record holds only the first chunk of a job.
                 _ => ChunkAction::MoveOutOfBatch,
             };
         }
-        // The job's own record, with the first chunk's placement, is written before the others.
+        // The job's own record, with the placement of the first chunk, is written before the
+        // placements of other chunks.
         if job.page.is_some() && chunk_number > 0 {
             return ChunkAction::Wait;
         }
         ChunkAction::Write
     }
 
-    /// Whether a chunk's placement has to be recorded, rather than be covered by another write.
+    /// Returns whether the chunk's placement has to be recorded, instead of being covered by
+    /// another write.
     fn must_write_placement(&self, job: &Job, chunk: &Chunk) -> bool {
         let ended = matches!(job.state, JobState::Done | JobState::Finishing);
-        // The recorded placement names every machine that may have a task of an aborted job:
-        // nothing starts any more, and the terminal state covers the rest.
+        // The recorded placement already names every machine that may hold a task of an aborted
+        // job: nothing starts any more, and the terminal state covers the rest.
         let aborted = job.state == JobState::Aborted && chunk.revision == 0;
         // A completed chunk is folded into the job's record instead.
         let folds = || chunk.revision > 0 && chunk.whole() && self.may_fold(job);
         chunk.dirty && !ended && !folds() && !aborted
     }
 
-    /// Counts a placement for the fairness between teams and classes.
-    fn record_placement_service(&mut self, ix: JobIndex) {
-        if let Some(job) = self.jobs.get(ix) {
+    /// Charges a placement to its team and class in the fair queue.
+    fn record_placement_service(&mut self, job_index: JobIndex) {
+        if let Some(job) = self.jobs.get(job_index) {
             self.record_writer.placement_queue.record_service(job.team, &job.spec.class);
         }
     }
 
-    /// Adds a placement record to the transaction. False if it does not fit, which ends the
-    /// gathering; it goes first into the next transaction.
+    /// Adds a placement record to the transaction. Returns false if the record does not fit:
+    /// the transaction then takes no more records, and this one goes first into the next.
     fn add_placement(
         &mut self,
         dirty: DirtyChunk,
         limits: ChangeLimits,
         draft: &mut Draft,
     ) -> bool {
-        let DirtyChunk { urgency, job: ix, chunk, .. } = dirty;
-        let Some(write) = self.placement_write(ix, chunk) else { return true };
-        let id = self.jobs.get(ix).map(|job| job.id.clone()).unwrap_or_default();
+        let DirtyChunk { urgency, job: job_index, chunk, .. } = dirty;
+        let Some(write) = self.placement_write(job_index, chunk) else { return true };
+        let id = self.jobs.get(job_index).map(|job| job.id.clone()).unwrap_or_default();
         if write.oversize || write.changes() > limits.max_per_transaction {
             tracing::error!(job = %id, chunk, bytes = write.bytes, pieces = write.placed.pieces,
                 "a placement record exceeds the store's limits; its write is deferred");
-            self.defer_write(ix, Some(chunk));
+            self.defer_write(job_index, Some(chunk));
             return true;
         }
         let too_many_changes = draft.changes() + write.changes() > limits.max_per_transaction;
         let too_large = draft.bytes > 0 && draft.bytes + write.bytes > MAX_TRANSACTION_BYTES;
         if too_many_changes || too_large {
-            if let Some(c) = self.jobs.get_mut(ix).and_then(|j| j.chunks.get_mut(&chunk)) {
+            if let Some(c) = self.jobs.get_mut(job_index).and_then(|j| j.chunks.get_mut(&chunk)) {
                 c.blocks_starts = true;
             }
             return false;
@@ -237,9 +244,9 @@
         let placed = write.placed;
         self.record_writer.note(urgency.purpose(), write.changes());
         write.enter(&id, chunk, &mut draft.transaction.guards, &mut draft.transaction.apply);
-        self.on_placement_sent(ix, chunk, placed);
-        self.record_writer.settled(ix, chunk);
-        draft.items.push(FlushItem::Chunk { job: ix, chunk, placed });
+        self.on_placement_sent(job_index, chunk, placed);
+        self.record_writer.clear_dirty_chunk(job_index, chunk);
+        draft.items.push(FlushItem::Chunk { job: job_index, chunk, placed });
         true
     }
 }
--- a/crates/core/src/storage/record_writer/terminal_states.rs
+++ b/crates/core/src/storage/record_writer/terminal_states.rs
@@ -1,4 +1,5 @@
-//! Jobs' own records in a flush: terminal states, and completed chunks folded into the record.
+//! Adds jobs' own records to a flush: terminal states, and completed chunks that are folded into
+//! the record.
 
 use std::cmp::Reverse;
 
@@ -13,31 +14,33 @@
 use crate::placement::placer::MAX_OPEN_CHUNKS;
 use crate::storage::records::{encode, job_key, JobRecord, RecordedStatus};
 
-/// Completed chunks that are folded in one write, if there are so many.
+/// Fewest completed chunks that are folded in one write, unless they hold up the placement of
+/// further chunks.
 const MIN_FOLDED_CHUNKS: usize = 4;
-/// Fraction of a second's writes that terminal states of aborted jobs leave to everything else.
+/// Fraction of one second's writes that terminal states of aborted jobs leave to all other writes.
 const ABORTED_RESERVE: f64 = 0.5;
-/// Changes that must be left beyond the reserve for placement records to be deleted at once.
+/// Number of changes that must be available beyond [`CLEANUP_RESERVE`] for placement records to be
+/// deleted together with the terminal state.
 const MIN_CHANGES_FOR_DELETIONS: f64 = 2.0;
-/// Estimated bytes of a terminal state in a transaction.
+/// Estimated size in bytes of a terminal state in a transaction.
 const TERMINAL_STATE_BYTES: usize = 300;
-/// Estimated bytes of the deletion of a chunk's placement record.
+/// Estimated size in bytes of the deletion of a chunk's placement record.
 const DELETION_BYTES: usize = 200;
 
-/// What to do with a job's own record in this flush.
+/// How a flush treats a job's own record.
 enum JobRecordAction {
-    /// Nothing is to be written any more.
+    /// The record does not have to be written any more.
     Discard,
-    /// It can't be written before something else has happened.
+    /// The record can't be written yet.
     Wait,
-    /// Completed chunks may be folded into it.
+    /// Completed chunks may be folded into the record.
     Fold,
-    /// The job has ended.
+    /// The job has ended with this terminal status.
     End(RecordedStatus),
 }
 
-/// The first of these chunks whose records have no more keys than that.
-fn first_within<'a>(
+/// Returns the leading chunks whose placement records have at most `max_keys` keys in total.
+fn chunks_within_key_limit<'a>(
     chunks: impl Iterator<Item = (&'a u32, &'a Chunk)>,
     max_keys: usize,
 ) -> Vec<u32> {
@@ -52,8 +55,8 @@
 
 impl Controller {
     /// Adds terminal states and folds to the transaction: of jobs whose tasks have all completed,
-    /// and of aborted ones that are on no machine any more; either of teams without a quota
-    /// (`best_effort`) or of all others. Returns whether any completion is left for lack of
+    /// and of aborted jobs that no longer occupy a machine. `best_effort` selects either the
+    /// best-effort jobs or all others. Returns whether any completion is left over for lack of
     /// changes.
     pub(super) fn gather_terminal_states(
         &mut self,
@@ -64,16 +67,16 @@
         if draft.changes() >= max_changes {
             return self.any_completion_waits(best_effort);
         }
-        for ix in self.dirty_jobs_in_order(best_effort) {
+        for job_index in self.dirty_jobs_in_order(best_effort) {
             if self.record_writer.must_send_alone(draft) {
                 return false;
             }
-            match self.job_record_action(ix) {
-                JobRecordAction::Discard => self.record_writer.forget_job(ix),
+            match self.job_record_action(job_index) {
+                JobRecordAction::Discard => self.record_writer.clear_dirty_job(job_index),
                 JobRecordAction::Wait => {}
-                JobRecordAction::Fold => self.gather_fold(ix, max_changes, draft),
+                JobRecordAction::Fold => self.gather_fold(job_index, max_changes, draft),
                 JobRecordAction::End(status) => {
-                    if !self.add_terminal_state(ix, status, max_changes, draft) {
+                    if !self.add_terminal_state(job_index, status, max_changes, draft) {
                         return status == RecordedStatus::Done;
                     }
                 }
@@ -82,27 +85,29 @@
         false
     }
 
-    fn is_best_effort_job(&self, ix: JobIndex) -> bool {
-        self.jobs.get(ix).is_some_and(|job| self.is_best_effort(job))
+    fn is_best_effort_job(&self, job_index: JobIndex) -> bool {
+        self.jobs.get(job_index).is_some_and(|job| self.is_best_effort(job))
     }
 
     fn any_completion_waits(&self, best_effort: bool) -> bool {
         let completed = |job: &Job| job.state == JobState::Live && job.done >= job.spec.tasks;
         let mut waiting = self.record_writer.dirty_jobs.iter();
-        waiting.any(|ix| {
-            self.is_best_effort_job(*ix) == best_effort && self.jobs.get(*ix).is_some_and(completed)
+        waiting.any(|job_index| {
+            self.is_best_effort_job(*job_index) == best_effort
+                && self.jobs.get(*job_index).is_some_and(completed)
         })
     }
 
-    /// Jobs whose own record may have to be written. Those that others depend on come first,
-    /// aborted ones last; in between by priority, then by fairness between teams and classes.
+    /// Returns the jobs whose own record may have to be written. Jobs that others depend on come
+    /// first and aborted jobs last; each group is ordered by priority, then by fairness between
+    /// teams and classes.
     fn dirty_jobs_in_order(&self, best_effort: bool) -> Vec<JobIndex> {
         let dirty = self.record_writer.dirty_jobs.iter().copied();
         let mut jobs: Vec<JobIndex> =
-            dirty.filter(|ix| self.is_best_effort_job(*ix) == best_effort).collect();
+            dirty.filter(|job_index| self.is_best_effort_job(*job_index) == best_effort).collect();
         let mut tags = self.record_writer.completion_queue.tag_assigner();
-        jobs.sort_by_cached_key(|ix| {
-            let job = self.jobs.get(*ix);
+        jobs.sort_by_cached_key(|job_index| {
+            let job = self.jobs.get(*job_index);
             let rank = match job {
                 Some(job) if job.state == JobState::Aborted => 2,
                 Some(job) if self.dependency_graph.has_dependents(&job.id) => 0,
@@ -114,8 +119,8 @@
         jobs
     }
 
-    fn job_record_action(&self, ix: JobIndex) -> JobRecordAction {
-        let Some(job) = self.jobs.get(ix) else { return JobRecordAction::Discard };
+    fn job_record_action(&self, job_index: JobIndex) -> JobRecordAction {
+        let Some(job) = self.jobs.get(job_index) else { return JobRecordAction::Discard };
         let now = self.context.now.steady_ms;
         if job.busy || job.chunks.values().any(|c| c.busy) || now < job.deferred_until_ms {
             return JobRecordAction::Wait;
@@ -135,10 +140,11 @@
     }
 
     /// Adds a job's terminal state to the transaction, with the deletion of as many of its
-    /// placement records as there are changes for. False if it does not fit.
+    /// placement records as there are changes for. Returns false if the terminal state does not
+    /// fit.
     fn add_terminal_state(
         &mut self,
-        ix: JobIndex,
+        job_index: JobIndex,
         status: RecordedStatus,
         max_changes: usize,
         draft: &mut Draft,
@@ -148,17 +154,17 @@
         if status == RecordedStatus::Aborted && writes.available(now, ABORTED_RESERVE) < 1.0 {
             return true;
         }
-        // Placement records of an ended job only occupy the store: while changes are scarce they
-        // are deleted later, in transactions of their own.
+        // Placement records of an ended job only occupy space in the store. While changes are
+        // scarce, they are deleted later, in separate transactions.
         let delete_now = writes.available(now, CLEANUP_RESERVE) >= MIN_CHANGES_FOR_DELETIONS;
         let changes_left = max_changes.saturating_sub(draft.changes());
         if changes_left < 1 + usize::from(delete_now) && draft.changes() > 0 {
             return false;
         }
-        let Some(job) = self.jobs.get(ix) else { return true };
+        let Some(job) = self.jobs.get(job_index) else { return true };
         let recorded = job.chunks.iter().filter(|(_, chunk)| chunk.revision > 0);
         let max_keys = if delete_now { changes_left.max(2) - 1 } else { 0 };
-        let chunks = first_within(recorded, max_keys);
+        let chunks = chunks_within_key_limit(recorded, max_keys);
         let record = self.terminal_record(job, status);
         let key = job_key(&job.id);
         draft.transaction.guards.push(Guard { path: key.clone(), revision: job.revision });
@@ -169,22 +175,22 @@
         });
         let before_deletions = draft.changes();
         self.record_writer.completion_queue.record_service(job.team, &job.spec.class);
-        self.remove_placements(ix, &chunks, &mut draft.transaction);
+        self.remove_placements(job_index, &chunks, &mut draft.transaction);
         self.record_writer.note(WritePurpose::TerminalState, 1);
         self.record_writer.note(WritePurpose::Cleanup, draft.changes() - before_deletions);
         draft.bytes += TERMINAL_STATE_BYTES + DELETION_BYTES * chunks.len();
-        self.record_writer.forget_job(ix);
-        if let Some(job) = self.jobs.get_mut(ix) {
+        self.record_writer.clear_dirty_job(job_index);
+        if let Some(job) = self.jobs.get_mut(job_index) {
             job.busy = true;
         }
         if status == RecordedStatus::Done {
-            self.set_job_state(ix, JobState::Finishing);
+            self.set_job_state(job_index, JobState::Finishing);
         }
-        draft.items.push(FlushItem::Terminal { job: ix, chunks });
+        draft.items.push(FlushItem::Terminal { job: job_index, chunks });
         true
     }
 
-    /// The record of a job that has ended, which keeps no description.
+    /// Returns the record of a job that has ended, which does not retain the job's description.
     fn terminal_record(&self, job: &Job, status: RecordedStatus) -> JobRecord {
         JobRecord {
             status,
@@ -196,37 +202,37 @@
         }
     }
 
-    /// Folds completed chunks of a large job into the job's own record, several at a time unless
-    /// they hold up the placement of further chunks.
-    fn gather_fold(&mut self, ix: JobIndex, max_changes: usize, draft: &mut Draft) {
-        let Some(job) = self.jobs.get(ix) else { return };
+    /// Folds completed chunks of a large job into the job's own record. Several are folded at a
+    /// time, unless unfolded chunks hold up the placement of further chunks.
+    fn gather_fold(&mut self, job_index: JobIndex, max_changes: usize, draft: &mut Draft) {
+        let Some(job) = self.jobs.get(job_index) else { return };
         let changes_left = max_changes.saturating_sub(draft.changes());
         if !self.may_fold(job) || changes_left < 2 {
-            return self.record_writer.forget_job(ix);
+            return self.record_writer.clear_dirty_job(job_index);
         }
         let foldable = |chunk: &Chunk| !chunk.busy && chunk.revision > 0 && chunk.whole();
         let completed = job.chunks.iter().filter(|(_, chunk)| foldable(chunk));
         let max_keys = changes_left - 1;
-        let chunks = first_within(completed, max_keys);
+        let chunks = chunks_within_key_limit(completed, max_keys);
         let few = chunks.len() < MIN_FOLDED_CHUNKS.min(max_keys);
         let may_wait = job.chunks.len() < MAX_OPEN_CHUNKS + MIN_FOLDED_CHUNKS;
         if chunks.is_empty() || few && may_wait {
-            return self.record_writer.forget_job(ix);
+            return self.record_writer.clear_dirty_job(job_index);
         }
         let record = self.folded_record(job, &chunks);
         let key = job_key(&job.id);
-        let before = draft.changes();
+        let changes_before = draft.changes();
         draft.transaction.guards.push(Guard { path: key.clone(), revision: job.revision });
         draft.transaction.apply.push(Change::Set {
             set: key,
             value: encode(&record),
             lease_id: None,
         });
-        self.remove_placements(ix, &chunks, &mut draft.transaction);
-        self.record_writer.note(WritePurpose::Fold, draft.changes() - before);
-        if let Some(job) = self.jobs.get_mut(ix) {
+        self.remove_placements(job_index, &chunks, &mut draft.transaction);
+        self.record_writer.note(WritePurpose::Fold, draft.changes() - changes_before);
+        if let Some(job) = self.jobs.get_mut(job_index) {
             job.busy = true;
         }
-        draft.items.push(FlushItem::Fold { job: ix, chunks });
+        draft.items.push(FlushItem::Fold { job: job_index, chunks });
     }
 }
