--- a/crates/core/src/storage/calls.rs
+++ b/crates/core/src/storage/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the storage modules to the key-value store, and the routing of their outcomes.
+//! Calls of the storage modules to the key-value store, and routing of their outcomes.
 
 use quartzgate_feature_gates::ActivationRecord;
 
@@ -7,28 +7,29 @@
 use crate::storage::record_writer::FlushItem;
 use crate::Outcome;
 
-/// What a call is for. Calls that concern the leader's memory name its epoch: their outcomes count
-/// only in that epoch.
+/// Purpose of a call. Calls that concern the leader's memory carry its epoch, and their outcomes
+/// are handled only in that epoch.
 #[derive(Debug)]
 pub(crate) enum StorageCall {
-    /// A transaction of the record writer.
+    /// Transaction of the record writer.
     Flush { items: Vec<FlushItem>, sent_ms: u64, epoch: u64 },
-    /// A read of a record whose revision is uncertain.
+    /// Reread of a record whose revision is uncertain.
     RecordReread { item: FlushItem, epoch: u64 },
-    /// A periodic read of a live job's record.
+    /// Periodic read of a live job's record.
     LiveRecordRead { job: String, epoch: u64 },
-    /// A read of the active formats and the controllers' capabilities.
+    /// Read of the active formats and of the controllers' capabilities.
     FormatKeysRead,
-    /// A read of the membership keys.
+    /// Read of the controllers' membership keys.
     MembersRead,
-    /// A write of this controller's capabilities. The next read shows its outcome.
+    /// Write of this controller's capabilities. Its outcome is ignored, because the next read shows
+    /// it.
     CapabilitiesWrite,
-    /// The activation of a step.
+    /// Write that activates a step of the feature gates.
     StepWrite { record: ActivationRecord, epoch: u64 },
 }
 
 impl Controller {
-    /// Calls the key-value store; the outcome goes to [`Controller::on_storage_outcome`].
+    /// Calls the key-value store. The outcome goes to [`Controller::on_storage_outcome`].
     pub(super) fn call_from_storage(
         &mut self,
         method: &'static str,
@@ -40,20 +41,20 @@
         self.storage_calls.insert(id, call);
     }
 
-    /// Routes the outcome of a call to the module that made it.
+    /// Routes the outcome of a call to the module that made the call.
     pub(crate) fn on_storage_outcome(&mut self, call: StorageCall, outcome: Outcome) {
-        let current = self.epoch();
+        let current_epoch = self.epoch();
         match call {
-            StorageCall::FormatKeysRead => self.on_format_read(outcome),
+            StorageCall::FormatKeysRead => self.on_format_keys_read(outcome),
             StorageCall::MembersRead => self.on_members_read(outcome),
             StorageCall::CapabilitiesWrite => {}
             StorageCall::StepWrite { record, epoch } => {
-                self.on_step((epoch == current).then_some(record), outcome)
+                self.on_step_written((epoch == current_epoch).then_some(record), outcome)
             }
             StorageCall::Flush { epoch, .. }
             | StorageCall::RecordReread { epoch, .. }
             | StorageCall::LiveRecordRead { epoch, .. }
-                if epoch != current => {}
+                if epoch != current_epoch => {}
             StorageCall::Flush { items, sent_ms, .. } => {
                 let latency_ms = self.context.now.steady_ms.saturating_sub(sent_ms);
                 self.context.latencies.note(LatencySpan::Write, latency_ms);
--- a/crates/core/src/storage/feature_state.rs
+++ b/crates/core/src/storage/feature_state.rs
@@ -1,12 +1,12 @@
-//! Which record formats and features are active, and the activation of new ones while controllers
-//! of older versions are still running.
+//! Tracks which record formats and features are active, and activates new ones while controllers of
+//! older versions may still be running.
 //!
-//! This module reads and writes the feature gates' keys. What may be activated, and what blocks
-//! it, is decided in `quartzgate-feature-gates`.
+//! This module reads and writes the feature gates' keys. `quartzgate-feature-gates` decides what
+//! may be activated and what blocks it.
 //!
 //! Each controller publishes its capabilities. The leader activates a step with a transaction that
 //! is guarded by the epoch, by the active formats, and by every controller's capabilities or
-//! membership: it fails if any of them has changed since it was read.
+//! membership, so that the transaction fails if any of them has changed since it was read.
 
 use std::collections::BTreeMap;
 
@@ -27,25 +27,27 @@
 };
 use crate::Outcome;
 
-/// What is known about formats and features, and the calls that keep it up to date.
+/// Known state of formats and features, and of the calls that keep it up to date.
 pub(crate) struct FeatureState {
-    /// Decides what may be activated.
+    /// Decides which steps may be activated.
     pub gates: FeatureGates,
     /// Features that are known to be active.
     active: EnumSet<Feature>,
-    /// A read, or the write of a step, is in flight. There is at most one.
+    /// A read of the keys, or the write of a step, is in flight. At most one is in flight at a
+    /// time.
     call_in_flight: bool,
     next_read_ms: u64,
 }
 
 impl FeatureState {
-    /// The state of a controller that has read nothing yet.
+    /// Creates the state of a controller that has not read the keys yet.
     pub fn new(cfg: &Config) -> Self {
         let gates = FeatureGates::new(cfg.table, cfg.operator.withheld());
         FeatureState { gates, active: EnumSet::empty(), call_in_flight: false, next_read_ms: 0 }
     }
 
-    /// Takes over a status that was read or written; false if it was known already.
+    /// Sets the activation status that was read or written. Returns false if the status was known
+    /// already.
     fn set_status(&mut self, status: ActivationStatus, revision: u64) -> bool {
         if !self.gates.set_status(status, revision) {
             return false;
@@ -60,60 +62,61 @@
             ActivationStatus::Active(record) => {
                 let features = record.features.iter().cloned().collect::<Vec<_>>().join(" ");
                 let (version, complete) = (record.version, self.gates.is_complete());
-                tracing::info!(version, features, complete, "formats in use");
+                tracing::info!(version, features, complete, "active formats and features");
             }
             ActivationStatus::Unsupported(unsupported) => tracing::error!(
                 %unsupported,
-                "a format or feature is active that this version does not support; it neither leads nor serves"
+                "an unsupported format or feature is active; this node neither leads nor serves"
             ),
             ActivationStatus::Unknown => {}
         }
     }
 
-    /// Whether to read the keys now: until all steps that this version supports are active and
-    /// this controller's capabilities are published.
+    /// Returns whether to read the keys now. They are read until all steps that this version
+    /// supports are active and this controller's capabilities are published.
     fn is_read_due(&self, node: &str, now_ms: u64) -> bool {
-        let settled = self.gates.is_complete() && !self.gates.must_publish_capabilities(node, None);
-        !settled && !self.call_in_flight && now_ms >= self.next_read_ms
+        let up_to_date =
+            self.gates.is_complete() && !self.gates.must_publish_capabilities(node, None);
+        !up_to_date && !self.call_in_flight && now_ms >= self.next_read_ms
     }
 }
 
-/// Key of a controller's capability record.
 fn capability_key(node: &str) -> String {
     format!("{FORMAT_NODE_PREFIX}{node}")
 }
 
-/// Node and capabilities of a capability record's key. What can't be decoded says nothing about
-/// its controller.
+/// Returns the node and the capabilities of a capability record; `None` for a record that can't be
+/// decoded, which is treated as if it were absent.
 fn stored_capabilities(pair: &KeyValue) -> Option<(String, StoredCapabilities)> {
     let node = pair.path.strip_prefix(FORMAT_NODE_PREFIX)?;
     let record = decode::<CapabilityRecord>(&pair.value)?;
     Some((node.to_string(), StoredCapabilities { record, revision: pair.revision }))
 }
 
-/// Node and revision of a membership key.
+/// Returns the node and the revision of a membership key.
 fn membership_revision(pair: &KeyValue) -> Option<(String, u64)> {
     Some((pair.path.strip_prefix(MEMBER_PREFIX)?.to_string(), pair.revision))
 }
 
 impl Controller {
-    /// Whether a feature is known to be active.
+    /// Returns whether a feature is known to be active.
     pub(crate) fn is_active(&self, feature: Feature) -> bool {
         self.feature_state.active.contains(feature)
     }
 
-    /// Whether something is active that this version does not support: it must not touch records.
+    /// Returns whether a format or feature is active that this version does not support. Such a
+    /// controller must not touch any record.
     pub(crate) fn has_unsupported_format(&self) -> bool {
         self.feature_state.gates.is_unsupported()
     }
 
-    /// Whether it is known in which formats records are written.
+    /// Returns whether it is known in which formats records are written.
     pub(crate) fn knows_format(&self) -> bool {
         matches!(self.feature_state.gates.status(), ActivationStatus::Active(_))
     }
 
-    /// Limits of the store to observe: the lowest announced ones once all controllers observe
-    /// them, since the limits change without notice.
+    /// Returns the store's limits to observe. Because the limits change without notice, these are
+    /// the lowest announced ones as soon as all controllers observe them.
     pub(crate) fn limits(&self) -> &StateLimits {
         match self.is_active(Feature::AnnouncedLimits) {
             true => &self.context.config.lowest,
@@ -121,13 +124,13 @@
         }
     }
 
-    /// Largest value in bytes that may be written, as
-    /// [`checked_size`](crate::storage::records::checked_size) counts them.
+    /// Returns the size in bytes of the largest value that may be written, as counted by
+    /// [`checked_size`](crate::storage::records::checked_size).
     pub(crate) fn max_value_bytes(&self) -> usize {
         (self.limits().value_kb * 1024.0) as usize
     }
 
-    /// Takes over what is known to be active now.
+    /// Updates the activation status, and adjusts the rate limits if it has changed.
     fn set_activation_status(&mut self, status: ActivationStatus, revision: u64) {
         if self.feature_state.set_status(status, revision) {
             self.feature_state.log_status();
@@ -135,8 +138,8 @@
         }
     }
 
-    /// Reads the keys when that is due: less often while nothing can be activated, only to show
-    /// operators who else blocks a step.
+    /// Reads the keys when a read is due. Reads are less frequent while this controller consents to
+    /// no further step; they then only show operators which other controllers block a step.
     pub(crate) fn tick_format(&mut self) {
         let now = self.context.now.steady_ms;
         if !self.feature_state.is_read_due(&self.context.config.platform.node, now) {
@@ -152,13 +155,14 @@
         self.call_from_storage("GET", target, Vec::new(), StorageCall::FormatKeysRead);
     }
 
-    /// The formats' keys have been read; the membership keys are read after them, because
-    /// capabilities count for the run of a controller in which they were published.
-    pub(super) fn on_format_read(&mut self, outcome: Outcome) {
+    /// Handles the outcome of reading the format keys. The membership keys are read after them,
+    /// because capabilities count only for the process run of the controller in which they were
+    /// published.
+    pub(super) fn on_format_keys_read(&mut self, outcome: Outcome) {
         self.feature_state.call_in_flight = false;
-        let Some(list) = self.listed(outcome) else { return };
+        let Some(list) = self.list_outcome(outcome) else { return };
         self.see_format(&list.pairs);
-        // No settings name more controllers than one answer holds.
+        // The settings can't name more controllers than one answer can list.
         if list.more || self.has_unsupported_format() {
             return;
         }
@@ -173,11 +177,12 @@
         }
     }
 
-    /// The membership keys have been read: publishes this controller's capabilities, or its
-    /// membership if its write was refused or lost; the leader activates a step if it can.
+    /// Handles the outcome of reading the membership keys. Publishes this controller's
+    /// capabilities, or writes its membership key again if that write was refused or lost. The
+    /// leader activates the next step if possible.
     pub(super) fn on_members_read(&mut self, outcome: Outcome) {
         self.feature_state.call_in_flight = false;
-        let Some(list) = self.listed(outcome) else { return };
+        let Some(list) = self.list_outcome(outcome) else { return };
         let members: BTreeMap<String, u64> =
             list.pairs.iter().filter_map(membership_revision).collect();
         let node = self.context.config.platform.node.clone();
@@ -195,7 +200,7 @@
         }
     }
 
-    fn listed(&mut self, outcome: Outcome) -> Option<KeyValueList> {
+    fn list_outcome(&mut self, outcome: Outcome) -> Option<KeyValueList> {
         let Outcome::Answer(response) = outcome else { return None };
         let list = from_cbor::<KeyValueList>(&response.body).ok();
         let list = list.filter(|_| response.status == 200)?;
@@ -203,7 +208,7 @@
         Some(list)
     }
 
-    /// Takes over the activation record from a list of the formats' keys.
+    /// Updates the activation status from a list of the format keys.
     pub(crate) fn see_format(&mut self, pairs: &[KeyValue]) {
         let gates = &self.feature_state.gates;
         let (status, revision) = match pairs.iter().find(|pair| pair.path == FORMAT_KEY) {
@@ -213,16 +218,18 @@
         self.set_activation_status(status, revision);
     }
 
-    /// Publishes for good what this controller supports, and in which run of it.
+    /// Publishes permanently what this controller supports, and the process run to which that
+    /// applies.
     fn publish_capabilities(&mut self, node: &str, membership_revision: u64) {
         let record = CapabilityRecord {
             membership_revision: Some(membership_revision),
             ..self.feature_state.gates.own_capabilities()
         };
         let set = Change::Set { set: capability_key(node), value: encode(&record), lease_id: None };
-        // A late write of an earlier run must not replace that of this one.
+        // A late write of an earlier process run must not replace the capabilities of this run.
         let guards = vec![Guard { path: member_key(node), revision: membership_revision }];
-        // The next read shows whether it was written, and repeats it if not.
+        // The next read shows whether the capabilities were written; if not, they are published
+        // again.
         self.write_format_keys(
             Transaction { guards, apply: vec![set] },
             StorageCall::CapabilitiesWrite,
@@ -234,7 +241,8 @@
         self.call_from_storage("POST", "/multi".into(), to_cbor(&transaction), call);
     }
 
-    /// Activates the next step if every controller supports it; otherwise logs what blocks it.
+    /// Activates the next step if every controller supports it; otherwise logs the controllers that
+    /// block it.
     fn activate_next_step(&mut self, members: &BTreeMap<String, u64>) {
         let platform = &self.context.config.platform;
         let siblings = platform.siblings.iter().map(|sibling| sibling.node.clone());
@@ -248,7 +256,8 @@
         }
     }
 
-    /// Logs the steps that are blocked by others than before.
+    /// Logs the steps that are newly blocked, or blocked by other controllers or for other reasons
+    /// than before.
     fn log_blocked_steps(&self, before: &[BlockedStep]) {
         let now = self.context.now.steady_ms;
         for blocked in self.feature_state.gates.blocked_steps() {
@@ -257,14 +266,15 @@
             if before.iter().any(unchanged) {
                 continue;
             }
-            let reasons = blocked.blocked_by.iter().map(|(node, why)| format!("{node} {why}"));
+            let reasons =
+                blocked.blocked_by.iter().map(|(node, reason)| format!("{node} {reason}"));
             let blocked_by = reasons.collect::<Vec<_>>().join("; ");
             let for_s = (now - blocked.since_ms) / 1000;
             tracing::info!(step = %blocked.step, for_s, blocked_by, "a step is blocked");
         }
     }
 
-    /// Writes the activation of a step, guarded by everything that the decision relies on.
+    /// Writes the activation of a step, guarded by everything that the decision depends on.
     fn activate(&mut self, planned: PlannedActivation) {
         let mut guards = vec![
             Guard { path: FORMAT_KEY.into(), revision: self.feature_state.gates.revision() },
@@ -286,9 +296,9 @@
         self.write_format_keys(Transaction { guards, apply }, call);
     }
 
-    /// The write of a step has ended; `record` is `None` if the epoch has changed since. Outcomes
-    /// other than success show in the next read, which follows at once.
-    pub(super) fn on_step(&mut self, record: Option<ActivationRecord>, outcome: Outcome) {
+    /// Handles the outcome of activating a step; `record` is `None` if the epoch has changed since.
+    /// The next read, which follows immediately, shows any other outcome than success.
+    pub(super) fn on_step_written(&mut self, record: Option<ActivationRecord>, outcome: Outcome) {
         self.feature_state.call_in_flight = false;
         self.feature_state.next_read_ms = 0;
         let (Outcome::Answer(response), Some(record)) = (outcome, record) else { return };
--- a/crates/core/src/storage/job_batches/batch_lookup.rs
+++ b/crates/core/src/storage/job_batches/batch_lookup.rs
@@ -1,16 +1,16 @@
 //! Finds the record of a job under its own key or in the batch records.
 //!
-//! A lookup reads the job's own key first. If there is no record, the job may be in a batch:
+//! A lookup first reads the job's own key. If there is no such record, the job may be in a batch:
 //!
-//! - the leader has every batch in memory, so that it only verifies that it still leads and that
-//!   the job has no record of its own;
-//! - any other controller brings its [`BatchIndex`] up to date and looks there. Then it verifies
-//!   that the job has no record of its own, as it may have got one meanwhile: for many jobs at
-//!   once, by one transaction that only compares.
+//! - The leader has every batch in memory. It only verifies that it still leads and that the job
+//!   has no record of its own.
+//! - Any other controller updates its [`BatchIndex`] and searches it. Then it verifies that the job
+//!   has not got a record of its own in the meantime. One transaction that only compares does this
+//!   for many jobs at once.
 //!
-//! One scan of the batch records is in progress at a time; it serves all lookups that came before
-//! it began, and those that come later share the next. An answer is therefore never older than its
-//! question.
+//! At most one scan of the batch records is in progress. It serves all lookups that arrived before
+//! it began; later lookups share the next scan. The data behind an answer is therefore never older
+//! than its lookup.
 
 use quartzgate_feature_gates::Feature;
 use quartzgate_wire::http::Response;
@@ -29,25 +29,27 @@
 use super::index::{BatchIndex, IndexedJob};
 use super::BatchCall;
 
-/// Batch records in one part of a listing.
+/// Maximum number of batch records in one page of a listing.
 const BATCHES_PER_LIST: u32 = 60;
-/// A scan reads many records or waits for a busy store: its timeout, in ordinary ones.
+/// Timeout of a scan, as a multiple of the timeout of ordinary calls: a scan reads many records or
+/// waits for a busy store.
 const SCAN_TIMEOUT_FACTOR: u64 = 3;
-/// An index that is up to date may be updated this many times as often as all records are listed.
+/// Number of updates of a recent index that may be made in the time in which all records may be
+/// listed once.
 const UPDATES_PER_LISTING: u64 = 10;
 
 /// A lookup of one job's record.
 #[derive(Debug)]
 pub(crate) struct BatchLookup {
     job_id: String,
-    /// The job's record as a batch record holds it, once it was found there.
+    /// The job's record as stored in a batch record, once a scan has found it there.
     batched_record: Option<Box<JobRecord>>,
-    /// Number of the newest batch that was checked.
+    /// Number of the newest batch that the lookup has covered.
     last_batch: u64,
-    /// The caller writes under the condition that the job has no record of its own, so that its
-    /// own key is not read.
+    /// The job's own key is not read, because the caller guards its write by the absence of that
+    /// key.
     own_key_guarded: bool,
-    /// The call as whose outcome the record is reported, as if the job's own key had been read.
+    /// The call whose outcome the lookup reports, as if the job's own key had been read.
     report_as: Box<InFlight>,
 }
 
@@ -63,49 +65,50 @@
     }
 }
 
-/// A scan of the batch records, in progress.
+/// A scan of the batch records that is in progress.
 struct BatchScan {
     lookups: Vec<BatchLookup>,
-    /// The index that a new listing builds; `None` while the present one is updated.
+    /// The index that a listing builds; `None` while the existing index is updated.
     new_index: Option<BatchIndex>,
-    /// Last key of the listing so far.
+    /// Last key listed so far.
     listed_to: Option<String>,
 }
 
-/// How a scan that has begun reads the batch records.
+/// How a scan reads the batch records.
 enum ScanMode {
-    /// Lists them all.
+    /// Lists all batch records.
     List,
-    /// Reads what has changed after a revision of the store.
+    /// Reads the changes after this revision of the store.
     Update { since: u64 },
 }
 
-/// Lookups of one controller, and its knowledge of the batch records. It does not depend on who
-/// leads.
+/// Lookups of one controller, and its index of the batch records. Neither depends on which
+/// controller leads.
 #[derive(Default)]
 pub(super) struct BatchLookups {
     scan: Option<BatchScan>,
-    /// Lookups that arrived after the scan in progress began.
+    /// Lookups that arrived after the scan in progress had begun.
     waiting: Vec<BatchLookup>,
     index: BatchIndex,
-    /// Steady time at which the newest scan began; 0 before the first.
+    /// Steady time at which the latest scan began; 0 before the first scan.
     last_scan_ms: u64,
     last_batch_checked: u64,
 }
 
 impl BatchLookups {
-    /// Number of the newest batch that the lookup answered last has covered.
+    /// Returns the number of the newest batch that the most recently answered lookup covered.
     pub fn last_batch_checked(&self) -> u64 {
         self.last_batch_checked
     }
 
-    /// Whether a batch record holds the job, as far as the index is up to date.
+    /// Returns whether a batch record holds the job, according to the index, which may be out of
+    /// date.
     pub fn index_holds(&self, job_id: &str) -> bool {
         self.index.holds(job_id)
     }
 
-    /// Begins a scan for all lookups that wait, unless one is in progress or the one before began
-    /// too short a time ago.
+    /// Begins a scan for all waiting lookups, unless another scan is in progress or the previous
+    /// one began too recently.
     fn begin_scan(&mut self, config: &Config, now_ms: u64) -> Option<ScanMode> {
         if self.scan.is_some() {
             return None;
@@ -140,8 +143,9 @@
 }
 
 impl Controller {
-    /// Reads a job's record: its own, or else as a batch record holds it. The outcome is that of
-    /// `then`, as if the job's own key had been read; a record from a batch has revision 0.
+    /// Reads a job's record: its own record, or else its entry in a batch record. The result is
+    /// reported as the outcome of `then`, as if the job's own key had been read; a record from a
+    /// batch has revision 0.
     pub(crate) fn look_up(&mut self, job: &str, then: InFlight) {
         if !self.is_active(Feature::BatchRecords) {
             return self.read_own_record(job, then);
@@ -150,13 +154,13 @@
         self.read_own_record(job, InFlight::Batch(BatchCall::ReadJob(lookup)));
     }
 
-    /// Looks in the batch records only, for a submission to be recorded without the leader: that
-    /// the job has no record of its own is a condition of that write.
+    /// Searches only the batch records, for a submission that is to be recorded without the leader.
+    /// The write of that submission is guarded by the absence of the job's own record.
     pub(crate) fn look_up_in_batches(&mut self, job: &str, then: InFlight) {
         self.queue_lookup(BatchLookup::new(job, true, then));
     }
 
-    /// Looks up jobs that the index held a moment ago, with one scan for all of them.
+    /// Looks up jobs that the index recently held, with one scan for all of them.
     pub(crate) fn look_up_gathered(&mut self, jobs: Vec<(String, InFlight)>) {
         for (job, then) in jobs {
             self.add_lookup(BatchLookup::new(&job, false, then));
@@ -168,13 +172,13 @@
         self.call_store("GET", format!("/keys/{}", job_key(job_id)), Vec::new(), call);
     }
 
-    /// Has the next scan serve a lookup, and begins it if it is due.
+    /// Adds a lookup to the next scan, and begins the scan if it is due.
     fn queue_lookup(&mut self, lookup: BatchLookup) {
         self.add_lookup(lookup);
         self.scan_batches();
     }
 
-    /// Has the next scan serve a lookup; one more than the maximum fails at once.
+    /// Adds a lookup to the next scan. A lookup beyond the maximum fails at once.
     fn add_lookup(&mut self, lookup: BatchLookup) {
         let max_waiting = self.context.config.max_batch_lookups();
         if self.job_batches.lookups.waiting.len() >= max_waiting {
@@ -183,7 +187,7 @@
         self.job_batches.lookups.waiting.push(lookup);
     }
 
-    /// Handles the read of a job's own record.
+    /// Handles the outcome of the first read of a job's own record.
     pub(super) fn on_job_read(&mut self, lookup: BatchLookup, outcome: Outcome) {
         if !is_not_found(&outcome) {
             return self.on_outcome(*lookup.report_as, outcome);
@@ -197,8 +201,8 @@
         self.queue_lookup(lookup);
     }
 
-    /// The record of a job that memory knows to be accepted in a batch: without a record of its
-    /// own, such a job is live.
+    /// Returns the record of a job that is known in memory to be accepted in a batch. Such a job is
+    /// live as long as it has no record of its own.
     fn batched_record_in_memory(&self, job_id: &str) -> Option<JobRecord> {
         let job = self.jobs.find(job_id).and_then(|job| self.jobs.get(job))?;
         if job.page.is_none() || job.state == JobState::Recording {
@@ -207,8 +211,9 @@
         Some(JobRecord { at_ms: job.at_ms, ..self.job_record(job.spec.clone()) })
     }
 
-    /// The leader has all batches in memory and none holds the job, which is true as long as it
-    /// leads: it verifies that, and that the job has no record of its own.
+    /// Verifies that a job is recorded nowhere. The leader has all batches in memory and none of
+    /// them holds the job, which is true as long as it leads: the transaction verifies that, and
+    /// that the job has no record of its own.
     fn verify_absence(&mut self, mut lookup: BatchLookup) {
         lookup.last_batch = self.job_batches.last_number;
         let guards = vec![
@@ -221,7 +226,8 @@
         self.call_store("POST", "/multi".into(), body, InFlight::Batch(call));
     }
 
-    /// Handles the leader's comparison, made in an epoch, for a job that no batch holds.
+    /// Handles the outcome of the leader's verification, sent in the given epoch, for a job that no
+    /// batch holds.
     pub(super) fn on_absence_verified(
         &mut self,
         lookup: BatchLookup,
@@ -229,7 +235,7 @@
         outcome: Outcome,
     ) {
         let (status, answer) = write_outcome(&outcome);
-        // The job may have been submitted meanwhile.
+        // The job may have been submitted in the meantime.
         let is_outdated = epoch != self.epoch() || self.jobs.find(&lookup.job_id).is_some();
         match (status, answer) {
             (200, Some(_)) if !is_outdated => self.report_absence(lookup),
@@ -239,7 +245,7 @@
                 }
                 self.fail_lookup(lookup);
             }
-            // The job has a record of its own by now.
+            // The job has got a record of its own in the meantime.
             (409, Some(_)) => self.reread_own_record(lookup),
             (429 | 503, _) => {
                 self.on_store_throttled(status);
@@ -269,7 +275,7 @@
         self.call(Peer::State, "GET", target, Vec::new(), timeout_ms, call);
     }
 
-    /// Lists the batch records that follow those that the scan has listed.
+    /// Lists the next page of batch records, after those that the scan has listed.
     fn list_next_batches(&mut self) {
         let Some(scan) = &self.job_batches.lookups.scan else { return };
         let mut target = format!("/keys?starts={BATCH_PREFIX}&most={BATCHES_PER_LIST}");
@@ -279,7 +285,7 @@
         self.call_for_scan(target, BatchCall::List);
     }
 
-    /// Handles one part of a listing of the batch records.
+    /// Handles one page of a listing of the batch records.
     pub(super) fn on_batches_listed(&mut self, outcome: Outcome) {
         let Some(mut scan) = self.job_batches.lookups.scan.take() else { return };
         let list = match outcome {
@@ -316,7 +322,7 @@
                     Err(_) => self.fail_scan(scan),
                 }
             }
-            // The store's change log does not go back that far: all records are listed.
+            // The store's change log does not go back far enough, so that all records are listed.
             Outcome::Answer(answer) if answer.status == 410 => {
                 let new_index = Some(BatchIndex::default());
                 self.job_batches.lookups.scan = Some(BatchScan { new_index, ..scan });
@@ -333,7 +339,8 @@
         self.scan_batches();
     }
 
-    /// The index is as the store was at some moment after all these lookups arrived.
+    /// Completes a scan. The index now describes the store at a time after all these lookups
+    /// arrived.
     fn finish_scan(&mut self, lookups: Vec<BatchLookup>) {
         self.note_store_answer();
         let scan_began_ms = self.job_batches.lookups.last_scan_ms;
@@ -350,7 +357,8 @@
         self.scan_batches();
     }
 
-    /// Looks for a job in the index, which is up to date. Returns the lookup if it is there.
+    /// Searches the up-to-date index for a job. Returns the lookup if the job is found, and answers
+    /// it otherwise.
     fn look_up_in_index(&mut self, mut lookup: BatchLookup) -> Option<BatchLookup> {
         let index = &self.job_batches.lookups.index;
         lookup.last_batch = index.last_number();
@@ -367,8 +375,8 @@
         None
     }
 
-    /// Verifies that jobs which were found in batch records have not got records of their own
-    /// meanwhile, with one transaction.
+    /// Verifies with one transaction that jobs found in batch records have not got records of their
+    /// own in the meantime.
     fn verify_own_keys_absent(&mut self, lookups: Vec<BatchLookup>) {
         let guard = |lookup: &BatchLookup| Guard { path: job_key(&lookup.job_id), revision: 0 };
         let guards = lookups.iter().map(guard).collect();
@@ -378,8 +386,8 @@
         self.call_store("POST", "/multi".into(), body, call);
     }
 
-    /// Handles the comparison: a job without a record of its own is as its batch record says, any
-    /// other job's own record is read.
+    /// Handles the outcome of the verification. For a job without a record of its own, the batch
+    /// record is valid; for any other job, its own record is read.
     pub(super) fn on_own_keys_verified(&mut self, lookups: Vec<BatchLookup>, outcome: Outcome) {
         let (status, answer) = write_outcome(&outcome);
         let with_own_record = match (status, answer) {
@@ -422,8 +430,8 @@
         }
     }
 
-    /// Reports a job in a batch like a record that has no revision yet: whoever writes the job's
-    /// own record guards the write by there being none.
+    /// Reports a job in a batch like a record at revision 0. A caller that then writes the job's
+    /// own record guards the write by the absence of that record.
     fn report_batched_record(&mut self, job_id: &str, record: &JobRecord, report_as: InFlight) {
         let pair =
             KeyValue { path: job_key(job_id), value: encode(record), revision: 0, lease_id: None };
--- a/crates/core/src/storage/job_batches/batch_writer.rs
+++ b/crates/core/src/storage/job_batches/batch_writer.rs
@@ -1,8 +1,8 @@
-//! Writes, compares and deletes the leader's batch records.
+//! Writes, reads and deletes the leader's batch records.
 //!
-//! Every write is guarded by the epoch record and by the revision of the batch record that the
-//! leader knows; a write that creates a record is guarded by the absence of a record of each of
-//! its jobs as well. While the outcome of a write is unknown the record is read before it is
+//! Every write is guarded by the epoch record and by the batch record's revision that the leader
+//! knows. A write that creates a batch record is also guarded by the absence of an own record of
+//! each of its jobs. While the outcome of a write is unknown, the record is read before it is
 //! written again, so that no job is accepted twice and none is lost.
 
 use quartzgate_wire::http::Response;
@@ -23,18 +23,19 @@
 
 use super::{BatchCall, BatchState, BatchSubmission};
 
-/// A batch record as memory has it now, and the jobs that it holds.
+/// The contents of a batch record as of now in memory, and the jobs that it holds.
 struct BatchContents {
     record: BatchRecord,
     members: Vec<JobIndex>,
 }
 
 impl Controller {
-    /// Writes the batch record of a job whose placement is to be recorded, if that is possible
-    /// now.
+    /// Writes the batch record of a job whose placement is to be recorded, if the record can be
+    /// written now.
     pub(crate) fn rewrite_batch(&mut self, number: u64) {
         if self.job_batches.is_read_only(number) {
-            // What can't be decoded would be lost: the other jobs get records of their own.
+            // A rewrite would lose the part that can't be decoded, so that the other jobs get
+            // records of their own.
             for member in self.job_batches.members_of(number) {
                 self.require_own_record(member);
             }
@@ -43,8 +44,8 @@
         }
     }
 
-    /// Has a job recorded under a key of its own, with its first chunk, before anything else of it
-    /// is written.
+    /// Moves a job out of its batch: it gets a record of its own, written together with its first
+    /// chunk, before any other record of it is written.
     pub(crate) fn move_out_of_batch(&mut self, job_index: JobIndex) {
         self.require_own_record(job_index);
         self.mark_blocking_starts(job_index, 0);
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Writes a batch record as memory has it now. A new batch without jobs is given up, unless an
+    /// Writes the contents of a batch from memory. A new batch without jobs is discarded, unless an
     /// earlier write of it may still be applied.
     pub(super) fn write_batch(&mut self, number: u64) {
         let Some(contents) = self.batch_contents(number) else { return };
@@ -77,7 +78,7 @@
         let apply = vec![Change::Set { set: path, value, lease_id: None }];
         for member in &contents.members {
             self.on_placement_sent(*member, 0, RecordLocation::default());
-            self.record_writer.settled(*member, 0);
+            self.record_writer.clear_dirty_chunk(*member, 0);
         }
         self.record_writer.writes.force(self.context.now.steady_ms, 1.0);
         self.record_writer.note(if is_new { WritePurpose::Accept } else { WritePurpose::Deal }, 1);
@@ -87,16 +88,16 @@
         self.call_store("POST", "/multi".into(), body, InFlight::Batch(call));
     }
 
-    /// Conditions that none of the jobs has a record of its own.
+    /// Returns guards against any of the jobs having a record of its own.
     fn guards_against_own_records(&self, members: &[JobIndex]) -> Vec<Guard> {
         let jobs = members.iter().filter_map(|member| self.jobs.get(*member));
         jobs.map(|job| Guard { path: job_key(&job.id), revision: 0 }).collect()
     }
 
-    /// The contents of a batch record to be written. If the members no longer fit one record, the
-    /// largest is to get a record of its own, and the batch waits until it has one, as a job that
-    /// is recorded nowhere else must not be left out. A new batch rejects its largest job, which is
-    /// not accepted yet.
+    /// Returns the contents of a batch record to be written. If the members no longer fit in one
+    /// record, the largest one is to get a record of its own. The batch is not written until then,
+    /// because a job that is recorded nowhere else must not be left out. A new batch rejects its
+    /// largest job instead, as that job is not accepted yet.
     fn batch_contents(&mut self, number: u64) -> Option<BatchContents> {
         let batch = self.job_batches.batches.get(&number)?;
         let is_new = batch.is_new();
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Whether a member is about to get a record of its own.
+    /// Returns whether any member is about to get a record of its own.
     fn any_member_leaving(&self, members: &[JobIndex]) -> bool {
         members.iter().any(|member| self.jobs.get(*member).is_some_and(|job| job.own))
     }
@@ -136,13 +137,14 @@
         record
     }
 
-    /// Position of the member with the most tasks, the last of several.
+    /// Returns the position of the member with the most tasks; the last one if several have as
+    /// many.
     fn position_of_largest(&self, members: &[JobIndex]) -> Option<usize> {
         let tasks = |member: JobIndex| self.jobs.get(member).map_or(0, |job| job.spec.tasks);
         (0..members.len()).max_by_key(|position| tasks(members[*position]))
     }
 
-    /// Rejects a job of a batch whose record was not written yet.
+    /// Rejects a job of a batch whose record is not stored yet.
     fn reject_from_new_batch(&mut self, number: u64, job: JobIndex) {
         self.drop_job(job);
         let Some(batch) = self.job_batches.batches.get_mut(&number) else { return };
@@ -179,7 +181,7 @@
         }
     }
 
-    /// A condition of a write did not hold: of these keys another revision is in the store.
+    /// Handles a write whose guards did not hold: the revisions of these keys differ in the store.
     fn on_batch_conflict(&mut self, number: u64, failed: &[String]) {
         if failed.iter().any(|path| path == EPOCH_KEY) {
             self.step_down();
@@ -190,8 +192,9 @@
         }
     }
 
-    /// The store refused to create a record. If an earlier write of it may still be applied, the
-    /// record is read later; else a malformed one is given up and any other one waits.
+    /// Handles the refusal of a write that creates a record. If an earlier write of the record may
+    /// still be applied, the record is read later. Otherwise a malformed batch is discarded, and
+    /// the jobs of any other batch wait for the next one.
     fn on_new_batch_refused(&mut self, number: u64, status: u16) {
         let batch = self.job_batches.batches.get(&number);
         if batch.is_some_and(|batch| batch.write_indeterminate) {
@@ -207,7 +210,7 @@
         }
     }
 
-    /// The store refused to replace a record, which is as it was.
+    /// Handles the refusal of a write that replaces a record. The stored record is unchanged.
     fn on_batch_rewrite_refused(&mut self, number: u64, status: u16) {
         let is_malformed = status == 400;
         if is_malformed {
@@ -218,7 +221,7 @@
         self.on_batch_not_written(number, is_malformed);
     }
 
-    /// A write of a batch record is known to have been applied.
+    /// Handles a write of a batch record that is known to have been applied.
     fn on_batch_recorded(&mut self, number: u64, revision: u64) {
         let Some(batch) = self.job_batches.batches.get_mut(&number) else { return };
         batch.revision = revision;
@@ -266,8 +269,8 @@
         self.answer(submission.request, Response::new(201, to_cbor(&answer)));
     }
 
-    /// Some jobs of a new batch have records of their own already: their submissions are answered
-    /// from those, and the other jobs are recorded without them.
+    /// Removes the jobs of a new batch that already have records of their own. Their submissions
+    /// are answered from those records, and the other jobs are recorded without them.
     fn drop_jobs_with_records(&mut self, number: u64, failed: &[String]) {
         if !self.job_batches.batches.contains_key(&number) {
             return;
@@ -285,14 +288,15 @@
         let others: Vec<BatchSubmission> = submissions.into_iter().filter(is_in_memory).collect();
         let Some(batch) = self.job_batches.batches.get_mut(&number) else { return };
         batch.submissions = others;
-        // An earlier write that may still be applied has to be superseded, even by an empty record.
+        // An earlier write that may still be applied has to be superseded, even if only by an empty
+        // record.
         if batch.members.is_empty() && !batch.write_indeterminate {
             return self.discard_new_batch(number);
         }
         self.write_batch(number);
     }
 
-    /// Gives up a new batch that was certainly not written: its jobs are not accepted.
+    /// Discards a new batch that was certainly not written. Its jobs are not accepted.
     fn discard_new_batch(&mut self, number: u64) {
         let Some(batch) = self.job_batches.remove_newest(number) else { return };
         for member in batch.members {
@@ -301,8 +305,8 @@
         self.answer_submissions_busy(batch.submissions);
     }
 
-    /// Dissolves a new batch that was certainly not written for lack of writes: the jobs whose
-    /// submissions still wait are to be in the next one.
+    /// Dissolves a new batch that was certainly not written because too few writes were available.
+    /// Jobs whose submissions still wait go to the next batch.
     fn return_to_intake(&mut self, number: u64) {
         let Some(batch) = self.job_batches.remove_newest(number) else { return };
         for member in batch.members {
@@ -318,8 +322,9 @@
         self.job_batches.intake.requeue(batch.submissions, now_ms);
     }
 
-    /// A batch record was certainly not replaced: memory is still ahead of it. After a malformed
-    /// write the placements wait for a lease's time before they are written again.
+    /// Handles a batch record that was certainly not replaced and is still older than memory. After
+    /// a malformed write, the placements wait for the duration of a lease before they are written
+    /// again.
     fn on_batch_not_written(&mut self, number: u64, is_malformed: bool) {
         let retry_at_ms = self.context.now.steady_ms + self.context.config.lease_ms();
         for member in self.job_batches.members_of(number) {
@@ -333,7 +338,7 @@
         }
     }
 
-    /// Reads a batch record, as it is not known whether a write of it was applied.
+    /// Reads a batch record after a write that may or may not have been applied.
     fn read_batch(&mut self, number: u64) {
         self.job_batches.set_batch_state(number, BatchState::Reading);
         if let Some(batch) = self.job_batches.batches.get_mut(&number) {
@@ -346,10 +351,10 @@
         self.call_store("GET", target, Vec::new(), InFlight::Batch(call));
     }
 
-    /// Handles the read of a batch record after a write whose outcome is unknown.
+    /// Handles the outcome of reading a batch record after a write whose outcome is unknown.
     pub(super) fn on_batch_read(&mut self, number: u64, outcome: Outcome) {
         let Ok(pair) = self.read_outcome(outcome) else {
-            // It is read again once a second.
+            // The read is retried once a second.
             return self.job_batches.reads_to_retry.push(number);
         };
         if !self.job_batches.batches.contains_key(&number) {
@@ -357,12 +362,14 @@
         }
         match pair {
             Some(pair) => self.on_batch_found(number, pair),
-            // A late write may still be applied: this one takes the revision that it needs.
+            // An earlier write may still be applied late. Writing the record again changes the
+            // revision that guards the earlier write.
             None => self.write_batch(number),
         }
     }
 
-    /// The record is in the store, by which write of ours is not known if it was new.
+    /// Handles a batch record that was found in the store. If the batch was new, it is unknown
+    /// which of this leader's writes created the record.
     fn on_batch_found(&mut self, number: u64, pair: KeyValue) {
         let Some(batch) = self.job_batches.batches.get_mut(&number) else { return };
         let was_new = batch.is_new();
@@ -375,20 +382,20 @@
         self.delete_empty_batch(number);
     }
 
-    /// A new batch record is in the store by a write of ours that got no answer: the jobs that it
-    /// holds are accepted. Which version of their placements it has is not known, so that these
-    /// are written again.
+    /// Reconciles a new batch with its record, which was created by a write without an answer. The
+    /// jobs in the record are accepted. Which version of their placements the record has is
+    /// unknown, so that the placements are written again.
     fn reconcile_new_batch(&mut self, number: u64, recorded: Option<BatchRecord>) {
         for member in self.job_batches.members_of(number) {
             self.reconcile_member(number, member, recorded.as_ref());
         }
-        // An earlier write held jobs that memory does not have any more: the record stays as it is,
-        // and every lookup reads it.
+        // An earlier write may have held jobs that are no longer in memory. The record then stays
+        // as it is, and every lookup reads it.
         let is_known = |id: &String| self.jobs.find(id).is_some();
         if !recorded.is_some_and(|record| record.ids().all(is_known)) {
             tracing::error!(
                 number,
-                "a batch record holds unexpected jobs or can't be decoded; it is left as it is"
+                "a batch record holds unexpected jobs or can't be decoded; it is left unchanged"
             );
             self.job_batches.seal(number, None);
         }
@@ -412,14 +419,14 @@
         }
     }
 
-    /// Reads the batch records again that could not be read.
+    /// Retries the failed reads of batch records.
     pub(crate) fn retry_batch_reads(&mut self) {
         for number in std::mem::take(&mut self.job_batches.reads_to_retry) {
             self.read_batch(number);
         }
     }
 
-    /// A job of a batch has a record of its own now, or is gone.
+    /// Removes a job from a batch, because the job has a record of its own now or is gone.
     pub(crate) fn remove_from_batch(&mut self, job_index: JobIndex, number: u64) {
         if let Some(batch) = self.job_batches.batches.get_mut(&number) {
             batch.members.remove(&job_index);
@@ -427,11 +434,12 @@
         self.delete_empty_batch(number);
     }
 
-    /// Deletes a batch record that no job needs any more, unless it is the newest, and the one
-    /// before, which may have been empty while it was the newest.
+    /// Deletes a batch record that no job needs any more, unless it is the newest. Does the same
+    /// for the preceding batch, which may have become empty while it was the newest and could not
+    /// be deleted.
     pub(crate) fn delete_empty_batch(&mut self, number: u64) {
-        let before = self.job_batches.batches.range(..number).next_back().map(|(n, _)| *n);
-        for number in before.into_iter().chain([number]) {
+        let preceding = self.job_batches.batches.range(..number).next_back().map(|(n, _)| *n);
+        for number in preceding.into_iter().chain([number]) {
             let Some(batch) = self.job_batches.batches.get(&number) else { continue };
             if batch.is_disposable() && number < self.job_batches.last_number {
                 self.job_batches.batches.remove(&number);
--- a/crates/core/src/storage/job_batches/index.rs
+++ b/crates/core/src/storage/job_batches/index.rs
@@ -1,9 +1,9 @@
-//! The contents of all batch records at one revision of the key-value store, as known to a
+//! Index of the contents of all batch records at one revision of the key-value store, for a
 //! controller that does not write them.
 //!
-//! The index is built by listing every batch record once and is kept up to date from the store's
-//! change log, so that a lookup costs as much as has changed since the one before and not as much
-//! as there is.
+//! The index is built by listing all batch records once, and is then updated from the store's
+//! change log. The cost of a lookup is therefore proportional to the changes since the previous
+//! lookup, not to the number of records.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,30 +13,32 @@
 
 use crate::storage::records::{batch_number, decode, BatchRecord, JobRecord};
 
-/// One batch record: the ids of its jobs, decoded, and its value as it was read.
+/// A batch record in the index: the identifiers of its jobs, and its encoded value.
 struct IndexedBatch {
     revision: u64,
     /// `None` if the record can't be decoded.
     job_ids: Option<BTreeSet<String>>,
-    /// The record in CBOR. It is decoded again when a job of it is looked up, as that is rare.
+    /// The record in CBOR. It is decoded again when one of its jobs is looked up, which is rare.
     value: Vec<u8>,
 }
 
-/// What the batch records say about one job.
+/// Result of searching the batch records for a job.
 #[derive(Debug)]
 pub(super) enum IndexedJob {
-    /// A batch record holds the job: the record that it would have under a key of its own.
+    /// A batch record holds the job. Contains the record that the job would have under a key of its
+    /// own.
     Found(Box<JobRecord>),
-    /// The job's entry can't be decoded, or a record that can't be decoded may hold it.
+    /// The job's entry can't be decoded, or a batch record that can't be decoded may hold the job.
     Unreadable,
     /// No batch record holds the job.
     Absent,
 }
 
-/// All batch records at one revision of the store.
+/// Index of all batch records at one revision of the store.
 #[derive(Default)]
 pub(super) struct BatchIndex {
-    /// The store's revision that the index describes; 0 until the first listing began.
+    /// Revision of the store that the index describes; 0 until the first page of a listing was
+    /// read.
     store_revision: u64,
     /// Steady time at which the index was last known to be current.
     verified_at_ms: u64,
@@ -44,25 +46,26 @@
 }
 
 impl BatchIndex {
-    /// The revision after which to ask for changes, if the index was current less than
-    /// `max_age_ms` ago. For an older one the changes could be more than a new listing.
+    /// Returns the revision after which to ask for changes, if the index was current less than
+    /// `max_age_ms` ago. For an older index, reading the changes could cost more than a new
+    /// listing.
     pub fn revision_to_update_from(&self, now_ms: u64, max_age_ms: u64) -> Option<u64> {
         let recent = now_ms < self.verified_at_ms + max_age_ms;
         (self.store_revision > 0 && recent).then_some(self.store_revision)
     }
 
-    /// Whether the index was last known to be current more than `max_age_ms` ago.
+    /// Returns whether the index was last known to be current more than `max_age_ms` ago.
     pub fn older_than(&self, now_ms: u64, max_age_ms: u64) -> bool {
         now_ms > self.verified_at_ms + max_age_ms
     }
 
-    /// Notes that the index was current at `at_ms`, in steady time.
+    /// Sets the steady time at which the index was known to be current.
     pub fn set_verified_at(&mut self, at_ms: u64) {
         self.verified_at_ms = at_ms;
     }
 
-    /// Adds one part of a listing of all batch records. The index takes the revision of the first
-    /// part, so that the next update brings what changed while the others were read.
+    /// Adds one page of a listing of all batch records. The index takes the revision of the first
+    /// page, so that the next update includes all changes made while the other pages were read.
     pub fn add_listed(&mut self, list: &KeyValueList) {
         if self.store_revision == 0 {
             self.store_revision = list.store_revision;
@@ -84,18 +87,20 @@
         self.store_revision = self.store_revision.max(changes.store_revision);
     }
 
-    /// Number of the newest batch record, which is never deleted; 0 if there has been none.
+    /// Returns the number of the newest batch record, which is never deleted; 0 if there has been
+    /// none.
     pub fn last_number(&self) -> u64 {
         self.batches.keys().next_back().copied().unwrap_or(0)
     }
 
-    /// Whether a batch record holds the job, as far as the index is up to date.
+    /// Returns whether a batch record holds the job, according to the index, which may be out of
+    /// date.
     pub fn holds(&self, id: &str) -> bool {
         let mut records = self.batches.values();
         records.any(|batch| batch.job_ids.as_ref().is_some_and(|ids| ids.contains(id)))
     }
 
-    /// Looks for a job in all batch records.
+    /// Searches all batch records for a job.
     pub fn find_job(&self, id: &str) -> IndexedJob {
         let mut any_unreadable = false;
         for batch in self.batches.values() {
@@ -112,7 +117,7 @@
         }
     }
 
-    /// Takes in a record, unless a newer version of it is known.
+    /// Inserts a record, unless the index has the same or a newer version of it.
     fn insert(&mut self, key: &str, value: &Value, revision: u64) {
         let Some(number) = batch_number(key) else { return };
         if self.batches.get(&number).is_some_and(|known| known.revision >= revision) {
@@ -126,7 +131,7 @@
         self.batches.insert(number, IndexedBatch { revision, job_ids, value: to_cbor(value) });
     }
 
-    /// Removes a record, unless a newer version of it is known.
+    /// Removes a record, unless the index has the same or a newer version of it.
     fn remove(&mut self, key: &str, revision: u64) {
         let Some(number) = batch_number(key) else { return };
         if self.batches.get(&number).is_some_and(|known| known.revision < revision) {
--- a/crates/core/src/storage/job_batches/intake.rs
+++ b/crates/core/src/storage/job_batches/intake.rs
@@ -1,8 +1,8 @@
 //! Gathers submissions that are to share a record, and opens batches for them.
 //!
-//! The leader batches only small jobs without dependencies or urgency, and only while writes are
-//! scarce. One batch is created at a time: whether its number is taken has to be known before the
-//! next batch gets one.
+//! The leader batches only small jobs without dependencies and below high priority, and only while
+//! writes are scarce. It creates one batch at a time: the next batch gets its number only after it
+//! is known whether the previous number was used.
 
 use std::collections::BTreeSet;
 
@@ -17,21 +17,22 @@
 
 use super::{BatchState, BatchSubmission, JobBatch};
 
-/// Best-effort jobs may be in batches up to the number whose ends, a write each, take this many
-/// seconds. All other jobs have twice that number.
-const MAX_END_WRITES_S: f64 = 120.0;
-/// A job is batched only if at least this many of its size fit one record: each new placement of
-/// a larger job would be a new write of all its neighbours.
+/// Limit on the jobs in batches, as seconds of writes: the end of each job takes one write. A
+/// best-effort job is batched only if all jobs in batches can be ended by the writes of this many
+/// seconds, any other job if by those of twice as many.
+const MAX_TERMINAL_WRITES_S: f64 = 120.0;
+/// Fewest jobs of a job's size that must fit in one record for the job to be batched. Each new
+/// placement of a larger job would rewrite the records of all jobs that share its batch.
 const MIN_JOBS_PER_RECORD: usize = 8;
-/// Bytes that a placed task may take in a batch record: two machine names and their positions.
+/// Maximum size in bytes of a placed task in a batch record: two machine names and their positions.
 const PLACED_TASK_BYTES: usize = 44;
-/// Bytes that a job's placement may take in a batch record beside its tasks.
+/// Maximum size in bytes of a job's placement in a batch record, without its tasks.
 const PLACEMENT_BYTES: usize = 190;
 
 /// A submission that waits for the next batch.
 struct QueuedSubmission {
     submission: BatchSubmission,
-    /// Steady time at which it began to wait.
+    /// Steady time at which the submission was queued.
     queued_at_ms: u64,
 }
 
@@ -39,18 +40,18 @@
 #[derive(Default)]
 pub(super) struct BatchIntake {
     queue: Vec<QueuedSubmission>,
-    /// Steady time at which the newest batch was opened. Submissions that follow soon after are
-    /// batched as well.
+    /// Steady time at which the newest batch was opened. Submissions that arrive shortly afterwards
+    /// are batched as well.
     batch_opened_ms: Option<u64>,
 }
 
 impl BatchIntake {
-    /// The submissions that wait, without their times.
+    /// Returns the waiting submissions without their queue times.
     pub fn into_submissions(self) -> impl Iterator<Item = BatchSubmission> {
         self.queue.into_iter().map(|queued| queued.submission)
     }
 
-    /// Puts submissions before all that wait.
+    /// Puts submissions at the front of the queue.
     pub fn requeue(
         &mut self,
         submissions: impl IntoIterator<Item = BatchSubmission>,
@@ -64,10 +65,11 @@
         self.queue.push(QueuedSubmission { submission, queued_at_ms });
     }
 
-    /// Takes out the submissions that began to wait before a moment.
-    fn take_queued_before(&mut self, moment_ms: u64) -> Vec<BatchSubmission> {
-        let late = self.queue.iter().take_while(|queued| queued.queued_at_ms < moment_ms).count();
-        self.queue.drain(..late).map(|queued| queued.submission).collect()
+    /// Removes and returns the submissions that were queued before `cutoff_ms`.
+    fn take_queued_before(&mut self, cutoff_ms: u64) -> Vec<BatchSubmission> {
+        let expired =
+            self.queue.iter().take_while(|queued| queued.queued_at_ms < cutoff_ms).count();
+        self.queue.drain(..expired).map(|queued| queued.submission).collect()
     }
 
     fn batch_opened_since(&self, now_ms: u64, window_ms: u64) -> bool {
@@ -75,13 +77,14 @@
     }
 }
 
-/// Whether a job of this kind may share a record at all. An urgent job does not wait for others.
+/// Returns whether a job of this kind may share a record at all. A job of high priority does not
+/// wait for others.
 fn may_be_batched(spec: &JobSpec) -> bool {
     spec.priority < Priority::High && spec.shape == JobKind::Array && spec.dependencies.is_empty()
 }
 
 impl Controller {
-    /// Whether a submission is to share a record with others.
+    /// Returns whether a submission is to share a record with others.
     pub(crate) fn belongs_in_batch(&mut self, spec: &JobSpec) -> bool {
         self.is_active(Feature::BatchRecords)
             && may_be_batched(spec)
@@ -102,17 +105,17 @@
     }
 
     fn is_small_enough_for_batch(&self, spec: &JobSpec) -> bool {
-        // A batch record holds the placements of first chunks only.
+        // A batch record holds only the placements of first chunks.
         spec.tasks <= TASKS_PER_CHUNK
             && self.max_batched_size(spec) * MIN_JOBS_PER_RECORD <= self.max_value_bytes()
     }
 
-    /// Bytes that a job may come to take in a batch record once it is placed.
+    /// Returns the maximum size in bytes that a job may reach in a batch record once it is placed.
     fn max_batched_size(&self, spec: &JobSpec) -> usize {
         checked_size(spec) + PLACEMENT_BYTES + PLACED_TASK_BYTES * spec.tasks as usize
     }
 
-    /// Queues a submission for the next batch; false if batches hold too many jobs already.
+    /// Queues a submission for the next batch. Returns false if batches already hold too many jobs.
     pub(crate) fn add_to_intake(&mut self, id: RequestId, spec: JobSpec, team: usize) -> bool {
         if self.batches_are_full(team, spec.priority) {
             return false;
@@ -125,16 +128,16 @@
         true
     }
 
-    /// Whether no further job of a team may wait for a batch or be in one.
+    /// Returns whether no further job of a team may wait for a batch or be in one.
     fn batches_are_full(&self, team: usize, priority: Priority) -> bool {
         let factor = if self.best_effort(team, priority) { 1.0 } else { 2.0 };
-        let max_jobs = self.record_writer.writes.rate() * MAX_END_WRITES_S * factor;
+        let max_jobs = self.record_writer.writes.rate() * MAX_TERMINAL_WRITES_S * factor;
         let jobs = self.job_batches.members() + self.job_batches.intake.queue.len();
         jobs >= max_jobs as usize
     }
 
-    /// Opens a batch for the submissions that wait, once enough have arrived or the oldest has
-    /// waited long enough.
+    /// Opens a batch for the waiting submissions, once enough have arrived or the oldest has waited
+    /// long enough.
     pub(crate) fn flush_batch_intake(&mut self) {
         let now_ms = self.context.now.steady_ms;
         if !self.is_batch_due(now_ms) {
@@ -159,21 +162,21 @@
             || now_ms >= oldest.queued_at_ms + self.context.config.write_batch_ms() / 2
     }
 
-    /// Answers submissions that can't be recorded soon, so that they are retried later.
+    /// Rejects submissions that can't be recorded soon, so that their clients retry later.
     fn reject_late_submissions(&mut self, now_ms: u64) {
-        let moment_ms = now_ms.saturating_sub(2 * self.context.config.write_batch_ms());
-        for submission in self.job_batches.intake.take_queued_before(moment_ms) {
+        let cutoff_ms = now_ms.saturating_sub(2 * self.context.config.write_batch_ms());
+        for submission in self.job_batches.intake.take_queued_before(cutoff_ms) {
             self.drop_job(submission.job);
             self.reject_overloaded(submission.request);
         }
     }
 
-    /// Takes as many submissions as one record can hold, oldest first.
+    /// Removes and returns as many submissions as fit in one record, oldest first.
     fn take_submissions_for_batch(&mut self) -> Vec<BatchSubmission> {
         let max_jobs = self.max_jobs_per_batch();
         let max_bytes = self.max_value_bytes();
         let mut batch_bytes = 0;
-        let mut chosen: Vec<BatchSubmission> = Vec::new();
+        let mut selected: Vec<BatchSubmission> = Vec::new();
         let queue = std::mem::take(&mut self.job_batches.intake.queue);
         let mut remaining = queue.into_iter().peekable();
         while let Some(next) = remaining.peek() {
@@ -181,33 +184,36 @@
                 remaining.next();
                 continue;
             };
-            let saved_bytes = self.bytes_saved_by_likeness(&job.spec, chosen.first());
+            let saved_bytes = self.bytes_saved_by_template(&job.spec, selected.first());
             let job_bytes = self.max_batched_size(&job.spec) - saved_bytes;
-            let too_large = batch_bytes + job_bytes > max_bytes && !chosen.is_empty();
-            if chosen.len() >= max_jobs || too_large {
+            let too_large = batch_bytes + job_bytes > max_bytes && !selected.is_empty();
+            if selected.len() >= max_jobs || too_large {
                 break;
             }
             batch_bytes += job_bytes;
-            chosen.extend(remaining.next().map(|queued| queued.submission));
+            selected.extend(remaining.next().map(|queued| queued.submission));
         }
         self.job_batches.intake.queue = remaining.collect();
-        chosen
+        selected
     }
 
-    /// Jobs that a batch may hold: each is a condition of the write that creates the record.
+    /// Returns the maximum number of jobs in a batch. Each job adds a guard to the transaction that
+    /// creates the record.
     fn max_jobs_per_batch(&self) -> usize {
         (4 * self.limits().txn_ops).saturating_sub(4).max(1)
     }
 
-    /// Bytes that a job's spec saves in a batch record by its likeness to the first job's.
-    fn bytes_saved_by_likeness(&self, spec: &JobSpec, first: Option<&BatchSubmission>) -> usize {
+    /// Returns the number of bytes that a job's description saves in a batch record by sharing
+    /// fields with the first job's.
+    fn bytes_saved_by_template(&self, spec: &JobSpec, first: Option<&BatchSubmission>) -> usize {
         let Some(first) = first.and_then(|submission| self.jobs.get(submission.job)) else {
             return 0;
         };
-        checked_size(spec).saturating_sub(BatchRecord::differs(&first.spec, spec))
+        checked_size(spec).saturating_sub(BatchRecord::difference_size(&first.spec, spec))
     }
 
-    /// Creates the next batch, places its jobs unless too much waits already, and writes it.
+    /// Creates and writes the next batch, after placing its jobs unless the backlog of their
+    /// priority is full.
     fn create_batch(&mut self, submissions: Vec<BatchSubmission>) {
         let number = self.job_batches.last_number + 1;
         let members: BTreeSet<JobIndex> = submissions.iter().map(|s| s.job).collect();
--- a/crates/core/src/storage/mod.rs
+++ b/crates/core/src/storage/mod.rs
@@ -1,10 +1,11 @@
-//! The key-value store: what is recorded in it, and how records are written and read again.
+//! Records in the key-value store: their formats, and how they are written and read.
 //!
-//! `records` defines the formats, `record_writer` writes them, `placement_records` and
-//! `job_batches` compose the two kinds of records that depend on the store's limits,
-//! `live_record_reads` finds changes that others have recorded, `feature_state` follows which
-//! formats and features are active, `calls` routes the outcomes of calls, and
-//! `rate_limiter` and `read_budget` keep within the store's rate limits.
+//! `records` defines the formats of records, and `record_writer` writes them. `placement_records`
+//! and `job_batches` compose the two kinds of records that depend on the store's limits.
+//! `live_record_reads` detects changes that other controllers have recorded. `feature_state` tracks
+//! which formats and features are active. `job_removal` removes jobs from memory. `calls` routes
+//! the outcomes of calls to the store, and `rate_limiter` and `read_budget` keep the calls within
+//! the store's rate limits.
 
 pub(crate) mod calls;
 pub(crate) mod feature_state;
--- a/crates/core/src/storage/placement_records.rs
+++ b/crates/core/src/storage/placement_records.rs
@@ -1,5 +1,6 @@
-//! Writes of placement records: in the job's own record, in one key or in several, which always
-//! change together; and their deletion once completed chunks are folded into the job's record.
+//! Composes writes of placement records: into the job's own record, one key, or several keys that
+//! always change together. Also composes their deletion once completed chunks are folded into the
+//! job's record.
 
 use ciborium::value::Value;
 use quartzgate_feature_gates::Feature;
@@ -13,72 +14,72 @@
     JobRecord, PlacementRecord, RecordedStatus,
 };
 
-/// Bytes that stay free in a job's own record with a placement: a follower that records an abort
-/// writes the record back as it read it, with a longer status.
+/// Bytes that are kept free in a job's own record with a placement. A follower that records an
+/// abort writes the record back as it read it, with a longer status.
 const ABORT_SPARE_BYTES: usize = 64;
 
-/// Where a chunk's placement is once a write of it has been executed.
+/// Location of a chunk's placement once a write of it has been executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RecordLocation {
-    /// Number of keys over which it is split.
+    /// Number of keys over which the placement is split.
     pub pieces: u32,
-    /// It is part of the job's own record.
+    /// The placement is part of the job's own record.
     pub inline: bool,
-    /// The write sets the job's own record.
+    /// The write also sets the job's own record.
     pub own: bool,
 }
 
-/// A value to be set, and the revision that its key must still have.
+/// A value to be set, and the revision that guards the write.
 struct GuardedValue {
     value: Value,
     revision: u64,
 }
 
-/// A chunk's placement, ready to be written over the one that is recorded.
+/// A chunk's placement, ready to replace the recorded one.
 pub(crate) struct PlacementWrite {
-    /// Where the placement is once the write has been executed.
+    /// Location of the placement once the write has been executed.
     pub placed: RecordLocation,
-    /// Number of keys of the recorded placement, and their revision.
+    /// Number of keys of the recorded placement.
     recorded_pieces: u32,
     recorded_revision: u64,
-    /// One value for each key.
+    /// Values of the placement's keys, in the order of the pieces.
     values: Vec<Value>,
-    /// The job's own record, if it changes as well.
+    /// The job's own record, if the write changes it as well.
     own_record: Option<GuardedValue>,
-    /// Estimated size of all values.
+    /// Estimated size of all values in bytes.
     pub bytes: usize,
-    /// Some value exceeds the store's limit.
+    /// At least one value exceeds the store's limit.
     pub oversize: bool,
 }
 
 impl PlacementWrite {
-    /// Number of keys that the write changes.
+    /// Returns the number of keys that the write changes.
     pub fn changes(&self) -> usize {
         let pieces = self.placed.pieces.max(self.recorded_pieces);
         pieces as usize + usize::from(self.placed.own)
     }
 
-    /// Adds the write to a transaction: all keys, old and new, and the job's own record change
-    /// together.
+    /// Adds the write to a transaction, in which all old and new keys of the placement and the
+    /// job's own record change together.
     pub fn enter(self, id: &str, chunk: u32, guards: &mut Vec<Guard>, apply: &mut Vec<Change>) {
-        let (pieces, recorded) = (self.placed.pieces, self.recorded_pieces);
+        let (new_pieces, recorded_pieces) = (self.placed.pieces, self.recorded_pieces);
         if let Some(own) = self.own_record {
             guards.push(Guard { path: job_key(id), revision: own.revision });
             apply.push(Change::Set { set: job_key(id), value: own.value, lease_id: None });
         }
-        for piece in 0..pieces.max(recorded) {
-            let revision = if piece < recorded { self.recorded_revision } else { 0 };
+        for piece in 0..new_pieces.max(recorded_pieces) {
+            let revision = if piece < recorded_pieces { self.recorded_revision } else { 0 };
             guards.push(Guard { path: piece_key(id, chunk, piece), revision });
         }
         for (piece, value) in (0..).zip(self.values) {
             apply.push(Change::Set { set: piece_key(id, chunk, piece), value, lease_id: None });
         }
-        let unused = (pieces..recorded).map(|piece| piece_key(id, chunk, piece));
-        apply.extend(unused.map(|delete| Change::Delete { delete }));
+        let unused_keys = (new_pieces..recorded_pieces).map(|piece| piece_key(id, chunk, piece));
+        apply.extend(unused_keys.map(|delete| Change::Delete { delete }));
     }
 }
 
-/// A write in the first format, which has no pieces.
+/// Composes a write in format 1, which has no pieces.
 fn unsplit_write(record: &PlacementRecord, chunk: &Chunk, max_bytes: usize) -> PlacementWrite {
     let bytes = json_size(record);
     PlacementWrite {
@@ -93,27 +94,35 @@
 }
 
 impl Controller {
-    /// A chunk's placement as memory has it now, ready to be written. Raises the chunk's version.
-    pub(crate) fn placement_write(&mut self, ix: JobIndex, chunk: u32) -> Option<PlacementWrite> {
-        let record = self.placement_record(ix, chunk)?;
-        let job = self.jobs.get(ix)?;
+    /// Composes the write of a chunk's placement from memory, and raises the chunk's version.
+    pub(crate) fn placement_write(
+        &mut self,
+        job_index: JobIndex,
+        chunk: u32,
+    ) -> Option<PlacementWrite> {
+        let record = self.placement_record(job_index, chunk)?;
+        let job = self.jobs.get(job_index)?;
         let recorded = job.chunks.get(&chunk)?;
         if !self.is_active(Feature::SplitPlacementRecords) {
             return Some(unsplit_write(&record, recorded, self.max_value_bytes()));
         }
-        let inline_write = self.inline_write(ix, job, recorded, &record);
-        Some(inline_write.unwrap_or_else(|| self.split_write(ix, job, chunk, recorded, &record)))
+        let inline_write = self.inline_write(job_index, job, recorded, &record);
+        Some(
+            inline_write
+                .unwrap_or_else(|| self.split_write(job_index, job, chunk, recorded, &record)),
+        )
     }
 
-    /// The write of a placement into the job's own record, if it belongs there and fits.
+    /// Composes the write of a placement into the job's own record. Returns `None` if the placement
+    /// does not belong there or does not fit.
     fn inline_write(
         &self,
-        ix: JobIndex,
+        job_index: JobIndex,
         job: &Job,
         recorded: &Chunk,
         record: &PlacementRecord,
     ) -> Option<PlacementWrite> {
-        if !self.may_inline_placement(ix) {
+        if !self.may_inline_placement(job_index) {
             return None;
         }
         let mut own_record = self.own_record(job);
@@ -133,18 +142,18 @@
         })
     }
 
-    /// The write of a placement to as many keys of its own as it takes.
+    /// Composes the write of a placement to as many keys of its own as it needs.
     fn split_write(
         &self,
-        ix: JobIndex,
+        job_index: JobIndex,
         job: &Job,
         chunk: u32,
         recorded: &Chunk,
         record: &PlacementRecord,
     ) -> PlacementWrite {
         let max_bytes = self.max_value_bytes();
-        // A placement that has outgrown the job's own record must not remain there as well.
-        let leaves_own_record = self.may_inline_placement(ix) && recorded.inline;
+        // A placement that has outgrown the job's own record must be removed from that record.
+        let leaves_own_record = self.may_inline_placement(job_index) && recorded.inline;
         // A job that leaves its batch record has no record of its own yet.
         let leaves_batch = job.own && job.page.is_some();
         let own_record = (leaves_own_record || leaves_batch)
@@ -166,15 +175,16 @@
         }
     }
 
-    /// Whether the placement of a job belongs in the job's own record, if it fits.
-    pub(crate) fn may_inline_placement(&self, ix: JobIndex) -> bool {
+    /// Returns whether the placement of a job belongs in the job's own record, provided that it
+    /// fits.
+    pub(crate) fn may_inline_placement(&self, job_index: JobIndex) -> bool {
         self.is_active(Feature::InlinePlacements)
-            && self.jobs.get(ix).is_some_and(|job| {
+            && self.jobs.get(job_index).is_some_and(|job| {
                 job.chunk_count() == 1 && job.chunks.get(&0).is_none_or(|c| c.pieces == 0)
             })
     }
 
-    /// A job's own record as memory has it, without its placement.
+    /// Returns a job's own record from memory, without its placement.
     pub(crate) fn own_record(&self, job: &Job) -> JobRecord {
         let mut record = self.folded_record(job, &[]);
         if matches!(
@@ -187,7 +197,8 @@
         record
     }
 
-    /// The record of a live job into which these chunks are folded, beside those folded before.
+    /// Returns the record of a live job with these chunks folded into it, in addition to those
+    /// folded before.
     pub(super) fn folded_record(&self, job: &Job, chunks: &[u32]) -> JobRecord {
         JobRecord {
             status: RecordedStatus::Live,
@@ -199,8 +210,8 @@
         }
     }
 
-    /// Whether completed chunks may be folded into the job's record: jobs of several chunks, as
-    /// long as the record stays within the store's limit.
+    /// Returns whether completed chunks may be folded into the job's record: for jobs of several
+    /// chunks, as long as the record stays within the store's limit.
     pub(super) fn may_fold(&self, job: &Job) -> bool {
         if job.chunk_count() <= 1 {
             return false;
@@ -212,35 +223,46 @@
     }
 
     /// Adds the deletion of these chunks' placement records to a transaction.
-    pub(super) fn remove_placements(&self, ix: JobIndex, chunks: &[u32], txn: &mut Transaction) {
-        let Some(job) = self.jobs.get(ix) else { return };
+    pub(super) fn remove_placements(
+        &self,
+        job_index: JobIndex,
+        chunks: &[u32],
+        transaction: &mut Transaction,
+    ) {
+        let Some(job) = self.jobs.get(job_index) else { return };
         for number in chunks {
             let recorded = &job.chunks[number];
             for path in piece_keys(&job.id, *number, recorded.pieces) {
-                txn.guards.push(Guard { path: path.clone(), revision: recorded.revision });
-                txn.apply.push(Change::Delete { delete: path });
+                transaction.guards.push(Guard { path: path.clone(), revision: recorded.revision });
+                transaction.apply.push(Change::Delete { delete: path });
             }
         }
     }
 
-    /// A write of a chunk's placement has been sent, perhaps with the job's own record.
-    pub(crate) fn on_placement_sent(&mut self, ix: JobIndex, chunk: u32, placed: RecordLocation) {
-        let Some(job) = self.jobs.get_mut(ix) else { return };
+    /// Updates memory after a write of a chunk's placement was sent, possibly with the job's own
+    /// record.
+    pub(crate) fn on_placement_sent(
+        &mut self,
+        job_index: JobIndex,
+        chunk: u32,
+        placed: RecordLocation,
+    ) {
+        let Some(job) = self.jobs.get_mut(job_index) else { return };
         job.busy |= placed.own;
         if let Some(chunk) = job.chunks.get_mut(&chunk) {
             (chunk.dirty, chunk.busy) = (false, true);
         }
     }
 
-    /// A chunk's placement has been recorded as it was sent.
+    /// Updates memory after a chunk's placement was recorded as it was sent.
     pub(crate) fn on_placement_recorded(
         &mut self,
-        ix: JobIndex,
+        job_index: JobIndex,
         chunk: u32,
         placed: RecordLocation,
         revision: u64,
     ) {
-        let Some(job) = self.jobs.get_mut(ix) else { return };
+        let Some(job) = self.jobs.get_mut(job_index) else { return };
         if placed.own {
             (job.busy, job.revision) = (false, revision);
         }
--- a/crates/core/src/storage/rate_limiter.rs
+++ b/crates/core/src/storage/rate_limiter.rs
@@ -1,29 +1,29 @@
-//! A rate limiter for calls to the key-value store and the cloud.
+//! Rate limiter for calls to the key-value store and the cloud.
 
-/// A token bucket that holds up to one second's worth of tokens. Times are milliseconds of the
+/// Token bucket that holds up to one second's worth of tokens. Times are in milliseconds of the
 /// monotonic clock.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     tokens_per_s: f64,
-    /// Below zero after [`RateLimiter::force`].
+    /// Negative while tokens taken by [`RateLimiter::force`] have not been replenished.
     tokens: f64,
     refilled_ms: u64,
     closed_until_ms: u64,
 }
 
 impl RateLimiter {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(tokens_per_s: f64) -> Self {
         RateLimiter { tokens_per_s, tokens: tokens_per_s, refilled_ms: 0, closed_until_ms: 0 }
     }
 
-    /// Changes the rate; the bucket shrinks with it.
+    /// Changes the rate. Tokens beyond the bucket's new capacity are dropped.
     pub fn set_rate(&mut self, tokens_per_s: f64) {
         self.tokens_per_s = tokens_per_s;
         self.tokens = self.tokens.min(tokens_per_s);
     }
 
-    /// Tokens a second.
+    /// Returns the rate in tokens per second.
     pub fn rate(&self) -> f64 {
         self.tokens_per_s
     }
@@ -34,8 +34,8 @@
         self.refilled_ms = now_ms;
     }
 
-    /// Tokens that may be taken now while `reserve`, a fraction of a second's worth, stays for
-    /// more urgent uses.
+    /// Returns the number of tokens that may be taken now while `reserve`, a fraction of one
+    /// second's worth, is left for more urgent uses.
     pub fn available(&mut self, now_ms: u64, reserve: f64) -> f64 {
         if self.is_closed(now_ms) {
             return 0.0;
@@ -44,7 +44,8 @@
         (self.tokens - reserve * self.tokens_per_s).max(0.0)
     }
 
-    /// Takes this many tokens if the reserve stays; otherwise takes none and returns false.
+    /// Takes `amount` tokens if the reserve is left afterwards; otherwise takes none and returns
+    /// false.
     pub fn take(&mut self, now_ms: u64, amount: f64, reserve: f64) -> bool {
         let allowed = self.available(now_ms, reserve) >= amount;
         if allowed {
@@ -53,18 +54,20 @@
         allowed
     }
 
-    /// Takes tokens for what can't wait, even if there are none; the debt is paid back first.
+    /// Takes tokens for a call that can't wait, even if too few are left. Later refills make up for
+    /// the deficit before tokens are available again.
     pub fn force(&mut self, now_ms: u64, amount: f64) {
         self.refill(now_ms);
         self.tokens -= amount;
     }
 
-    /// Whether no tokens are given because the service has refused a call.
+    /// Returns whether no tokens are available because the service has refused a call.
     pub fn is_closed(&self, now_ms: u64) -> bool {
         now_ms < self.closed_until_ms
     }
 
-    /// The service has refused a call with 429 or 503: no tokens for this duration.
+    /// Makes tokens unavailable for this duration, after the service has refused a call with 429 or
+    /// 503.
     pub fn close(&mut self, now_ms: u64, duration_ms: u64) {
         self.closed_until_ms = self.closed_until_ms.max(now_ms + duration_ms);
     }
--- a/crates/core/src/storage/read_budget.rs
+++ b/crates/core/src/storage/read_budget.rs
@@ -1,31 +1,31 @@
-//! The budget of reads from the key-value store: who may read when it is short, and how many
-//! reads each purpose has made.
+//! Budget of reads from the key-value store: which purposes may read while reads are scarce, and
+//! how many reads each purpose has made.
 
 use crate::storage::rate_limiter::RateLimiter;
 
-/// Part of all reads that status queries get whatever others take.
-const GUARANTEED_STATUS_PART: f64 = 0.3;
+/// Fraction of all reads that is guaranteed to status queries, independent of other purposes.
+const GUARANTEED_STATUS_FRACTION: f64 = 0.3;
 
-/// What a read is for.
+/// Purpose of a read, which determines its reserve and by which the metrics count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadPurpose {
-    /// A user's submission or abort, or a lease proxy's question about a job.
+    /// A user's submission or abort, or a lease proxy's query about a job.
     Request,
     /// A status query of one job.
     StatusQuery,
-    /// A comparison for status queries of many jobs.
+    /// A comparison of revisions for status queries of many jobs.
     StatusComparison,
-    /// Looking for a submission whose write got no answer.
+    /// Lookup of a submission whose write got no answer.
     IndeterminateSubmission,
-    /// A dependency that memory does not know.
+    /// Lookup of a dependency that is not in memory.
     Dependency,
-    /// The record of a live job, read again and again for changes that others have made.
+    /// Periodic read of a live job's record, to detect changes made by other controllers.
     LiveRecord,
     /// A scan of the batch records.
     BatchScan,
-    /// Verifying that a job has no record of its own.
+    /// Verification that a job has no record of its own.
     AbsenceCheck,
-    /// Reading a job's own record again after a scan.
+    /// Second read of a job's own record, after a scan.
     Reread,
 }
 
@@ -45,7 +45,7 @@
         ReadPurpose::Reread,
     ];
 
-    /// The purpose's name in metrics, which never changes.
+    /// Returns the purpose's name in metrics, which must not change.
     fn name(self) -> &'static str {
         match self {
             ReadPurpose::Request => "request",
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Part of a second's reads that stays for more urgent purposes.
+    /// Returns the fraction of one second's reads that is left to more urgent purposes.
     fn reserve(self) -> f64 {
         match self {
             ReadPurpose::Request => 0.1,
@@ -74,39 +74,39 @@
     }
 }
 
-/// Limits the reads of one controller that may wait.
+/// Limits those reads of one controller that can be delayed.
 pub(crate) struct ReadBudget {
     shared: RateLimiter,
     guaranteed_status: RateLimiter,
-    made: [u64; PURPOSE_COUNT],
+    reads_made: [u64; PURPOSE_COUNT],
 }
 
 impl ReadBudget {
-    /// A full budget of so many reads a second.
+    /// Creates a full budget of `reads_per_s` reads per second.
     pub fn new(reads_per_s: f64) -> Self {
         ReadBudget {
             shared: RateLimiter::new(reads_per_s),
-            guaranteed_status: RateLimiter::new(GUARANTEED_STATUS_PART * reads_per_s),
-            made: [0; PURPOSE_COUNT],
+            guaranteed_status: RateLimiter::new(GUARANTEED_STATUS_FRACTION * reads_per_s),
+            reads_made: [0; PURPOSE_COUNT],
         }
     }
 
-    /// Changes the rate.
+    /// Changes the rate, in reads per second.
     pub fn set_rate(&mut self, reads_per_s: f64) {
         self.shared.set_rate(reads_per_s);
-        self.guaranteed_status.set_rate(GUARANTEED_STATUS_PART * reads_per_s);
+        self.guaranteed_status.set_rate(GUARANTEED_STATUS_FRACTION * reads_per_s);
     }
 
-    /// A full budget again, of so many reads a second.
+    /// Resets to a full budget of `reads_per_s` reads per second. The counts of reads are kept.
     pub fn refill(&mut self, reads_per_s: f64) {
-        *self = ReadBudget { made: self.made, ..ReadBudget::new(reads_per_s) };
+        *self = ReadBudget { reads_made: self.reads_made, ..ReadBudget::new(reads_per_s) };
     }
 
-    /// Takes a read if the purpose's reserve stays, or if it is one that status queries are
-    /// guaranteed.
+    /// Charges a read if the purpose's reserve is left afterwards, or if the read is one that is
+    /// guaranteed to status queries. Returns whether the read may be made.
     pub fn take(&mut self, now_ms: u64, purpose: ReadPurpose) -> bool {
         if self.shared.take(now_ms, 1.0, purpose.reserve()) {
-            self.made[purpose as usize] += 1;
+            self.reads_made[purpose as usize] += 1;
             return true;
         }
         let is_guaranteed =
@@ -117,8 +117,8 @@
         is_guaranteed
     }
 
-    /// Whether reads that serve many status queries may be made. They are charged by
-    /// [`ReadBudget::force`] as they are sent.
+    /// Returns whether a read that serves many status queries may be made. The read is charged by
+    /// [`ReadBudget::force`] when it is sent.
     pub fn may_gather_status(&mut self, now_ms: u64) -> bool {
         let reserve = ReadPurpose::StatusComparison.reserve();
         self.shared.available(now_ms, reserve) >= 1.0 || self.take_guaranteed_status(now_ms)
@@ -128,27 +128,29 @@
         !self.shared.is_closed(now_ms) && self.guaranteed_status.take(now_ms, 1.0, 0.0)
     }
 
-    /// Charges a read that is made in any case; what it exceeds the budget by is paid back first.
+    /// Charges a read that is made in any case. If the budget is exceeded, later refills make up
+    /// for the deficit before other reads are allowed.
     pub fn force(&mut self, now_ms: u64, purpose: ReadPurpose) {
-        self.made[purpose as usize] += 1;
+        self.reads_made[purpose as usize] += 1;
         self.shared.force(now_ms, 1.0);
     }
 
-    /// The store asked for a pause.
+    /// Allows no reads for this duration, because the store has refused a call.
     pub fn close(&mut self, now_ms: u64, duration_ms: u64) {
         self.shared.close(now_ms, duration_ms);
     }
 
-    /// Reads that are left now.
+    /// Returns the number of reads that may be made now.
     pub fn left(&mut self, now_ms: u64) -> f64 {
         self.shared.available(now_ms, 0.0)
     }
 
-    /// Reads made so far, by metric name, of each purpose that has made any.
+    /// Returns the number of reads made so far by each purpose that has made any, under its metric
+    /// name.
     pub fn metrics(&self) -> impl Iterator<Item = (String, f64)> + '_ {
         ReadPurpose::ALL.into_iter().filter_map(|purpose| {
-            let made = self.made[purpose as usize];
-            (made > 0).then(|| (format!("reads.{}", purpose.name()), made as f64))
+            let reads_made = self.reads_made[purpose as usize];
+            (reads_made > 0).then(|| (format!("reads.{}", purpose.name()), reads_made as f64))
         })
     }
 }
--- a/crates/core/src/storage/record_writer.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -168,7 +168,7 @@
         limits.write_rps * WRITE_RATE_FRACTION
     }
 
-    /// Counts changes for the metrics.
+    /// Adds to the number of changes made for this purpose, which the metrics report.
     pub fn note(&mut self, purpose: WritePurpose, changes: usize) {
         *self.changes_by_purpose.entry(purpose).or_default() += changes as u64;
     }
@@ -286,7 +286,10 @@
         }
         for machine_index in unreachable_machines {
             if let Some(machine) = self.machines.get(machine_index) {
-                tracing::info!(machine = %machine.name, "the machine holds a task of an aborted job and can't be told to stop it; releasing it");
+                tracing::info!(
+                    machine = %machine.name,
+                    "releasing a machine that can't be told to stop a task of an aborted job"
+                );
             }
             self.begin_release(machine_index);
         }
--- a/crates/core/src/storage/record_writer/placements.rs
+++ b/crates/core/src/storage/record_writer/placements.rs
@@ -151,13 +151,13 @@
         chunks
     }
 
-    fn urgency(&self, job: JobIndex, chunk: u32) -> Urgency {
-        let Some(j) = self.jobs.get(job) else { return Urgency::Deferrable };
-        let Some(c) = j.chunks.get(&chunk) else { return Urgency::Deferrable };
+    fn urgency(&self, job_index: JobIndex, chunk_number: u32) -> Urgency {
+        let Some(job) = self.jobs.get(job_index) else { return Urgency::Deferrable };
+        let Some(chunk) = job.chunks.get(&chunk_number) else { return Urgency::Deferrable };
         let overdue =
-            self.context.now.steady_ms >= c.dirty_ms + self.context.config.max_write_delay_ms();
-        match (c.blocks_starts, self.is_best_effort(j)) {
-            (true, false) => Urgency::BlocksStarts(Reverse(j.priority)),
+            self.context.now.steady_ms >= chunk.dirty_ms + self.context.config.max_write_delay_ms();
+        match (chunk.blocks_starts, self.is_best_effort(job)) {
+            (true, false) => Urgency::BlocksStarts(Reverse(job.priority)),
             (true, true) => Urgency::BlocksBestEffortStarts,
             (false, _) if overdue => Urgency::Overdue,
             (false, _) => Urgency::Deferrable,
--- a/crates/core/src/storage/records/batch.rs
+++ b/crates/core/src/storage/records/batch.rs
@@ -1,7 +1,7 @@
-//! Batch records: live jobs that were accepted together and share one value.
+//! Batch records, each of which holds several live jobs that were accepted together.
 //!
-//! The description of the first job is stored whole; each job's entry has only the fields in
-//! which its description differs.
+//! The description of the first job is stored in full as a template. Each job's entry has only the
+//! fields in which its description differs from the template.
 
 use std::collections::BTreeMap;
 
@@ -13,24 +13,25 @@
 use super::job::{JobRecord, RecordedStatus};
 use super::placement::PlacementPiece;
 
-/// Name and value of a field of a job's description, stored as an array of two.
+/// Name and value of one field of a job's description, stored as an array of two elements.
 type SpecField = (String, Value);
 
 /// Live jobs that share a record. Fields that their descriptions have in common are stored once.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BatchRecord {
-    /// The first job's description.
+    /// Fields of the first job's description.
     #[serde(rename = "like")]
     template: Vec<SpecField>,
-    /// Encoded [`BatchEntry`] of each job. An entry that can't be decoded affects its job alone.
+    /// Encoded [`BatchEntry`] of each job, by job identifier. An entry that can't be decoded
+    /// affects only its own job.
     jobs: BTreeMap<String, Value>,
 }
 
-/// One job of a batch.
+/// Entry of one job in a batch record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct BatchEntry {
     at_ms: u64,
-    /// Fields that differ from the template's, and null for those that the job lacks.
+    /// Fields that differ from the template, and null for template fields that the job lacks.
     spec: Vec<SpecField>,
     #[serde(rename = "share", default, skip_serializing_if = "Option::is_none")]
     placement: Option<PlacementPiece>,
@@ -41,7 +42,8 @@
     map.into_iter().filter_map(|(key, value)| Some((key.into_text().ok()?, value))).collect()
 }
 
-/// Fields in which a description differs from the template, and null for those that it lacks.
+/// Returns the fields in which a description differs from the template, with null for template
+/// fields that the description lacks.
 fn difference(template: &[SpecField], fields: Vec<SpecField>) -> Vec<SpecField> {
     let lacks = |name: &String| !fields.iter().any(|(field, _)| field == name);
     let missing = template.iter().filter(|(name, _)| lacks(name));
@@ -50,12 +52,13 @@
 }
 
 impl BatchRecord {
-    /// Bytes that a description takes in a batch whose template is `like`.
-    pub fn differs(like: &JobSpec, spec: &JobSpec) -> usize {
-        checked_size(&difference(&spec_fields(like), spec_fields(spec)))
+    /// Returns the size in bytes that the description `spec` takes in a batch whose template is the
+    /// description `template`.
+    pub fn difference_size(template: &JobSpec, spec: &JobSpec) -> usize {
+        checked_size(&difference(&spec_fields(template), spec_fields(spec)))
     }
 
-    /// Adds a job. The first one becomes the template.
+    /// Adds a job to the batch. The description of the first job becomes the template.
     pub fn add(&mut self, spec: &JobSpec, at_ms: u64, placement: Option<PlacementPiece>) {
         let fields = spec_fields(spec);
         if self.template.is_empty() {
@@ -65,8 +68,8 @@
         self.jobs.insert(spec.id.clone(), encode(&entry));
     }
 
-    /// A job of the batch in the form of its own record; `None` if the batch does not contain it
-    /// or if its entry can't be decoded.
+    /// Returns a job of the batch in the form of its own record, or `None` if the batch does not
+    /// contain the job or its entry can't be decoded.
     pub fn get(&self, id: &str) -> Option<JobRecord> {
         let entry: BatchEntry = decode(self.jobs.get(id)?)?;
         let mut fields: BTreeMap<String, Value> = self.template.iter().cloned().collect();
@@ -90,12 +93,12 @@
         })
     }
 
-    /// Whether the batch contains the job, even if its entry can't be decoded.
+    /// Returns whether the batch contains the job, even if its entry can't be decoded.
     pub fn holds(&self, id: &str) -> bool {
         self.jobs.contains_key(id)
     }
 
-    /// Identifiers of all jobs of the batch, in order.
+    /// Returns the identifiers of all jobs of the batch, in ascending order.
     pub fn ids(&self) -> impl Iterator<Item = &String> {
         self.jobs.keys()
     }
--- a/crates/core/src/storage/records/job.rs
+++ b/crates/core/src/storage/records/job.rs
@@ -1,4 +1,4 @@
-//! The job's own record.
+//! The record of a job under its own key.
 
 use quartzgate_wire::msg::{JobKind, JobSpec};
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 use super::encoding::checked_size;
 use super::placement::PlacementPiece;
 
-/// What the record says of the job's state. `Done` and `Aborted` are terminal.
+/// State of a job as recorded. `Done` and `Aborted` are terminal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RecordedStatus {
@@ -14,41 +14,42 @@
     Live,
     /// All tasks have completed.
     Done,
-    /// Cancelled.
+    /// The job was cancelled.
     Aborted,
 }
 
-/// A job's own record. It takes precedence over what a batch record says of the job.
+/// A job's own record. It takes precedence over the job's entry in a batch record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// State of the job.
+    /// State of the job as of this record.
     pub status: RecordedStatus,
-    /// Retained until no task can be on a machine any more.
+    /// Description of the job; retained until no task can be on a machine any more.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
-    /// Wall-clock time of the acceptance, milliseconds since the Unix epoch.
+    /// Wall-clock time of the job's acceptance, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Inclusive ranges of chunks all of whose tasks have completed and whose placement records
-    /// are deleted.
+    /// Inclusive ranges of chunks whose tasks have all completed and whose placement records are
+    /// deleted.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub done_chunks: Vec<(u32, u32)>,
-    /// The job was a service, on which no other job may depend. The description says so while it
-    /// is retained; this field does afterwards.
+    /// The job was a service, on which no other job may depend. While the description is retained,
+    /// the description says so; afterwards this field does.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub service: bool,
-    /// Since format 3: the placement of a job of one chunk, unless it has keys of its own.
+    /// Placement of a job of one chunk, unless the placement has keys of its own. Present since
+    /// format 3.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share: Option<PlacementPiece>,
 }
 
 impl JobRecord {
-    /// Whether the job is or was a service.
+    /// Returns whether the job is or was a service.
     pub fn is_service(&self) -> bool {
         self.service || self.spec.as_ref().is_some_and(|s| s.shape == JobKind::Service)
     }
 
-    /// Shrinks the record of an ending job if it exceeds `max_bytes`: its description is retained
-    /// while tasks may be on machines, but without the fields that only new starts need.
+    /// Shrinks the record of an ending job if it exceeds `max_bytes`. The description is retained
+    /// while tasks may be on machines, but without the fields that are needed only to start tasks.
     pub fn end_within(&mut self, max_bytes: usize) {
         if checked_size(self) > max_bytes {
             if let Some(spec) = &mut self.spec {
--- a/crates/core/src/storage/records/keys.rs
+++ b/crates/core/src/storage/records/keys.rs
@@ -1,70 +1,71 @@
-//! Keys of the records in the key-value store. The strings never change: other versions of the
-//! controller read and write the same keys.
+//! Keys of the records in the key-value store. The strings must not change, because other versions
+//! of the controller read and write the same keys.
 
 /// Key of the [`EpochRecord`](super::EpochRecord).
 pub const EPOCH_KEY: &str = "view";
 /// Key of the [`LeaderRecord`](super::LeaderRecord), under [`EPOCH_KEY`].
 pub const LEADER_KEY: &str = "view/leader";
-/// Claims of lease proxies, which renew workers' leases for the leader. Under the prefix of
-/// the epoch record, so that a watch of the epoch sees them.
+/// Prefix of the claims of lease proxies, which renew workers' leases for the leader. It is under
+/// the prefix of the epoch record, so that a watch of the epoch includes the claims.
 pub const LEASE_PROXY_PREFIX: &str = "view/keeper/";
-/// Mailboxes between the leader and the lease proxies that it can't reach; see
-/// `lease_proxy/mailbox.rs`.
+/// Prefix of the mailboxes between the leader and the lease proxies that it can't reach; see
+/// `lease_proxy/mailbox/`.
 pub const MAILBOX_PREFIX: &str = "view/post/";
 /// Prefix of the jobs' own records.
 pub const JOB_PREFIX: &str = "jobs/";
 /// Prefix of placement records.
 pub const PLACEMENT_PREFIX: &str = "shares/";
-/// Prefix of the handoff queue.
+/// Prefix of the handoff queue, which lists jobs and aborts that were recorded without the leader.
 pub const HANDOFF_PREFIX: &str = "inbox/";
-/// Prefix of records that several jobs share; see `job_batches/`.
+/// Prefix of batch records, each of which several jobs share; see `job_batches/`.
 pub const BATCH_PREFIX: &str = "pages/";
 /// Prefix of the controllers' membership keys.
 pub const MEMBER_PREFIX: &str = "members/";
-/// The active format and features; see `feature_state.rs`. Also the prefix of
+/// Key of the active format and features; see `feature_state.rs`. Also a prefix of
 /// [`FORMAT_NODE_PREFIX`].
 pub const FORMAT_KEY: &str = "format";
 /// Prefix of the controllers' capability records.
 pub const FORMAT_NODE_PREFIX: &str = "format/node/";
-/// The only partition as long as a single leader places all tasks.
+/// The only partition, because a single leader places all tasks.
 pub const SOLE_PARTITION: &str = "0";
 
-/// Key of a job's own record.
+/// Returns the key of a job's own record.
 pub fn job_key(id: &str) -> String {
     format!("{JOB_PREFIX}{id}")
 }
 
-/// Key of a job's entry in the handoff queue.
+/// Returns the key of a job's entry in the handoff queue.
 pub fn handoff_key(id: &str) -> String {
     format!("{HANDOFF_PREFIX}{id}")
 }
 
-/// Key of the mailbox from one controller to another.
+/// Returns the key of the mailbox from one controller to another.
 pub fn mailbox_key(to: &str, from: &str) -> String {
     format!("{MAILBOX_PREFIX}{to}/{from}")
 }
 
-/// Key of a controller's membership.
+/// Returns the key of a controller's membership.
 pub fn member_key(node: &str) -> String {
     format!("{MEMBER_PREFIX}{node}")
 }
 
-/// Key of a batch record. Keys sort in the order of the numbers.
+/// Returns the key of a batch record. The keys sort in the order of the batch numbers.
 pub fn batch_key(number: u64) -> String {
     format!("{BATCH_PREFIX}{number:012}")
 }
 
-/// Number of the batch record with this key.
+/// Returns the number of the batch record with this key; `None` if the key is not one of a batch
+/// record.
 pub fn batch_number(key: &str) -> Option<u64> {
     key.strip_prefix(BATCH_PREFIX)?.parse().ok()
 }
 
-/// Key of a chunk's placement record, which is that of its first piece.
+/// Returns the key of a chunk's placement record, which is the key of its first piece.
 pub fn placement_key(id: &str, chunk: u32) -> String {
     piece_key(id, chunk, 0)
 }
 
-/// Key of one piece of a placement record.
+/// Returns the key of one piece of a placement record.
 pub fn piece_key(id: &str, chunk: u32, piece: u32) -> String {
     match piece {
         0 => format!("{PLACEMENT_PREFIX}{id}/{SOLE_PARTITION}/{chunk}"),
@@ -72,12 +73,13 @@
     }
 }
 
-/// Keys of all pieces of a placement record.
+/// Returns the keys of all pieces of a placement record.
 pub fn piece_keys(id: &str, chunk: u32, pieces: u32) -> impl Iterator<Item = String> + '_ {
     (0..pieces).map(move |piece| piece_key(id, chunk, piece))
 }
 
-/// Job identifier and chunk of a placement record's key, whichever piece it names.
+/// Returns the job identifier and the chunk number of a key of a placement record, for any of its
+/// pieces; `None` if the key is malformed.
 pub fn parse_placement_key(key: &str) -> Option<(&str, u32)> {
     let mut segments = key.strip_prefix(PLACEMENT_PREFIX)?.split('/');
     let (id, _partition, chunk) = (segments.next()?, segments.next()?, segments.next()?);
--- a/crates/core/src/storage/records/mod.rs
+++ b/crates/core/src/storage/records/mod.rs
@@ -14,13 +14,13 @@
 //! | `format` | the format that all controllers write from now on, and the active features; absent before format 2 |
 //! | `format/node/<node>` | the newest format that a controller can read and write, and the features that it supports |
 //!
-//! Format 1 is that of the first version. Format 2 adds a job's dependencies, packs placements
-//! more closely, and splits a placement over several keys, `<chunk>`, `<chunk>.1` and so on,
-//! where one value would be too large. Format 3 puts the placement of a job of one chunk into
-//! the job's own record, where it fits. Format 4 adds batches of jobs.
+//! Format 1 is the format of the first version. Format 2 adds a job's dependencies, packs
+//! placements more compactly, and splits a placement that is too large for one value over several
+//! keys: `<chunk>`, `<chunk>.1` and so on. Format 3 stores the placement of a job of one chunk in
+//! the job's own record if it fits there. Format 4 adds batches of jobs.
 //!
 //! Invariant: the bytes of every record, including its field names, are the contract with earlier
-//! and later versions of the controller. Golden tests pin them.
+//! and later versions of the controller. Golden tests verify them.
 
 mod batch;
 mod encoding;
--- a/crates/core/src/storage/records/placement_packing.rs
+++ b/crates/core/src/storage/records/placement_packing.rs
@@ -1,4 +1,4 @@
-//! Packing of placement records into values of limited size, and their assembly from such values.
+//! Packs placement records into values of limited size, and assembles records from such values.
 
 use std::collections::BTreeMap;
 
@@ -8,31 +8,31 @@
 use super::keys::parse_placement_key;
 use super::placement::{PlacementPiece, PlacementRecord, ProbeSet, ZoneRange, TASKS_PER_CHUNK};
 
-/// The `format` of a [`PlacementPiece`].
+/// Value of [`PlacementPiece::format`].
 const PACKED_FORMAT: u32 = 2;
 
-/// A placement that was read from the store, perhaps without some of its pieces.
+/// A placement that was read from the store, possibly with some of its pieces still missing.
 #[derive(Clone, Debug)]
 pub struct AssembledPlacement {
-    /// What the pieces read so far say.
+    /// Contents of the pieces read so far.
     pub record: PlacementRecord,
-    /// Revision of the keys, which are always written together.
+    /// Revision of the placement's keys, which are always written together.
     pub revision: u64,
     /// Number of pieces over which the placement is split.
     pub piece_count: u32,
-    /// Pieces read so far.
+    /// Number of pieces read so far.
     pub pieces_read: u32,
-    /// It is part of its job's own record or of a batch record.
+    /// The placement is part of its job's own record or of a batch record.
     pub inline: bool,
 }
 
 impl AssembledPlacement {
-    /// Whether all pieces have been read.
+    /// Returns whether all pieces have been read.
     pub fn whole(&self) -> bool {
         self.pieces_read == self.piece_count
     }
 
-    /// Adds another piece; false if it does not belong to this placement.
+    /// Adds another piece. Returns false if the piece does not belong to this placement.
     pub fn join(&mut self, other: AssembledPlacement) -> bool {
         let same_write = (self.revision, self.piece_count) == (other.revision, other.piece_count);
         if !same_write || self.whole() {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Takes over the zones of tasks that have none yet.
+/// Sets the zones of tasks that have no zone yet.
 fn merge_zones(zones: &mut Vec<String>, others: Vec<String>) {
     for (index, zone) in others.into_iter().enumerate() {
         match zones.get_mut(index) {
@@ -62,32 +62,32 @@
     }
 }
 
-/// Reads the value of a placement's key, in any format: a whole placement, or a piece of one.
-/// `None` if the key or the value is malformed.
+/// Decodes the value of a placement's key in any format: either a whole placement or one of its
+/// pieces. Returns `None` if the key or the value is malformed.
 pub fn read_placement(key: &str, value: &Value, revision: u64) -> Option<AssembledPlacement> {
     let (_, chunk) = parse_placement_key(key)?;
     let is_piece = value.as_map()?.iter().any(|(name, _)| name.as_text() == Some("format"));
     if is_piece {
-        return open_piece(&decode(value)?, chunk, revision);
+        return decode_piece(&decode(value)?, chunk, revision);
     }
     let record = decode(value)?;
     Some(AssembledPlacement { record, revision, piece_count: 1, pieces_read: 1, inline: false })
 }
 
-/// Reads the placement that a job's own record or a batch record contains; `None` if it is
-/// malformed.
+/// Decodes the placement that a job's own record or a batch record contains. Returns `None` if the
+/// placement is malformed.
 pub fn open_inline(piece: &PlacementPiece, revision: u64) -> Option<AssembledPlacement> {
-    let placement = open_piece(piece, 0, revision).filter(AssembledPlacement::whole)?;
+    let placement = decode_piece(piece, 0, revision).filter(AssembledPlacement::whole)?;
     Some(AssembledPlacement { inline: true, ..placement })
 }
 
-/// The whole placement of a job's first chunk in one piece, for a job's own record or a batch
-/// record.
+/// Returns the whole placement of a job's first chunk as one piece, for the job's own record or a
+/// batch record.
 pub fn inline_piece(record: &PlacementRecord) -> PlacementPiece {
-    cut_piece(record, 0, 0, TASKS_PER_CHUNK - 1)
+    extract_piece(record, 0, 0, TASKS_PER_CHUNK - 1)
 }
 
-fn open_piece(piece: &PlacementPiece, chunk: u32, revision: u64) -> Option<AssembledPlacement> {
+fn decode_piece(piece: &PlacementPiece, chunk: u32, revision: u64) -> Option<AssembledPlacement> {
     if piece.format != PACKED_FORMAT || piece.of == 0 || piece.of > TASKS_PER_CHUNK {
         return None;
     }
@@ -95,9 +95,9 @@
     let record = PlacementRecord {
         epoch: piece.epoch,
         machines: piece.machines.clone(),
-        sets: open_sets(piece, first_task)?,
-        zones: open_zones(piece)?,
-        done: open_done(piece, first_task)?,
+        sets: decode_sets(piece, first_task)?,
+        zones: decode_zones(piece)?,
+        done: decode_done(piece, first_task)?,
     };
     let piece_count = piece.of;
     Some(AssembledPlacement { record, revision, piece_count, pieces_read: 1, inline: false })
@@ -107,7 +107,7 @@
     first <= last && last < TASKS_PER_CHUNK
 }
 
-fn open_sets(piece: &PlacementPiece, first_task: u32) -> Option<Vec<ProbeSet>> {
+fn decode_sets(piece: &PlacementPiece, first_task: u32) -> Option<Vec<ProbeSet>> {
     let mut sets = Vec::with_capacity(piece.sets.len());
     for set in &piece.sets {
         let (from, to) = (*set.first()?, *set.get(1)?);
@@ -120,7 +120,7 @@
     Some(sets)
 }
 
-fn open_zones(piece: &PlacementPiece) -> Option<Vec<String>> {
+fn decode_zones(piece: &PlacementPiece) -> Option<Vec<String>> {
     let mut zones = Vec::new();
     for ZoneRange { first, last, zone } in &piece.zones {
         if !is_within_chunk(*first, *last) {
@@ -132,16 +132,16 @@
     Some(zones)
 }
 
-fn open_done(piece: &PlacementPiece, first_task: u32) -> Option<Vec<(u32, u32)>> {
+fn decode_done(piece: &PlacementPiece, first_task: u32) -> Option<Vec<(u32, u32)>> {
     if !piece.done.iter().all(|(first, last)| is_within_chunk(*first, *last)) {
         return None;
     }
     Some(piece.done.iter().map(|(first, last)| (first_task + first, first_task + last)).collect())
 }
 
-/// Packs a chunk's placement into values of at most `max_bytes` each, halving the range of tasks
-/// of a piece for as long as it is too large. A piece of one task may exceed the limit: callers
-/// check for that.
+/// Packs a chunk's placement into values of at most `max_bytes` each. The range of tasks of a piece
+/// is halved for as long as the piece is too large. A piece of a single task may still exceed the
+/// limit, so that callers must check for that.
 pub fn pack_placement(
     record: &PlacementRecord,
     chunk: u32,
@@ -150,7 +150,7 @@
     let mut pieces = Vec::new();
     let mut task_ranges = vec![(0, TASKS_PER_CHUNK - 1)];
     while let Some((first, last)) = task_ranges.pop() {
-        let piece = cut_piece(record, chunk * TASKS_PER_CHUNK, first, last);
+        let piece = extract_piece(record, chunk * TASKS_PER_CHUNK, first, last);
         if first == last || checked_size(&piece) <= max_bytes {
             pieces.push(piece);
         } else {
@@ -164,9 +164,14 @@
     pieces
 }
 
-/// The part of a placement that concerns tasks `first..=last` of the chunk that begins with
-/// `first_task`.
-fn cut_piece(record: &PlacementRecord, first_task: u32, first: u32, last: u32) -> PlacementPiece {
+/// Returns the part of a placement that concerns tasks `first..=last` of the chunk whose first task
+/// is `first_task`.
+fn extract_piece(
+    record: &PlacementRecord,
+    first_task: u32,
+    first: u32,
+    last: u32,
+) -> PlacementPiece {
     let clip = |from: u32, to: u32| {
         let from = from.saturating_sub(first_task).max(first);
         let to = to.saturating_sub(first_task).min(last);
@@ -187,20 +192,20 @@
         machines: machines.names,
         sets,
         done: record.done.iter().filter_map(|(from, to)| clip(*from, *to)).collect(),
-        zones: cut_zones(record, first, last),
+        zones: extract_zones(record, first, last),
     }
 }
 
-/// Machines that a piece names, in the order in which its sets mention them.
+/// Machines that a piece names, in the order in which its sets first refer to them.
 #[derive(Default)]
 struct MachineTable {
     names: Vec<String>,
-    /// Indexes into `names` by index into the whole record's machines.
+    /// Indexes into `names`, by index into the machines of the whole record.
     indexes: BTreeMap<u32, u32>,
 }
 
 impl MachineTable {
-    /// Index in the piece of a machine with this index in the whole record.
+    /// Returns the index in the piece of the machine that has this index in the whole record.
     fn index_of(&mut self, record: &PlacementRecord, index: u32) -> u32 {
         *self.indexes.entry(index).or_insert_with(|| {
             self.names.push(record.machines.get(index as usize).cloned().unwrap_or_default());
@@ -209,7 +214,7 @@
     }
 }
 
-fn cut_zones(record: &PlacementRecord, first: u32, last: u32) -> Vec<ZoneRange> {
+fn extract_zones(record: &PlacementRecord, first: u32, last: u32) -> Vec<ZoneRange> {
     let mut ranges: Vec<ZoneRange> = Vec::new();
     for (task, zone) in (0..).zip(&record.zones) {
         if zone.is_empty() || task < first || task > last {
