--- a/crates/core/src/storage/job_batches/intake.rs
+++ b/crates/core/src/storage/job_batches/intake.rs
@@ -17,9 +17,9 @@
 
 use super::{BatchState, BatchSubmission, JobBatch};
 
-/// Limit on the jobs in batches, as seconds of writes: the end of each job takes one write. A
-/// best-effort job is batched only if all jobs in batches can be ended by the writes of this many
-/// seconds, any other job if by those of twice as many.
+/// Limit on the jobs in batches, in seconds of writes: the end of each job takes one write. A
+/// best-effort job is batched only while the writes of this many seconds can end all jobs in
+/// batches, and any other job only while the writes of twice as many seconds can.
 const MAX_TERMINAL_WRITES_S: f64 = 120.0;
 /// Fewest jobs of a job's size that must fit in one record for the job to be batched. Each new
 /// placement of a larger job would rewrite the records of all jobs that share its batch.
