--- a/crates/core/src/fleet/calls.rs
+++ b/crates/core/src/fleet/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that the fleet's modules have made, and where their outcomes go.
+//! Outgoing calls of the fleet's modules, and the dispatch of their outcomes.
 
 use quartzgate_wire::msg::Heartbeat;
 
@@ -7,26 +7,26 @@
 use crate::ids::{epoch_of, MachineIndex, TaskKey};
 use crate::{Outcome, Peer, RequestId};
 
-/// What a call of the fleet's modules is for.
+/// The purpose of an outgoing call, with the data that is needed to handle its outcome.
 #[derive(Debug)]
 pub(crate) enum FleetCall {
-    /// A command to a machine, direct or relayed, and the starts that it holds (task and
+    /// A command to a machine, direct or relayed, and the starts that it contains (task and
     /// attempt number).
     Command { machine: MachineIndex, fencing_token: u64, starts: Vec<(TaskKey, u64)> },
-    /// A command of the leader to a worker, relayed for this request.
+    /// A command from the leader that this controller relays to a worker for this request.
     RelayCommand { request: RequestId },
-    /// A worker's heartbeat, relayed to the leader.
+    /// A worker's heartbeat that this controller relays to the leader.
     RelayHeartbeat { request: RequestId, heartbeat: Box<Heartbeat> },
-    /// A page of the cloud's list, from the machine after `since` on.
+    /// A page of the cloud's list of machines, starting after the name `since`.
     ListMachines { since: Option<String> },
-    /// A request for machines.
+    /// A request to the cloud to provision machines, made in this epoch of the leader.
     Provision { request: ProvisionCall, epoch: u64 },
-    /// A release of machines.
+    /// A request to the cloud to release machines, made in this epoch of the leader.
     Release { machines: Vec<MachineIndex>, epoch: u64 },
 }
 
 impl Controller {
-    /// Makes a call for the fleet's modules.
+    /// Makes an outgoing call and stores its purpose until the outcome arrives.
     pub(super) fn call_for_fleet(
         &mut self,
         peer: Peer,
@@ -40,8 +40,9 @@
         self.fleet_calls.insert(call, purpose);
     }
 
-    /// Routes the outcome of a call. What concerns the leader's memory is dropped if it was
-    /// made in another epoch, as that memory is gone.
+    /// Dispatches the outcome of a call. The outcome of a command, provisioning or release is
+    /// dropped if the call was made in another epoch, because the state that the outcome refers to
+    /// no longer exists.
     pub(crate) fn on_fleet_outcome(&mut self, purpose: FleetCall, outcome: Outcome) {
         let current_epoch = self.epoch();
         match purpose {
--- a/crates/core/src/fleet/commands.rs
+++ b/crates/core/src/fleet/commands.rs
@@ -1,8 +1,9 @@
-//! Commands to workers: when they are sent, by which route, and what their outcomes mean.
+//! Commands to workers: when a command is sent, by which route, and how its outcome is handled.
 //!
-//! One call to a machine is under way at a time. Each carries the machine's fencing token, and
-//! an agent refuses any other. Invariant: after a call whose outcome is unknown the token rises
-//! before anything else is sent, so that the call can't take effect later.
+//! At most one command to a machine is in flight. Each command carries the machine's fencing
+//! token, and the agent refuses a command with any other token. Invariant: after a command whose
+//! outcome is unknown, the token is advanced before the next command is sent, so that the earlier
+//! command can't take effect later.
 
 use std::net::SocketAddr;
 
@@ -20,17 +21,18 @@
 use crate::lease_proxy::mailbox::Envelope;
 use crate::{Outcome, Peer, RequestId};
 
-/// How commands reach a machine.
+/// The path on which a command is sent to a machine.
 enum Route {
-    /// A call to its address.
+    /// A call to the machine's address.
     Direct,
-    /// By the controller, named by its index, that relays the machine's heartbeats.
+    /// Through the controller with this index in the settings, which relays the machine's
+    /// heartbeats.
     Relay(usize),
-    /// By the key-value store and the lease proxy with this index.
+    /// Through the key-value store and the lease proxy with this index in the settings.
     Mailbox(usize),
 }
 
-/// A command that is ready to be sent, and the starts it holds (task and attempt number).
+/// A command that is ready to be sent, and the starts that it contains (task and attempt number).
 struct Command {
     addr: SocketAddr,
     request: OrdersRequest,
@@ -38,7 +40,8 @@
 }
 
 impl Machine {
-    /// Whether no command may be sent, as one is under way or the machine is on its way out.
+    /// Returns whether no command may be sent, because one is in flight or because the machine has
+    /// expired, is being released or is terminated.
     fn refuses_commands(&self) -> bool {
         self.command_in_flight
             || matches!(
@@ -47,19 +50,20 @@
             )
     }
 
-    /// Whether a command is due without any order in it: to hand over the fencing token, or to
-    /// try whether commands reach a machine that seems one-way unreachable.
+    /// Returns whether a command without orders is due: to deliver the fencing token, or to probe
+    /// whether commands reach a machine that is considered one-way unreachable.
     fn needs_empty_command(&self) -> bool {
         self.acknowledged_token < self.fencing_token || self.reachability.is_one_way_unreachable()
     }
 
-    /// Notes whether the machine was reached directly.
+    /// Records whether the machine can be reached directly, after a command to it has ended.
     fn update_direct_contact(&mut self, answered: bool, now_ms: u64, lease_ms: u64) {
-        // One that is reached by others only is tried directly once a lease.
+        // A machine that is reached only through other controllers is tried directly once per
+        // lease.
         let retry_due = now_ms > self.unreachable_since_ms + lease_ms;
-        let reached_by_others =
+        let reached_indirectly =
             self.cut && !retry_due && (self.via.is_some() || self.relayed_by.is_some());
-        let unreachable = !answered || reached_by_others;
+        let unreachable = !answered || reached_indirectly;
         if unreachable && (!self.cut || retry_due) {
             self.unreachable_since_ms = now_ms;
         }
@@ -87,7 +91,8 @@
         }
     }
 
-    /// Takes the pending starts of a machine into a command; none if no command is due.
+    /// Builds a command from the pending starts and reconciling orders of a machine. Returns
+    /// `None` if no command is due or if none may be sent at present.
     fn prepare_command(&mut self, index: MachineIndex) -> Option<Command> {
         let mut orders = self.reconciling_orders(index);
         let now_ms = self.context.now.steady_ms;
@@ -110,8 +115,8 @@
         Some(Command { addr, request, starts })
     }
 
-    /// The order for a start that was bound to the machine, unless the task has been aborted or
-    /// moved since.
+    /// Returns the order for a pending start, unless the task has been aborted or moved since it
+    /// was bound to the machine.
     fn start_order(&mut self, index: MachineIndex, key: TaskKey, attempt: u64) -> Option<Order> {
         let job = self.jobs.get(key.job)?;
         let state = job.task(key.task).map(|task| task.state);
@@ -146,7 +151,8 @@
         self.call_for_fleet(peer, "POST", "/mesh".into(), body, timeout_ms, purpose)
     }
 
-    /// A machine that can't be reached directly is commanded by the route of its heartbeats.
+    /// Returns the route for commands to a machine. A machine that can't be reached directly is
+    /// commanded through the controller that passes on its heartbeats.
     fn command_route(&self, index: MachineIndex) -> Route {
         let unreachable = self.machines.get(index).filter(|machine| machine.cut);
         let relay = unreachable
@@ -159,7 +165,7 @@
         }
     }
 
-    /// Relays a command of the leader to a worker that the leader can't reach.
+    /// Relays a command from the leader to a worker that the leader can't reach directly.
     pub(crate) fn relay_command(&mut self, id: RequestId, from: usize, body: &[u8]) {
         let envelope =
             from_cbor::<Envelope>(body).ok().filter(|_| self.leader_index() == Some(from));
@@ -174,7 +180,8 @@
         self.call_for_fleet(peer, "POST", "/orders".into(), body, timeout_ms, purpose);
     }
 
-    /// The worker's answer to a relayed command, or none, goes back to the leader.
+    /// Answers the leader with the worker's answer to a relayed command, or with status 504 if the
+    /// worker did not answer.
     pub(super) fn on_command_relayed(&mut self, id: RequestId, outcome: Outcome) {
         match outcome {
             Outcome::Answer(response) => {
@@ -184,7 +191,7 @@
         }
     }
 
-    /// A command with this token and these starts has ended, by whichever route it was sent.
+    /// Handles the outcome of a command with this token and these starts, for every route.
     pub(crate) fn on_command_outcome(
         &mut self,
         index: MachineIndex,
@@ -203,14 +210,15 @@
             _ => self.fence_unknown_command(index, fencing_token),
         }
         self.machines_to_dispatch.insert(index);
-        let starts_wait =
+        let has_pending_starts =
             self.machines.get(index).is_some_and(|machine| !machine.pending_starts.is_empty());
-        if starts_wait {
+        if has_pending_starts {
             self.machines_to_command.insert(index);
         }
     }
 
-    /// Notes what the outcome says about the machine's reachability; false if it is unknown.
+    /// Updates the machine's reachability from the outcome of a command. Returns false if the
+    /// machine is no longer known.
     fn record_command_outcome(&mut self, index: MachineIndex, outcome: &Outcome) -> bool {
         let (now_ms, timing) = (self.context.now.steady_ms, self.reachability_timing());
         let lease_ms = self.context.config.lease_ms();
@@ -222,7 +230,7 @@
         machine.command_in_flight = false;
         let was_unreachable = machine.reachability.is_one_way_unreachable();
         match outcome {
-            // An answer to a call is no duplicate: the machine is alive now.
+            // The answer to a call can't be a delayed duplicate, so the machine is alive now.
             Outcome::Answer(response) if is_command_answer(response) => {
                 machine.record_command_answered(now_ms)
             }
@@ -236,7 +244,8 @@
         true
     }
 
-    /// The agent has answered, with its status; an answer that can't be read tells nothing.
+    /// Applies the status in an agent's answer. An answer that can't be decoded, or that is not
+    /// this machine's, is handled as an unknown outcome.
     fn on_command_answer(&mut self, index: MachineIndex, fencing_token: u64, response: &Response) {
         let Some(machine) = self.machines.get(index) else { return };
         match from_cbor::<Heartbeat>(&response.body) {
@@ -247,8 +256,8 @@
         }
     }
 
-    /// Nothing reached the machine: its starts go back to the queue, and no other is sent for
-    /// one interval.
+    /// Requeues the starts of a command that was not sent, and pauses starts to the machine for
+    /// one heartbeat interval.
     fn on_command_not_sent(&mut self, index: MachineIndex, starts: Vec<(TaskKey, u64)>) {
         for (key, attempt) in starts {
             let starting = TaskState::Starting { machine: index, attempt };
@@ -262,8 +271,9 @@
         }
     }
 
-    /// The outcome of a command with this token is unknown: with a higher one it can't take
-    /// effect any more. Nothing is started for one interval, by when the machine has reported.
+    /// Advances the fencing token after a command with an unknown outcome, so that the command
+    /// can't take effect any more. Starts are paused for one heartbeat interval, in which the
+    /// machine's next heartbeat is due.
     fn fence_unknown_command(&mut self, index: MachineIndex, fencing_token: u64) {
         let epoch = self.epoch();
         let interval_ms = self.context.config.heartbeat_interval_ms();
@@ -275,7 +285,8 @@
     }
 }
 
-/// 200 and 409 carry the agent's status: 409 refuses a fencing token or an agent epoch.
+/// Returns whether a response carries the agent's status. An agent answers 200 if it accepts the
+/// command, and 409 if it refuses the fencing token or the agent epoch.
 fn is_command_answer(response: &Response) -> bool {
     matches!(response.status, 200 | 409)
 }
--- a/crates/core/src/fleet/fault_attribution.rs
+++ b/crates/core/src/fleet/fault_attribution.rs
@@ -1,55 +1,58 @@
 //! Fault attribution: whether a failed task counts against its machine or against its job.
 //!
-//! A faulty machine fails tasks that run well elsewhere; a faulty job fails wherever it is tried.
-//! A job that has failed on several machines and succeeded on none counts as failing everywhere:
-//! its failures count against no machine, and it is tried one task at a time, after ever longer
-//! pauses, until it succeeds or is aborted. A machine on which different jobs fail is
+//! On a faulty machine, tasks fail that succeed elsewhere; a faulty job fails on every machine.
+//! A job that has failed on several machines and succeeded on none is considered to fail
+//! everywhere: its failures count against no machine, and it is tried one task at a time, with
+//! exponential backoff, until it succeeds or is aborted. A machine on which several jobs fail is
 //! quarantined.
 //!
-//! This module alone changes `Job::health` and `Machine::quarantined`.
+//! Only this module changes `Job::health` and `Machine::quarantined`.
 
 use crate::controller::Controller;
 use crate::ids::{JobIndex, MachineIndex, TaskKey};
 use crate::jobs::Job;
 
-/// What is known of whether a job can run at all.
+/// Whether a job is known to run successfully or to fail on every machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobHealth {
-    /// No task of it has run well yet.
+    /// No task of the job has run successfully yet, and the job has failed on too few machines to
+    /// be considered failing everywhere.
     Untried,
-    /// It has run well somewhere.
+    /// A task of the job has run successfully on some machine.
     Proven,
-    /// It fails wherever it is tried.
+    /// The job fails on every machine on which it is tried.
     FailingEverywhere,
 }
 
-/// Machines on which a job must fail, without success on any, to count as failing everywhere.
-const MACHINES_TO_BLAME_JOB: usize = 3;
-/// Jobs that must fail on a machine for its quarantine. Jobs of unknown health count as well.
-/// They may turn out to be faulty themselves, so the machine gets no more work at once, but is
+/// A job is considered to fail everywhere once it has failed on this many machines and succeeded
+/// on none.
+const FAILING_EVERYWHERE_MIN_MACHINES: usize = 3;
+/// A machine is quarantined once this many jobs have failed on it. Untried jobs count as well. As
+/// they may turn out to be faulty themselves, the machine gets no more work from then on but is
 /// drained only after [`EVICT_AFTER_INTERVALS`].
-const JOBS_TO_BLAME_MACHINE: usize = 2;
+const QUARANTINE_MIN_FAILING_JOBS: usize = 2;
 /// Heartbeat intervals from a machine's quarantine until it is drained.
 const EVICT_AFTER_INTERVALS: u64 = 2;
-/// The pause between trials of a job is at most two to this power, in heartbeat intervals.
+/// Maximum pause between trials of a job that fails everywhere, as a power of two of heartbeat
+/// intervals.
 const MAX_TRIAL_PAUSE_EXPONENT: u32 = 5;
-/// The back-off of a failed task is at most two to this power, in quarter heartbeat intervals.
+/// Maximum backoff of a failed task, as a power of two of quarter heartbeat intervals.
 const MAX_BACK_OFF_EXPONENT: u32 = 6;
 
 impl Job {
-    /// Whether the job fails wherever it is tried.
+    /// Returns whether the job is considered to fail on every machine.
     pub fn failing_everywhere(&self) -> bool {
         self.health == JobHealth::FailingEverywhere
     }
 
-    /// Whether a task may be started now: a job that fails everywhere is tried one task at a
-    /// time, after a pause.
+    /// Returns whether a task may be started now. A job that fails everywhere is tried one task at
+    /// a time, after a pause.
     pub fn may_start_now(&self, now_ms: u64) -> bool {
         !self.failing_everywhere() || self.bound == 0 && now_ms >= self.next_trial_ms
     }
 
-    /// For how many of these tasks resources are wanted: for one if the job fails everywhere,
-    /// and for none while that one is being tried.
+    /// Returns for how many of these tasks resources are demanded. A job that fails everywhere
+    /// demands them for one task, and for none while that task is being tried.
     pub fn asking(&self, tasks: u32) -> u32 {
         match self.failing_everywhere() {
             true => tasks.min(u32::from(self.bound == 0)),
@@ -59,7 +62,8 @@
 }
 
 impl Controller {
-    /// The one function that changes a job's health.
+    /// Changes a job's health and attributes its failures accordingly. No other function changes
+    /// the health.
     pub(crate) fn set_job_health(&mut self, index: JobIndex, health: JobHealth) {
         let interval_ms = self.context.config.heartbeat_interval_ms();
         let first_trial_ms = self.context.now.steady_ms + interval_ms;
@@ -84,7 +88,8 @@
         self.attribute_failures_to_machines(index, health == JobHealth::Proven);
     }
 
-    /// Counts a job's failures against the machines where it failed, or takes them back.
+    /// Counts a job's failures against the machines on which it failed if `count`, else removes
+    /// them from these machines' counts.
     fn attribute_failures_to_machines(&mut self, job_index: JobIndex, count: bool) {
         let Some(job) = self.jobs.get(job_index) else { return };
         for machine_index in job.failed_on.clone() {
@@ -98,7 +103,7 @@
         }
     }
 
-    /// A task has failed on a machine.
+    /// Handles the failure of a task on a machine, and attributes it to the job or the machine.
     pub(super) fn task_failed(&mut self, index: MachineIndex, key: TaskKey) {
         self.back_off(key);
         let now_ms = self.context.now.steady_ms;
@@ -107,7 +112,7 @@
         if !job.failed_on.contains(&index) {
             job.failed_on.push(index);
         }
-        let failed_on_many = job.failed_on.len() >= MACHINES_TO_BLAME_JOB;
+        let failed_on_many = job.failed_on.len() >= FAILING_EVERYWHERE_MIN_MACHINES;
         tracing::debug!(machine = ?index, job = %job.id, task = key.task, "task failed");
         match job.health {
             JobHealth::FailingEverywhere => {
@@ -126,26 +131,28 @@
         }
     }
 
-    /// A task has completed on a machine: earlier failures there were not the machine's fault.
+    /// Clears a machine's failures after a task has completed on it, because earlier failures were
+    /// not the machine's fault. Failures of a quarantined machine are kept.
     pub(super) fn clear_machine_failures(&mut self, index: MachineIndex) {
         if let Some(machine) = self.machines.get_mut(index).filter(|machine| !machine.quarantined) {
             machine.failures.clear();
         }
     }
 
-    /// A job is over while its health is unknown: its failures count against no machine.
+    /// Removes the failures of a job that ends while it is untried from the counts of all machines.
     pub(crate) fn clear_unattributed_failures(&mut self, index: JobIndex) {
         if self.jobs.get(index).is_some_and(|job| job.health == JobHealth::Untried) {
             self.attribute_failures_to_machines(index, false);
         }
     }
 
-    /// The one function that quarantines a machine or ends its quarantine.
+    /// Quarantines a machine or ends its quarantine, by the number of jobs that failed on it. No
+    /// other function does so.
     fn update_quarantine(&mut self, index: MachineIndex) {
         let interval_ms = self.context.config.heartbeat_interval_ms();
         let Some(machine) = self.machines.get_mut(index) else { return };
         let failing_jobs = machine.failures.len();
-        let faulty = failing_jobs >= JOBS_TO_BLAME_MACHINE;
+        let faulty = failing_jobs >= QUARANTINE_MIN_FAILING_JOBS;
         if machine.quarantined == faulty {
             return;
         }
@@ -161,7 +168,7 @@
         }
     }
 
-    /// A task that has failed waits longer each time before it is started again.
+    /// Delays the next start of a failed task, with exponential backoff.
     pub(super) fn back_off(&mut self, key: TaskKey) {
         let now_ms = self.context.now.steady_ms;
         let interval_ms = self.context.config.heartbeat_interval_ms();
--- a/crates/core/src/fleet/heartbeat_relay.rs
+++ b/crates/core/src/fleet/heartbeat_relay.rs
@@ -1,4 +1,4 @@
-//! A follower relays workers' heartbeats to the leader, or redirects the workers to it.
+//! Relaying of workers' heartbeats from a follower to the leader, and redirection of workers.
 
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{Forward, Heartbeat, Redirect};
@@ -9,8 +9,8 @@
 use crate::{Outcome, Peer, RequestId};
 
 impl Controller {
-    /// Whether a heartbeat is relayed rather than its worker redirected: always if the worker is
-    /// of this zone, else by the rules for workers of other zones.
+    /// Returns whether a heartbeat is relayed; otherwise its worker is redirected. Heartbeats from
+    /// this controller's zone are always relayed, others by the rules for out-of-zone workers.
     pub(super) fn should_relay(&mut self, heartbeat: &Heartbeat) -> bool {
         if heartbeat.zone == self.context.config.platform.zone {
             return true;
@@ -20,7 +20,7 @@
         self.out_of_zone_workers.should_relay(&heartbeat.machine, now_ms, lease_ms, max_workers)
     }
 
-    /// Relays a heartbeat to the leader; false if the leader can't be reached.
+    /// Relays a heartbeat to the leader. Returns false if the leader can't be reached.
     pub(super) fn relay_heartbeat(
         &mut self,
         id: RequestId,
@@ -41,7 +41,8 @@
         true
     }
 
-    /// The leader's answer to a relayed heartbeat, or none.
+    /// Handles the outcome of a relayed heartbeat. Without an answer from the leader, this
+    /// controller serves the heartbeat as a lease proxy or redirects the worker.
     pub(crate) fn on_heartbeat_relayed(
         &mut self,
         id: RequestId,
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Redirects a worker to the leader. A leader that this controller has no contact with is
-    /// not named: the worker tries all controllers itself.
+    /// Redirects a worker to the leader. The answer doesn't name a leader with which this
+    /// controller has no contact; the worker then tries all controllers itself.
     pub(crate) fn redirect(&mut self, id: RequestId) {
         self.redirected_workers += 1;
         let leader = self.live_leader_index().and(self.known_leader());
--- a/crates/core/src/fleet/heartbeats.rs
+++ b/crates/core/src/fleet/heartbeats.rs
@@ -1,9 +1,9 @@
-//! Admission of workers' heartbeats, and what they say about their machines.
+//! Admission of workers' heartbeats, and the updates of machines from them.
 //!
-//! Only the leader answers a heartbeat with a fencing token, which renews the worker's lease;
-//! every other controller forwards it, serves it as a lease proxy or redirects the worker.
-//! Invariant: an answer to a duplicate or a late heartbeat never extends a lease, and a
-//! fencing token of a later epoch is never taken over: the leader steps down instead.
+//! The leader answers a heartbeat with the machine's fencing token, which renews the worker's
+//! lease. Any other controller relays the heartbeat to the leader, serves it as a lease proxy or
+//! redirects the worker. Invariant: the answer to a duplicate or late heartbeat never extends a
+//! lease, and the leader never adopts a fencing token of a later epoch but steps down instead.
 
 use std::net::SocketAddr;
 
@@ -18,16 +18,18 @@
 use crate::membership::Role;
 use crate::RequestId;
 
-/// Longest name of a machine, type, zone or task that a heartbeat may hold, in bytes.
+/// Maximum length of the name of a machine, type, zone or task in a heartbeat, in bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// Interruption notices above this, in seconds, are refused.
+/// Heartbeats with an interruption notice of this many seconds or more are refused.
 const MAX_INTERRUPTION_NOTICE_S: f64 = 1e9;
-/// A worker is redirected to its own zone only within this many heartbeat intervals after its
-/// last answer, while enough of its lease is left to find the other controller.
+/// A worker is redirected to a controller in its own zone only within this many heartbeat
+/// intervals after the last answer to it, while enough of its lease is left to find that
+/// controller.
 const REDIRECT_WITHIN_INTERVALS: u64 = 3;
 
 impl Controller {
-    /// A worker's heartbeat: `POST /checkin`, direct or relayed by another controller.
+    /// Handles a worker's heartbeat (`POST /checkin`), received directly or relayed by another
+    /// controller.
     pub(crate) fn on_heartbeat(&mut self, id: RequestId, body: Vec<u8>, relayed_by: Option<usize>) {
         let heartbeat: Heartbeat = match from_cbor(&body) {
             Ok(heartbeat) => heartbeat,
@@ -53,8 +55,8 @@
         self.on_heartbeat_as_leader(id, heartbeat, relayed_by);
     }
 
-    /// A controller that doesn't lead forwards a heartbeat, or serves it as a lease proxy, or
-    /// redirects the worker.
+    /// Handles a heartbeat on a controller that doesn't lead: relays it, serves it as a lease proxy
+    /// or redirects the worker.
     fn on_heartbeat_as_follower(
         &mut self,
         id: RequestId,
@@ -74,7 +76,8 @@
         self.redirect(id)
     }
 
-    /// The leader applies a new heartbeat and renews the worker's lease with its answer.
+    /// Handles a heartbeat on the leader: applies a new one and renews the worker's lease with the
+    /// answer.
     fn on_heartbeat_as_leader(
         &mut self,
         id: RequestId,
@@ -85,13 +88,14 @@
         let Some(machine) = self.machines.get_mut(index) else { return };
         match machine.duplicates.record_heartbeat(message_number(&heartbeat)) {
             Freshness::New => {}
-            // Sent before the newest known one, and so was the lease that the answer renews.
+            // The heartbeat was sent before the newest known message, so the answer extends the
+            // lease no further than an answer to that message would.
             Freshness::Superseded => {
                 machine.record_superseded_answered();
                 let fencing_token = machine.fencing_token;
                 return self.answer_heartbeat(id, fencing_token, Vec::new());
             }
-            // Nobody waits for an answer, and none that is given here may renew a lease.
+            // The worker no longer waits for an answer, and an answer must not renew its lease.
             Freshness::Duplicate => {
                 self.duplicates_dropped += 1;
                 return self.answer(id, Response::new(421, to_cbor(&Redirect { leader: None })));
@@ -111,8 +115,9 @@
         self.answer(id, Response::new(200, body));
     }
 
-    /// A leader in recovery answers for a machine once it has read every job that runs there: a
-    /// job that it has not read may have been aborted long before its election.
+    /// Returns whether a leader in recovery still has to read a job that runs on the machine before
+    /// it may answer the heartbeat. A job that the leader has not read may have been aborted long
+    /// before its election.
     fn must_read_jobs_first(&self, heartbeat: &Heartbeat) -> bool {
         let unread =
             |job: &str| self.jobs.find(job).is_none() && self.terminal_jobs.get(job).is_none();
@@ -121,9 +126,10 @@
             && running.any(|task| parse_task(&task.task).is_some_and(|(job, _)| unread(job)))
     }
 
-    /// A controller in the worker's own zone, if there is one and this isn't: in a partition
-    /// between the zones it can renew the worker's lease. Only workers whose lease is fresh are
-    /// sent there.
+    /// Returns a controller in the worker's zone to which the worker should be redirected; `None`
+    /// if this controller is in that zone or if no controller there can serve. During a partition
+    /// between the zones, that controller can renew the worker's lease. Only workers whose lease
+    /// was renewed recently are redirected.
     fn controller_in_zone_of(&self, heartbeat: &Heartbeat) -> Option<String> {
         let platform = &self.context.config.platform;
         if heartbeat.zone == platform.zone {
@@ -139,15 +145,17 @@
             .siblings
             .iter()
             .enumerate()
-            .filter(|(at, sibling)| sibling.zone == heartbeat.zone && self.peer_can_serve(*at))
+            .filter(|(index, sibling)| {
+                sibling.zone == heartbeat.zone && self.peer_can_serve(*index)
+            })
             .map(|(_, sibling)| sibling.node.as_str())
             .collect();
-        let hash = hash_of(&machine.name);
+        let hash = hash_machine_name(&machine.name);
         (!candidates.is_empty()).then(|| candidates[hash % candidates.len()].to_string())
     }
 
-    /// Applies what a machine answered to a call, or what a lease proxy received of it, unless
-    /// something newer is known.
+    /// Applies a machine's status from its answer to a call, or from a heartbeat that a lease proxy
+    /// received, unless a newer message of the machine is known.
     pub(crate) fn observe_heartbeat(&mut self, index: MachineIndex, heartbeat: Heartbeat) {
         let is_new = self.machines.get_mut(index).is_some_and(|machine| {
             epoch_of(heartbeat.fencing_token) > epoch_of(machine.fencing_token)
@@ -158,7 +166,8 @@
         }
     }
 
-    /// A machine has answered a call: it is alive now, and commands reach it.
+    /// Handles the status with which a machine has answered a call. The answer proves that the
+    /// machine is alive now and that commands reach it.
     pub(crate) fn observe_reply(&mut self, index: MachineIndex, heartbeat: Heartbeat) {
         let now_ms = self.context.now.steady_ms;
         if let Some(machine) = self.machines.get_mut(index) {
@@ -167,7 +176,7 @@
         self.observe_heartbeat(index, heartbeat);
     }
 
-    /// The times by which reachability is judged.
+    /// Returns the durations from which the rules for reachability are derived.
     pub(super) fn reachability_timing(&self) -> Timing {
         Timing {
             heartbeat_interval_ms: self.context.config.heartbeat_interval_ms(),
@@ -175,10 +184,11 @@
         }
     }
 
-    /// Applies a heartbeat that is newer than all that is known of the machine.
+    /// Applies a heartbeat that is newer than every earlier message of the machine.
     fn apply_heartbeat(&mut self, index: MachineIndex, heartbeat: Heartbeat) {
-        // By whatever route it came, such a heartbeat proves that another controller leads. Its
-        // token must never become ours: commands that carry it would be obeyed.
+        // Regardless of its route, a heartbeat with a token of a later epoch proves that another
+        // controller has become leader. This leader must never adopt that token, because workers
+        // would execute commands that carry it.
         if epoch_of(heartbeat.fencing_token) > self.epoch() {
             return self.step_down_for_later_epoch(&heartbeat);
         }
@@ -216,13 +226,14 @@
         self.step_down();
     }
 
-    /// Notes that the cloud will interrupt a spot machine in so many seconds, or no longer will.
+    /// Records that the cloud will interrupt a spot machine in `notice_s` seconds, or that the
+    /// notice has been withdrawn (`None`).
     fn update_interruption_notice(&mut self, index: MachineIndex, notice_s: Option<f64>) {
         let now_ms = self.context.now.steady_ms;
         let Some(machine) = self.machines.get_mut(index) else { return };
         if let Some(notice_s) = notice_s {
             if machine.interruption_at_ms.is_none() {
-                tracing::info!(machine = %machine.name, in_s = notice_s, "spot interruption notice");
+                tracing::info!(machine = %machine.name, notice_s, "spot interruption notice");
                 self.drain_due = true;
             }
             machine.interruption_at_ms = Some(now_ms + (notice_s.max(0.0) * 1000.0) as u64);
@@ -231,7 +242,8 @@
         }
     }
 
-    /// Follows up on a change of a machine's reachability, if there was one.
+    /// Handles a change of whether a machine is one-way unreachable; does nothing if it is
+    /// unchanged.
     pub(super) fn on_reachability_changed(&mut self, index: MachineIndex, was_unreachable: bool) {
         let Some(machine) = self.machines.get(index) else { return };
         if machine.reachability.is_one_way_unreachable() == was_unreachable {
@@ -244,30 +256,32 @@
         } else {
             tracing::info!(
                 machine = %machine.name,
-                "machine one-way unreachable: its heartbeats arrive, commands to it don't"
+                "machine one-way unreachable: heartbeats arrive, but commands don't reach it"
             );
             self.requeue_probes(index);
         }
     }
 
-    /// The index of a zone in the platform's settings.
+    /// Returns the index of a zone in the platform's settings.
     pub(super) fn zone_index(&self, zone: &str) -> Option<u16> {
         let zones = &self.context.config.platform.params.zones;
-        zones.iter().position(|name| name == zone).map(|at| at as u16)
+        zones.iter().position(|name| name == zone).map(|index| index as u16)
     }
 }
 
-/// The place of a heartbeat among its worker's messages.
+/// Returns the position of a heartbeat among all messages of its worker.
 fn message_number(heartbeat: &Heartbeat) -> MessageNumber {
     MessageNumber { agent_epoch: heartbeat.agent_epoch, sequence: heartbeat.seq }
 }
 
-/// Spreads workers over the controllers of their zone, always in the same way.
-fn hash_of(name: &str) -> usize {
+/// Hashes a machine's name, to distribute workers deterministically over the controllers of their
+/// zone.
+fn hash_machine_name(name: &str) -> usize {
     name.bytes().fold(0usize, |hash, byte| hash.wrapping_mul(31).wrapping_add(byte.into()))
 }
 
-/// A new agent epoch on a machine that held tasks means that its lease expired.
+/// Logs the number of tasks that a machine lost when it began a new agent epoch, which means that
+/// its lease had expired.
 fn log_lost_tasks(machine: &Machine, new_agent_epoch: bool) {
     let lost = machine.tasks.len() + machine.unproven.len();
     if new_agent_epoch && machine.agent_epoch > 0 && lost > 0 {
@@ -275,8 +289,8 @@
     }
 }
 
-/// Whether a worker could have sent this heartbeat; others are refused before they change
-/// anything.
+/// Returns whether a worker could have sent this heartbeat. An implausible heartbeat is refused
+/// before it changes any state.
 pub(crate) fn is_plausible(heartbeat: &Heartbeat) -> bool {
     let valid_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
     valid_name(&heartbeat.machine)
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -1,4 +1,4 @@
-//! A machine as the leader knows it: its state, its tasks and how it can be reached.
+//! The leader's record of a machine: its state, its tasks and its reachability.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,116 +9,126 @@
 use super::resources::Resources;
 use crate::ids::{scoped_to_epoch, ImageKey, JobIndex, TaskKey};
 
-/// The part of a fencing token that counts within an epoch.
+/// Mask of the counter in a fencing token. The counter rises within an epoch; the remaining bits
+/// hold the epoch.
 const TOKEN_COUNTER_MASK: u64 = 0xff_ffff;
 
-/// Where a machine is between its provisioning and its end.
+/// The state of a machine in its life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
-    /// Provisioned or named in a record; this leader has not had a heartbeat of it yet.
+    /// Provisioned or named in a record, but this leader has not received a heartbeat from the
+    /// machine yet.
     Provisioning,
-    /// Has sent a heartbeat that does not show a fencing token of this epoch yet.
+    /// The machine has sent a heartbeat but not acknowledged a fencing token of this epoch yet.
     Registering,
-    /// Shows a fencing token of this epoch: its heartbeats prove what runs on it.
+    /// The machine has acknowledged a fencing token of this epoch, so its heartbeats prove which
+    /// tasks run on it.
     Ready,
-    /// Silent for longer than its lease: its tasks have stopped.
+    /// The machine has been silent for longer than its lease, so its tasks have stopped.
     LeaseExpired,
-    /// Being released to the cloud.
+    /// The machine is being released to the cloud, which has not confirmed the release yet.
     Releasing,
-    /// Released, failed or interrupted: nothing can run on it.
+    /// The machine has been released, has failed or was interrupted: nothing can run on it.
     Terminated,
 }
 
-/// Tasks that a machine held when it lost everything.
+/// Tasks that a machine may have run when it was lost.
 pub(super) struct LostTasks {
     /// Tasks that were placed on the machine.
     pub placed: Vec<TaskKey>,
-    /// Tasks that an earlier leader may have started there.
+    /// Tasks that an earlier leader may have started on the machine.
     pub unproven: Vec<TaskKey>,
 }
 
-/// What the leader knows of one machine. Times are of the steady clock in milliseconds.
+/// The leader's record of one machine. Times are milliseconds of the steady clock.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Name that the cloud gave it.
+    /// Name that the cloud assigned to the machine.
     pub name: String,
-    /// Address of its agent, once known.
+    /// Address of the machine's agent; `None` until known.
     pub addr: Option<SocketAddr>,
     /// Machine type; empty until known.
     pub kind: String,
-    /// Index of its zone in the platform's settings.
+    /// Index of the machine's zone in the platform's settings.
     pub zone: Option<u16>,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Changed by `Controller::set_machine_state` alone.
+    /// State in the life cycle. Only `Controller::set_machine_state` changes it.
     pub state: MachineState,
-    /// Incarnation of its agent.
+    /// Incarnation of the machine's agent; 0 until the first heartbeat.
     pub agent_epoch: u64,
-    /// Detects heartbeats that arrive twice or late.
+    /// Detects heartbeats that were delivered twice or late.
     pub(super) duplicates: DuplicateDetector,
-    /// Whether commands arrive at it.
+    /// Whether messages are believed to reach the machine.
     pub reachability: Reachability,
-    /// Token of its newest heartbeat.
+    /// Fencing token in the machine's newest heartbeat.
     pub(super) acknowledged_token: u64,
-    /// Token that its commands carry: the epoch and a counter that rises whenever a command's
-    /// outcome is unknown, so that the agent refuses that command if it arrives late.
+    /// Fencing token that commands to the machine carry: the epoch and a counter that rises
+    /// whenever a command's outcome is unknown, so that the agent refuses that command if it
+    /// arrives late.
     pub(super) fencing_token: u64,
-    /// When one of its heartbeats was last answered, which renewed its lease.
+    /// When a heartbeat of the machine was last answered, which renewed its lease.
     pub(super) last_answered_ms: Option<u64>,
-    /// When the last message of it arrived; 0 if none has.
+    /// When the last message from the machine arrived; 0 if none has arrived.
     pub(super) last_heard_ms: u64,
-    /// Since when this leader knows it.
+    /// When this leader first learned of the machine.
     pub(super) known_since_ms: u64,
-    /// When the cloud will interrupt it, if it gave notice.
+    /// When the cloud will interrupt the machine; `None` without an interruption notice.
     pub interruption_at_ms: Option<u64>,
-    /// Tasks placed on it, with their attempt numbers.
+    /// Tasks placed on the machine, with their attempt numbers.
     pub tasks: BTreeMap<TaskKey, u64>,
-    /// Tasks that have a probe in its queue.
+    /// Tasks that have a probe in the machine's queue.
     pub queue: Vec<TaskKey>,
-    /// E\[W\] of the queue in seconds, estimated anew each heartbeat interval.
+    /// Expected wait in the queue (E\[W\]) in seconds, estimated anew each heartbeat interval.
     pub wait_s: f64,
-    /// Tasks that an earlier leader may have started here.
+    /// Tasks that an earlier leader may have started on the machine.
     pub unproven: Vec<TaskKey>,
-    /// What its tasks use.
+    /// Resources that the machine's tasks use.
     pub used: Resources,
-    /// What tasks of each priority use and would give up to higher ones, lowest first.
+    /// Resources that tasks of each priority use and that higher priorities may preempt, lowest
+    /// priority first.
     pub preemptible_by_priority: [Resources; 4],
-    /// What services of each priority use; they don't end by themselves. As of this interval.
+    /// Resources used by services of each priority, computed once per heartbeat interval. Services
+    /// don't end by themselves.
     pub services_by_priority: [Resources; 4],
-    /// Since when nothing has run on it.
+    /// Start of the period in which no task has run on the machine.
     pub idle_since_ms: u64,
-    /// Starts bound to it that are not sent yet: task and attempt number.
+    /// Starts bound to the machine that have not been sent yet: task and attempt number.
     pub pending_starts: Vec<(TaskKey, u64)>,
-    /// The last direct command to it was not answered.
+    /// Whether the machine is considered unreachable by direct commands: the last command to it
+    /// was not answered, or it is reached through other controllers.
     pub cut: bool,
-    /// When a direct command last failed after it was reachable, or after a retry was due.
+    /// When the machine became unreachable by direct commands, or when a direct retry last failed.
     pub(super) unreachable_since_ms: u64,
-    /// The controller that relays its heartbeats, by its index in the settings.
+    /// Index in the settings of the controller that relays the machine's heartbeats.
     pub(super) relayed_by: Option<usize>,
-    /// The lease proxy that mails its heartbeats, by its index in the settings.
+    /// Index in the settings of the lease proxy that passes on the machine's heartbeats through the
+    /// key-value store.
     pub via: Option<usize>,
-    /// Whether a call with commands waits for its answer.
+    /// Whether a command to the machine awaits its answer.
     pub(super) command_in_flight: bool,
-    /// Tasks of its newest heartbeat.
+    /// Tasks in the machine's newest heartbeat.
     pub(super) reported_tasks: Vec<HeartbeatTask>,
-    /// The newest heartbeat began an agent epoch: all that ran in earlier ones is gone.
+    /// Whether the newest heartbeat began a new agent epoch: all tasks of earlier agent epochs have
+    /// ended.
     pub(super) new_agent_epoch: bool,
-    /// Images that tasks have run from here.
+    /// Images of tasks that have run on the machine.
     pub images: BTreeSet<ImageKey>,
-    /// Jobs whose tasks failed here since one last completed.
+    /// Jobs whose tasks have failed on the machine since a task last completed on it.
     pub failures: BTreeSet<JobIndex>,
-    /// Suspected faulty: gets no new work. Changed by `Controller::update_quarantine` alone.
+    /// Whether the machine is suspected to be faulty and gets no new work. Only
+    /// `Controller::update_quarantine` changes it.
     pub quarantined: bool,
-    /// When a quarantined machine is drained and released.
+    /// When the machine is drained and released if it is quarantined.
     pub(super) evict_from_ms: u64,
-    /// Until when no start is sent to it.
+    /// Before this time, no start is sent to the machine.
     no_starts_until_ms: u64,
-    /// When it was last asked for its status.
+    /// When the machine's status was last queried; 0 if never.
     pub inspected_ms: u64,
 }
 
 impl Machine {
-    /// A machine of which only the name is known.
+    /// Creates the record of a machine of which only the name is known.
     pub(super) fn new(name: &str, fencing_token: u64, now_ms: u64) -> Self {
         Machine {
             name: name.to_string(),
@@ -161,18 +171,19 @@
         }
     }
 
-    /// Quarantined for long enough that it is drained and released.
+    /// Returns whether the machine has been quarantined for long enough to be drained and released.
     pub fn is_due_for_eviction(&self, now_ms: u64) -> bool {
         self.quarantined && now_ms >= self.evict_from_ms
     }
 
-    /// What the lowest priority uses: every other priority may preempt it.
+    /// Returns the resources used by tasks of the lowest priority, which every other priority may
+    /// preempt.
     pub fn low(&self) -> Resources {
         self.preemptible_by_priority[Priority::Low as usize]
     }
 
-    /// Resources that work of this priority could free by preemption: below high priority
-    /// only the lowest may be preempted.
+    /// Returns the resources that work of this priority could free by preemption. Work below high
+    /// priority may preempt only the lowest priority.
     pub fn preemptible_for(&self, priority: Priority) -> Resources {
         let priorities_below = match priority {
             Priority::Low => 0,
@@ -182,13 +193,13 @@
         sum(&self.preemptible_by_priority[..priorities_below])
     }
 
-    /// Resources that work of this priority can't get from services as long as they run.
+    /// Returns the resources used by services that work of this priority can't preempt.
     pub fn used_by_services(&self, priority: Priority) -> Resources {
         sum(&self.services_by_priority[priority as usize..])
     }
 
-    /// Whether it may hold work: ready, not quarantined, not about to be interrupted, and
-    /// reachable.
+    /// Returns whether the machine may be given work: it is ready, not quarantined, not about to be
+    /// interrupted, and not one-way unreachable.
     pub fn usable(&self) -> bool {
         self.state == MachineState::Ready
             && !self.quarantined
@@ -196,29 +207,29 @@
             && !self.reachability.is_one_way_unreachable()
     }
 
-    /// Whether a task may be started on it now.
+    /// Returns whether a task may be started on the machine now.
     pub fn takes_work(&self, now_ms: u64) -> bool {
         self.usable() && now_ms >= self.no_starts_until_ms && self.reachability.accepts_new_work()
     }
 
-    /// Whether this leader has had any message of it.
-    pub(super) fn has_been_heard(&self) -> bool {
+    /// Returns whether this leader has received any message from the machine.
+    pub(super) fn has_been_heard_from(&self) -> bool {
         self.last_heard_ms > 0
     }
 
-    /// Whether tasks are placed on it or may run there.
+    /// Returns whether tasks are placed on the machine, or an earlier leader may have started some.
     pub(super) fn may_hold_tasks(&self) -> bool {
         !self.tasks.is_empty() || !self.unproven.is_empty()
     }
 
-    /// Notes that it has answered a call: it is alive now, and commands reach it.
+    /// Records that the machine has answered a call: it is alive now, and commands reach it.
     pub(super) fn record_command_answered(&mut self, now_ms: u64) {
         self.last_heard_ms = now_ms;
         self.reachability.on_command_answered(now_ms);
     }
 
-    /// Notes that its newest heartbeat is answered, which renews its lease, and by which
-    /// controller the heartbeat was relayed, if any.
+    /// Records that the machine's newest heartbeat is answered, which renews its lease, and which
+    /// controller relayed the heartbeat, if any.
     pub(super) fn record_heartbeat_answered(&mut self, now_ms: u64, relayed_by: Option<usize>) {
         self.last_answered_ms = Some(now_ms);
         self.reachability.on_heartbeat_answered();
@@ -227,25 +238,26 @@
         self.via = None;
     }
 
-    /// Notes that a superseded heartbeat is answered: the lease that this renews counts from
-    /// the newest heartbeat at most.
+    /// Records that a superseded heartbeat is answered. The renewed lease begins no later than the
+    /// arrival of the machine's newest message.
     pub(super) fn record_superseded_answered(&mut self) {
         let last_answered_ms = self.last_answered_ms.unwrap_or(0);
         self.last_answered_ms = Some(last_answered_ms.max(self.last_heard_ms));
     }
 
-    /// Sends no start to it until this time.
+    /// Prevents starts on the machine before this time.
     pub(super) fn pause_starts(&mut self, until_ms: u64) {
         self.no_starts_until_ms = until_ms;
     }
 
-    /// Raises the token, so that commands still on their way are refused when they arrive.
+    /// Advances the fencing token, so that the agent refuses commands that are still in transit.
     pub(super) fn advance_fencing_token(&mut self, epoch: u64) {
         let counter = self.fencing_token & TOKEN_COUNTER_MASK;
         self.fencing_token = scoped_to_epoch(epoch, counter + 1);
     }
 
-    /// Forgets all that was on the machine; returns the tasks that are lost.
+    /// Clears everything that was on the machine and returns the lost tasks. The caller removes the
+    /// placed tasks by requeueing them.
     pub(super) fn clear_tasks(&mut self, epoch: u64, now_ms: u64) -> LostTasks {
         self.advance_fencing_token(epoch);
         self.reported_tasks.clear();
--- a/crates/core/src/fleet/machine_states.rs
+++ b/crates/core/src/fleet/machine_states.rs
@@ -1,7 +1,7 @@
-//! Changes of a machine's state, and what follows from them.
+//! Changes of a machine's state, and their effects on its tasks.
 //!
-//! Invariant: a task returns to the queue only when it is proven that it runs nowhere. A
-//! machine that is expired or terminated proves it for all that was placed on it.
+//! Invariant: a task returns to the queue only when it is proven that it runs nowhere. The expiry
+//! of a machine's lease, or its termination, proves this for all tasks placed on the machine.
 
 use super::machine::{Machine, MachineState};
 use crate::controller::Controller;
@@ -9,7 +9,7 @@
 use crate::jobs::TaskState;
 
 impl Controller {
-    /// The index of the machine with this name, which is added if it is new.
+    /// Returns the index of the machine with this name. A machine that is not known yet is added.
     pub(crate) fn machine(&mut self, name: &str) -> MachineIndex {
         if let Some(index) = self.machines.find(name) {
             return index;
@@ -18,10 +18,10 @@
         self.machines.insert(Machine::new(name, first_token, self.context.now.steady_ms))
     }
 
-    /// The one function that changes a machine's state.
+    /// Changes a machine's state. No other function does so.
     pub(super) fn set_machine_state(&mut self, index: MachineIndex, state: MachineState) {
         let Some(machine) = self.machines.get_mut(index) else { return };
-        // A release is over only when the cloud has confirmed it.
+        // A release ends only when the cloud has confirmed it.
         let releasing =
             machine.state == MachineState::Releasing && state != MachineState::Terminated;
         if machine.state == state || releasing || machine.state == MachineState::Terminated {
@@ -41,26 +41,26 @@
         }
     }
 
-    /// Nothing that was on the machine can run there any more.
+    /// Requeues the tasks of a machine on which nothing can run any more.
     pub(super) fn on_machine_lost(&mut self, index: MachineIndex) {
         let (epoch, now_ms) = (self.epoch(), self.context.now.steady_ms);
         let Some(machine) = self.machines.get_mut(index) else { return };
         let lost = machine.clear_tasks(epoch, now_ms);
         tracing::info!(
             machine = %machine.name, state = ?machine.state, tasks = lost.placed.len(),
-            "machine lost: its tasks return to the queue"
+            "machine lost: requeueing its tasks"
         );
         for key in lost.placed {
             self.return_to_queue(key);
         }
-        self.prove_not_running(index, lost.unproven);
+        self.record_not_running(index, lost.unproven);
         self.requeue_probes(index);
         self.supply_changed = true;
     }
 
-    /// None of these tasks can be on the machine any more. Those that can be nowhere else
-    /// either return to the queue.
-    pub(super) fn prove_not_running(&mut self, index: MachineIndex, keys: Vec<TaskKey>) {
+    /// Records that these tasks can't run on the machine any more. An unproven task that can't run
+    /// on any other machine either returns to the queue.
+    pub(super) fn record_not_running(&mut self, index: MachineIndex, keys: Vec<TaskKey>) {
         for key in keys {
             let Some(task) = self.jobs.task_mut(key) else { continue };
             for probe in task.probes.iter_mut().filter(|probe| probe.machine == index) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The machine will start nothing more: the tasks in its queue need other probes.
+    /// Clears the queue of a machine that takes no more work. The tasks in it need new probes.
     pub(super) fn requeue_probes(&mut self, index: MachineIndex) {
         let Some(machine) = self.machines.get_mut(index) else { return };
         let queue = std::mem::take(&mut machine.queue);
--- a/crates/core/src/fleet/machine_table.rs
+++ b/crates/core/src/fleet/machine_table.rs
@@ -1,12 +1,12 @@
-//! All machines that the leader knows, by index and by name.
+//! The table of all machines that the leader knows, by index and by name.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::machine::Machine;
 use crate::ids::MachineIndex;
 
-/// The leader's machines. An index is never used twice within an epoch, and iteration goes by
-/// index, so that decisions repeat from the same events.
+/// All machines that the leader knows. An index is never reused within an epoch, and iteration is
+/// in the order of the indexes, so that the same events lead to the same decisions.
 #[derive(Default)]
 pub struct Machines {
     table: BTreeMap<MachineIndex, Machine>,
@@ -15,37 +15,38 @@
 }
 
 impl Machines {
-    /// The machine with this index, unless it has been removed.
+    /// Returns the machine with this index; `None` if it has been removed.
     pub fn get(&self, index: MachineIndex) -> Option<&Machine> {
         self.table.get(&index)
     }
 
-    /// The same, to be changed.
+    /// Returns the machine with this index for modification; `None` if it has been removed.
     pub fn get_mut(&mut self, index: MachineIndex) -> Option<&mut Machine> {
         self.table.get_mut(&index)
     }
 
-    /// The index of the machine with this name.
+    /// Returns the index of the machine with this name; `None` if the name is not known.
     pub fn find(&self, name: &str) -> Option<MachineIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// All machines in the order of their indexes.
+    /// Iterates over all machines in the order of their indexes.
     pub fn iter(&self) -> impl Iterator<Item = (MachineIndex, &Machine)> {
         self.table.iter().map(|(index, machine)| (*index, machine))
     }
 
-    /// How many machines are known.
+    /// Returns the number of known machines, including expired and terminated ones.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// The indexes of all machines, in order.
+    /// Returns the indexes of all machines in ascending order.
     pub fn indexes(&self) -> Vec<MachineIndex> {
         self.table.keys().copied().collect()
     }
 
-    /// Excludes a time in which no machine was given work from their idle times.
+    /// Excludes a period in which no machine was given work from the idle times of all
+    /// machines, by moving the start of each idle time forward, to `now_ms` at most.
     pub fn extend_idle_start(&mut self, by_ms: u64, now_ms: u64) {
         for machine in self.table.values_mut() {
             machine.idle_since_ms = (machine.idle_since_ms + by_ms).min(now_ms);
@@ -61,7 +62,7 @@
         index
     }
 
-    /// Removes a machine; nothing may refer to its index any more.
+    /// Removes a machine. The caller makes sure that nothing refers to its index any more.
     pub fn remove(&mut self, index: MachineIndex) {
         if let Some(machine) = self.table.remove(&index) {
             self.by_name.remove(&machine.name);
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -1,10 +1,10 @@
 //! The fleet: machines and their states, heartbeats, commands and fencing, fault attribution,
 //! and provisioning.
 //!
-//! Only the leader keeps a [`Machine`] for each worker. It changes by heartbeats, by outcomes of
-//! commands and by the cloud's list; tasks that a machine loses return to the queue. Two
-//! invariants are guarded here: a command whose outcome is unknown can't take effect later
-//! (`commands`), and a task is given up only when it is proven that it runs nowhere
+//! Only the leader keeps a [`Machine`] for each worker. Heartbeats, outcomes of commands and the
+//! cloud's list of machines update a `Machine`; tasks that a machine loses return to the queue.
+//! This module maintains two invariants: a command whose outcome is unknown can't take effect
+//! later (`commands`), and a task is requeued only when it is proven that it runs nowhere
 //! (`reconciliation`, `silent_machines`).
 
 mod calls;
@@ -26,7 +26,7 @@
 pub(crate) use calls::FleetCall;
 pub(crate) use out_of_zone_workers::OutOfZoneWorkers;
 
-/// The types of machines, for the modules that place work on them.
+/// Types that describe machines, re-exported for the modules that place work on machines.
 pub(crate) mod machines {
     pub(crate) use super::heartbeats::is_plausible;
     pub(crate) use super::machine::{Machine, MachineState};
--- a/crates/core/src/fleet/out_of_zone_workers.rs
+++ b/crates/core/src/fleet/out_of_zone_workers.rs
@@ -1,24 +1,25 @@
 //! Workers of other zones that send their heartbeats to this follower.
 //!
-//! Such a worker may have come because it can't reach the leader, so its heartbeats are relayed
-//! at first. After two leases it is redirected to the leader, to try it again; if it comes back
-//! it is relayed for ten leases before the next redirect.
+//! Such a worker may send its heartbeats here because it can't reach the leader, so this follower
+//! relays them at first. After two leases the worker is redirected, to try the leader again. If
+//! the worker returns, its heartbeats are relayed for ten leases before the next redirect.
 
 use std::collections::BTreeMap;
 
 use crate::capacity::forget_oldest;
 
-/// Leases for which a worker that is new here is relayed.
+/// Number of leases for which the heartbeats of a new worker are relayed.
 const RELAY_NEW_FOR_LEASES: u64 = 2;
-/// Leases for which a worker is relayed that has come back after a redirect.
+/// Number of leases for which the heartbeats of a worker that returned after a redirect are
+/// relayed.
 const RELAY_RETURNED_FOR_LEASES: u64 = 10;
 
-/// What a follower knows of one worker; times are of the steady clock in milliseconds.
+/// A follower's record of one worker. Times are milliseconds of the steady clock.
 #[derive(Debug)]
 struct OutOfZoneWorker {
-    /// Since when it has sent heartbeats here, or when it was last redirected.
+    /// When the worker first sent a heartbeat here, or when it was last redirected.
     since_ms: u64,
-    /// When it was last redirected to the leader; 0 if it has not been.
+    /// When the worker was last redirected to the leader; 0 if never.
     redirected_ms: u64,
 }
 
@@ -34,14 +35,16 @@
     }
 }
 
-/// Workers of other zones, by machine name; the oldest are forgotten beyond a limit.
+/// Workers of other zones, by machine name. Beyond a limit, the records that changed longest ago
+/// are evicted.
 #[derive(Debug, Default)]
 pub(crate) struct OutOfZoneWorkers {
     workers: BTreeMap<String, OutOfZoneWorker>,
 }
 
 impl OutOfZoneWorkers {
-    /// Whether a worker's heartbeat is relayed; if not, it is redirected and that is noted.
+    /// Returns whether a worker's heartbeat is relayed. If it is not, the caller redirects the
+    /// worker, and the time of the redirect is recorded.
     pub fn should_relay(
         &mut self,
         machine: &str,
--- a/crates/core/src/fleet/provisioning/capacity_pool.rs
+++ b/crates/core/src/fleet/provisioning/capacity_pool.rs
@@ -1,23 +1,23 @@
-//! Free capacity of the fleet, by groups of machines that are alike.
+//! Free capacity of the fleet, by groups of equivalent machines.
 //!
-//! Machines that are alike are counted and not listed, so that weighing demand against their
+//! Equivalent machines are counted rather than listed, so that the cost of comparing demand with
 //! capacity does not grow with the fleet.
 
 use std::collections::BTreeMap;
 
 use crate::fleet::resources::Resources;
 
-/// Machines of one type, zone and kind with the same free resources.
+/// Machines of the same type and zone, all spot or all regular, with the same free resources.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MachineGroup {
-    /// Machine type.
+    /// Name of the machine type.
     pub kind: String,
     /// Index of the zone in the platform's settings.
     pub zone: Option<u16>,
-    /// Whether they are spot instances.
+    /// Whether the machines are spot instances.
     pub spot: bool,
-    /// What is free on each: CPUs, GPUs and gigabytes of memory in thousandths, so that groups
-    /// can be compared.
+    /// Free resources of each machine, in thousandths of CPUs, GPUs and gigabytes of memory. The
+    /// integers make groups comparable.
     free_thousandths: [i64; 3],
 }
 
@@ -26,13 +26,14 @@
         MachineGroup { kind: kind.to_string(), zone, spot, free_thousandths: thousandths(free) }
     }
 
-    /// What is free on each machine.
+    /// Returns the free resources of each machine in the group.
     pub fn free(&self) -> Resources {
         let [cpus, gpus, memory_gb] = self.free_thousandths.map(|amount| amount as f64 / 1000.0);
         Resources { cpus, gpus, memory_gb }
     }
 
-    /// The group that a machine of this one belongs to with so many tasks more.
+    /// Returns the group to which a machine of this group belongs after `tasks` more tasks have
+    /// been placed on it.
     fn with_tasks(&self, need: &Resources, tasks: u32) -> MachineGroup {
         let mut free = self.free();
         free.add(need, -f64::from(tasks));
@@ -45,14 +46,14 @@
         .map(|amount| (amount * 1000.0).round() as i64)
 }
 
-/// Groups of machines, and how many machines are in each.
+/// Groups of machines, with the number of machines in each.
 #[derive(Default)]
 pub(super) struct CapacityPool {
     groups: BTreeMap<MachineGroup, u32>,
 }
 
 impl CapacityPool {
-    /// Adds so many machines.
+    /// Adds `machines` machines to a group.
     pub fn add(&mut self, group: MachineGroup, machines: u32) {
         if machines > 0 {
             *self.groups.entry(group).or_default() += machines;
@@ -68,12 +69,12 @@
         }
     }
 
-    /// All groups, in order.
+    /// Iterates over all groups in ascending order.
     pub fn groups(&self) -> impl Iterator<Item = &MachineGroup> {
         self.groups.keys()
     }
 
-    /// How many tasks fit on the machines that are eligible.
+    /// Returns how many tasks fit on all eligible machines.
     pub fn count_fitting(&self, need: &Resources, eligible: impl Fn(&MachineGroup) -> bool) -> u32 {
         self.groups
             .iter()
@@ -82,7 +83,7 @@
             .fold(0, u32::saturating_add)
     }
 
-    /// Places as many of the tasks as fit on eligible machines. Returns how many don't fit.
+    /// Places as many of the tasks as fit on eligible machines, and returns how many don't fit.
     pub fn place(
         &mut self,
         need: &Resources,
@@ -112,7 +113,7 @@
         tasks
     }
 
-    /// Places so many tasks on each of so many machines of a group.
+    /// Places `tasks_each` tasks on each of `machines` machines of a group.
     pub fn occupy(
         &mut self,
         group: &MachineGroup,
--- a/crates/core/src/fleet/provisioning/cloud_list.rs
+++ b/crates/core/src/fleet/provisioning/cloud_list.rs
@@ -1,7 +1,7 @@
-//! The cloud's list of machines, read page by page, and what it says about each of them.
+//! Reading of the cloud's list of machines, page by page, and the updates of machines from it.
 //!
-//! The list lags behind: a machine that was created lately may be missing, and one that was
-//! released may still be on it.
+//! The list lags behind the cloud's actual state: a machine that was created recently may be
+//! missing, and a machine that was released may still be listed.
 
 use quartzgate_wire::from_cbor;
 use quartzgate_wire::msg::{CloudStatus, ListedMachine, MachineList};
@@ -13,16 +13,16 @@
 use crate::ids::MachineIndex;
 use crate::{Outcome, Peer};
 
-/// Timeout of a request for a page, in milliseconds.
+/// Timeout of a request for a page of the list, in milliseconds.
 const LIST_TIMEOUT_MS: u64 = 2000;
-/// The list is read again after at least this many heartbeat intervals.
+/// Minimum interval between two reads of the list, in heartbeat intervals.
 const LIST_EVERY_INTERVALS: u64 = 2;
-/// A listed machine that has sent nothing is asked for its status this often, in heartbeat
-/// intervals.
+/// Minimum interval between status queries to a listed machine that has not sent any message, in
+/// heartbeat intervals.
 const INSPECT_EVERY_INTERVALS: u64 = 2;
 
 impl Controller {
-    /// Begins to read the list when it is due.
+    /// Begins to read the list if that is due.
     pub(super) fn tick_machine_list(&mut self) {
         let now_ms = self.context.now.steady_ms;
         if now_ms < self.provisioner.next_list_ms || self.provisioner.list_in_flight {
@@ -34,7 +34,7 @@
         self.list_machines(None);
     }
 
-    /// Asks for the first page, or for the one that begins after the name `since`.
+    /// Requests the first page of the list, or the page that begins after the name `since`.
     pub(crate) fn list_machines(&mut self, since: Option<String>) {
         let mut target = "/machines?most=500".to_string();
         match &since {
@@ -48,7 +48,8 @@
         self.call_for_fleet(Peer::Cloud, "GET", target, Vec::new(), LIST_TIMEOUT_MS, purpose);
     }
 
-    /// A page of the list has come, or has not.
+    /// Handles the outcome of a request for a page of the list. Without a valid page, reading stops
+    /// until the list is due again.
     pub(crate) fn on_list(&mut self, since: Option<String>, outcome: Outcome) {
         self.provisioner.list_in_flight = false;
         if since.is_none() {
@@ -74,7 +75,7 @@
         let mut failed = Vec::new();
         for listed in page.machines {
             self.provisioner.partial_list.names.insert(listed.name.clone());
-            // The list lags: a machine that has been released may still be on it.
+            // The list lags, so a machine that has been released may still be listed.
             if self.is_released(&listed.name) {
                 continue;
             }
@@ -103,7 +104,8 @@
         index
     }
 
-    /// A failed machine has stopped: nothing is on it. Its release takes it off the list.
+    /// Releases a machine that the cloud lists as failed. No task runs on it any more; its release
+    /// removes it from the list.
     fn release_failed(&mut self, index: MachineIndex) {
         let Some(machine) = self.machines.get(index) else { return };
         if machine.state != MachineState::Terminated {
@@ -124,7 +126,7 @@
             since_ms,
         });
         let known = self.machines.find(&listed.name);
-        if known.is_some_and(|index| self.machine_has_been_heard(index)) {
+        if known.is_some_and(|index| self.machine_has_been_heard_from(index)) {
             self.provisioner.expected.remove(&listed.name);
         } else if age_ms > deadline_ms {
             tracing::info!(machine = %listed.name, age_s = listed.age_s, "machine did not boot in time");
@@ -146,7 +148,7 @@
             machine.zone = zone;
             machine.spot = listed.spot;
         }
-        if machine.has_been_heard() {
+        if machine.has_been_heard_from() {
             self.provisioner.expected.remove(&listed.name);
             return;
         }
@@ -156,11 +158,11 @@
         }
     }
 
-    /// Whether the cloud has the machine no more: the last complete list doesn't show it, and
-    /// describes a moment at which it must have existed. As the list lags, that is so if it
-    /// shows a machine with a later name (names are in order of creation), or if the machine has
-    /// been known for longer than a list can lag. Any other machine may be up and full of work
-    /// without being listed.
+    /// Returns whether the machine no longer exists in the cloud: the last complete list doesn't
+    /// contain the machine, although it reflects a time at which the machine had been created. As
+    /// the list lags, this holds if the list contains a later name (names are in order of
+    /// creation), or if the machine had been known for longer than the maximum lag when the list
+    /// was requested. Any other machine may be running tasks without being listed.
     pub(in crate::fleet) fn unlisted(&self, machine: &Machine) -> bool {
         let Some(list) = &self.provisioner.complete_list else { return false };
         let max_lag_ms = (2000.0 * self.context.config.platform.params.cloud.list_lag_s) as u64;
--- a/crates/core/src/fleet/provisioning/demand.rs
+++ b/crates/core/src/fleet/provisioning/demand.rs
@@ -1,4 +1,4 @@
-//! Unmet demand: tasks that wait and fit on no machine, neither up nor expected.
+//! Unmet demand: waiting tasks that fit on no machine, neither on a usable nor on an expected one.
 
 use std::cmp::Reverse;
 
@@ -9,30 +9,31 @@
 use crate::fleet::resources::Resources;
 use crate::jobs::{Job, JobState, TaskState};
 
-/// Least CPU need that a team's limit is divided by.
+/// Lower bound of a task's CPU need when the remainder of its team's limit is divided by it.
 const MIN_TASK_CPUS: f64 = 1e-9;
 
-/// Tasks of one job that no machine has capacity for.
+/// Tasks of one job for which no machine has capacity.
 pub(super) struct UnmetDemand {
-    /// The job, with the zone in which its tasks are wanted.
+    /// The job's specification, restricted to the zone in which the tasks should run, if any.
     pub spec: JobSpec,
-    /// How many of its tasks.
+    /// Number of the job's tasks without capacity.
     pub tasks: u32,
 }
 
-/// Capacity that stays free for production tasks.
+/// Capacity that should stay free for production tasks.
 pub(super) struct WarmCapacity {
-    /// What the largest production task needs.
+    /// Resources that the largest production task needs.
     pub need: Resources,
-    /// For how many such tasks there should be capacity.
+    /// Number of such tasks for which capacity should stay free.
     pub tasks: u32,
 }
 
-/// The one zone in which all of a gang's tasks run, or none if they may run in any.
+/// The zone in which all tasks of a gang run; `None` if each task may run in any zone.
 type ZoneChoice = Option<u16>;
 
 impl Controller {
-    /// Demand that exceeds the free and the expected capacity, most urgent jobs first.
+    /// Returns the demand that exceeds the free and the expected capacity, jobs of the highest
+    /// priority first.
     pub(super) fn unmet_demand(&self) -> Vec<UnmetDemand> {
         let mut pool = self.capacity_pool();
         let mut unmet = Vec::new();
@@ -66,11 +67,12 @@
         jobs.into_iter().map(|(_, job)| job)
     }
 
-    /// Free capacity of the fleet and of the machines that are expected.
+    /// Returns the free capacity of usable, expected and requested machines.
     fn capacity_pool(&self) -> CapacityPool {
         let mut pool = CapacityPool::default();
         for (_, machine) in self.machines.iter().filter(|(_, machine)| machine.usable()) {
-            // Every other priority may preempt the lowest.
+            // Resources used by the lowest priority count as free, because every other priority may
+            // preempt it.
             let mut free = self.free_resources(machine);
             free.add(&machine.low(), 1.0);
             pool.add(MachineGroup::new(&machine.kind, machine.zone, machine.spot, &free), 1);
@@ -89,35 +91,36 @@
         pool
     }
 
-    /// Whether tasks of a job may run on machines of a group.
+    /// Returns whether tasks of a job may run on machines of a group.
     fn is_eligible(&self, spec: &JobSpec, group: &MachineGroup) -> bool {
         let capacity = self.capacity_of(&group.kind);
         !capacity.is_some_and(|capacity| self.wastes_scarce_gpus(spec, &capacity))
             && self.allows(spec, &group.kind, group.zone, group.spot)
     }
 
-    /// Machines with GPUs are neither provisioned nor counted on for work that needs none while
-    /// GPUs are scarce.
+    /// Returns whether a job would occupy scarce GPUs that it doesn't need. While GPUs are scarce,
+    /// machines with GPUs are neither provisioned nor counted as capacity for such a job.
     pub(super) fn wastes_scarce_gpus(&self, spec: &JobSpec, capacity: &Resources) -> bool {
         capacity.gpus > 0.0 && spec.gpus <= 0.0 && self.ratios.gpus_scarce()
     }
 
-    /// Tasks of a job that wait and may run, within its team's limit. The CPUs of those that are
-    /// not placed yet are added to what the team's jobs claim.
+    /// Returns for how many tasks of a job capacity is wanted, within its team's limit. The CPUs of
+    /// tasks that are not placed yet are added to `claimed_cpus`, the claims of the team's jobs.
     fn wanted_tasks(&self, job: &Job, claimed_cpus: &mut f64) -> u32 {
         let waiting =
             job.tasks().filter(|(_, task)| task.state == TaskState::Waiting).count() as u32;
         let unplaced = unplaced_tasks(job).min(self.tasks_within_limit(job, *claimed_cpus));
         *claimed_cpus += f64::from(unplaced) * job.spec.cpus;
         let wanted = job.asking(waiting + unplaced);
-        // Best-effort jobs use spare capacity: none is provisioned while some of their tasks run.
+        // Best-effort jobs use spare capacity: capacity is wanted for at most one task of such a
+        // job, and only while none of its tasks is bound to a machine.
         match self.is_best_effort(job) {
             true => wanted.min(u32::from(job.bound == 0)),
             false => wanted,
         }
     }
 
-    /// How many more tasks of a job its team's limit allows.
+    /// Returns how many more tasks of a job its team's limit allows.
     fn tasks_within_limit(&self, job: &Job, claimed_cpus: f64) -> u32 {
         let max_cpus = self.context.config.platform.params.teams[job.team].cpus_max;
         if max_cpus <= 0.0 {
@@ -127,7 +130,8 @@
         (cpus_left / job.spec.cpus.max(MIN_TASK_CPUS)).max(0.0) as u32
     }
 
-    /// Demand of a job that is spread over zones: none takes more than half of its tasks.
+    /// Returns the unmet demand of a job that is spread over zones. No zone gets more than half of
+    /// the job's tasks, rounded up.
     fn unmet_spread(&self, job: &Job, wanted: u32, pool: &mut CapacityPool) -> Vec<UnmetDemand> {
         let zones = &self.context.config.platform.params.zones;
         let need = job.resources();
@@ -154,7 +158,8 @@
             .collect()
     }
 
-    /// A group with capacity for a task of a spread job, in the zone with fewest of its tasks.
+    /// Returns a group with capacity for a task of a spread job, in the zone with the fewest tasks
+    /// of that job.
     fn least_used_zone_group(
         &self,
         job: &Job,
@@ -168,13 +173,13 @@
                 && self.is_eligible(&job.spec, group)
                 && group.free().fits(&need)
         };
-        let tasks_there =
+        let tasks_in_zone_of =
             |group: &&MachineGroup| group.zone.map_or(0, |zone| tasks_in_zone[zone as usize]);
-        pool.groups().filter(has_capacity).min_by_key(tasks_there).cloned()
+        pool.groups().filter(has_capacity).min_by_key(tasks_in_zone_of).cloned()
     }
 
-    /// Demand of a gang: what its tasks lack when all start together, in one zone if they must
-    /// be in the same.
+    /// Returns the unmet demand of a gang: the tasks without capacity if all tasks start together,
+    /// in a single zone if the job requires that. A gang with a placed task has no demand.
     fn unmet_gang(&self, job: &Job, pool: &mut CapacityPool) -> Option<UnmetDemand> {
         if job.on > 0 || job.tasks().any(|(_, task)| task.state.machine().is_some()) {
             return None;
@@ -202,19 +207,19 @@
         (tasks > 0).then_some(UnmetDemand { spec, tasks })
     }
 
-    /// What is missing of the capacity that should stay free for production tasks.
+    /// Returns the missing part of the capacity that should stay free for production tasks.
     fn unmet_warm_capacity(&self, pool: &CapacityPool) -> Option<UnmetDemand> {
         let warm = self.warm_capacity()?;
         let largest = self.largest_production_job()?;
         let fitting =
             pool.count_fitting(&warm.need, |group| self.is_eligible(&largest.spec, group));
-        // Production may preempt work of lower priorities.
+        // Production tasks may preempt work of lower priorities.
         let preemptible = self.preemptible_by_production();
         let tasks = warm.tasks.saturating_sub(fitting.saturating_add(preemptible));
         (tasks > 0).then(|| UnmetDemand { spec: largest.spec.clone(), tasks })
     }
 
-    /// Tasks on regular machines that production may preempt.
+    /// Returns the number of tasks on regular machines that production tasks may preempt.
     fn preemptible_by_production(&self) -> u32 {
         let below_production = |key: &&crate::ids::TaskKey| {
             self.jobs.get(key.job).is_some_and(|job| job.priority < Priority::Production)
@@ -227,8 +232,9 @@
             .count() as u32
     }
 
-    /// The capacity that should stay free for production: a configured fraction of what
-    /// production runs, in units of its largest task.
+    /// Returns the capacity that should stay free for production: a configured fraction of the
+    /// number of running production tasks, each with the need of the largest one. `None` if no
+    /// production job is live.
     pub(super) fn warm_capacity(&self) -> Option<WarmCapacity> {
         let largest = self.largest_production_job()?;
         let running: f64 = self.production_jobs().map(|job| f64::from(job.on)).sum();
@@ -248,7 +254,7 @@
     }
 }
 
-/// Tasks of a job that have not been placed yet and are not complete.
+/// Returns the number of a job's tasks that have not been placed yet and are not complete.
 fn unplaced_tasks(job: &Job) -> u32 {
     let placed = job.tasks().filter(|(_, task)| task.state != TaskState::Unplaced).count() as u32;
     let in_done_chunks: u32 = job
@@ -270,12 +276,11 @@
     tasks_in_zone
 }
 
-/// Whether a job may run in a zone.
 fn allows_zone(spec: &JobSpec, zone: &String) -> bool {
     spec.zone.as_ref().is_none_or(|wanted| wanted == zone)
 }
 
-/// The same job, to run in this zone only.
+/// Returns a copy of the job's specification that is restricted to this zone.
 fn in_zone(spec: &JobSpec, zone: &str) -> JobSpec {
     JobSpec { zone: Some(zone.to_string()), ..spec.clone() }
 }
--- a/crates/core/src/fleet/provisioning/mod.rs
+++ b/crates/core/src/fleet/provisioning/mod.rs
@@ -1,10 +1,10 @@
-//! Provisioning: machines are scaled out by unmet demand and price, and scaled in when they are
-//! idle, faulty or gone.
+//! Provisioning: scale-out of machines by unmet demand and price, and scale-in of machines that
+//! are idle, faulty or lost.
 //!
-//! `cloud_list` compares the fleet with the cloud's list, `demand` weighs waiting tasks against
-//! the free capacity that `capacity_pool` counts, `scale_out` asks for machines and `scale_in`
-//! releases them. Invariant: what a machine held counts as gone only when the cloud has
-//! confirmed its release or failure, or its lease has expired.
+//! `cloud_list` compares the fleet with the cloud's list of machines, `demand` compares waiting
+//! tasks with the free capacity that `capacity_pool` counts, `scale_out` requests machines and
+//! `scale_in` releases them. Invariant: the tasks of a machine count as stopped only when the
+//! cloud has confirmed the machine's release or failure, or when the machine's lease has expired.
 
 mod capacity_pool;
 mod cloud_list;
@@ -21,26 +21,27 @@
 use crate::ids::MachineIndex;
 use crate::storage::rate_limiter::RateLimiter;
 
-/// Share of the cloud's rate limit that is used.
+/// Fraction of the cloud's rate limit that the leader uses.
 const CLOUD_RATE_SHARE: f64 = 0.8;
-/// Timeout of requests that provision or release machines, in milliseconds.
+/// Timeout of requests to provision or release machines, in milliseconds.
 const CLOUD_CHANGE_TIMEOUT_MS: u64 = 3000;
-/// A machine is charged for at least this long (PROTOCOL).
+/// Minimum time for which the cloud charges a machine, in seconds (PROTOCOL).
 const MIN_CHARGE_S: f64 = 60.0;
-/// Machines that take longer than this many boot times are given up.
+/// A machine is released if it has not sent a heartbeat after this many boot times of its type and
+/// a lease.
 const MAX_BOOT_TIMES: f64 = 3.5;
-/// Boot time of a machine type that the cloud doesn't list.
+/// Boot time of a machine type that the cloud doesn't list, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// A kind of machine that the cloud offers: type, zone and whether it is spot. The order of the
-/// fields is the order in which requests are made.
+/// A machine type in one zone, as regular or spot instance, that the cloud offers. The order of the
+/// fields determines the order in which requests are made.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Offer {
-    /// Machine type.
+    /// Name of the machine type.
     pub kind: String,
     /// Index of the zone in the platform's settings.
     pub zone: u16,
-    /// Whether it is a spot instance.
+    /// Whether the offer is for spot instances.
     pub spot: bool,
 }
 
@@ -53,15 +54,15 @@
     since_ms: u64,
 }
 
-/// The names on the cloud's list.
+/// The names of machines on the cloud's list.
 #[derive(Debug, Default)]
 struct ListedNames {
     names: BTreeSet<String>,
-    /// When the first page of the list was asked for.
+    /// When the first page of the list was requested.
     requested_ms: u64,
 }
 
-/// What the leader knows of its requests to the cloud.
+/// The leader's state of its requests to the cloud.
 pub(crate) struct Provisioner {
     rate_limiter: RateLimiter,
     next_list_ms: u64,
@@ -70,23 +71,23 @@
     list_in_flight: bool,
     /// Machines that are expected to register, by name.
     expected: BTreeMap<String, PendingProvision>,
-    /// Offers that were refused, and until when they are not asked for again.
+    /// Offers that the cloud refused, and the time before which they are not requested again.
     refused_until_ms: BTreeMap<Offer, u64>,
-    /// Requests made in this epoch, for their names.
+    /// Number of provisioning requests made in this epoch, which makes their identifiers unique.
     requests_made: u64,
     requests_in_flight: usize,
-    /// Machines that requests in flight ask for.
+    /// Number of machines that the requests in flight ask for, by offer.
     requested: BTreeMap<Offer, u32>,
-    /// Machines to release that the cloud has not confirmed.
+    /// Machines to release for which a request to the cloud has yet to be sent, or sent again.
     to_release: Vec<MachineIndex>,
-    /// The list that is being read page by page.
+    /// The part of the list that has been read so far, page by page.
     partial_list: ListedNames,
-    /// The last list that was read whole.
+    /// The last list that was read completely.
     complete_list: Option<ListedNames>,
 }
 
 impl Provisioner {
-    /// The state of a new leader, who has not read the cloud's list yet.
+    /// Creates the state of a new leader, which has not read the cloud's list yet.
     pub fn new(config: &Config) -> Self {
         Provisioner {
             rate_limiter: RateLimiter::new(config.platform.params.cloud.rps * CLOUD_RATE_SHARE),
@@ -104,22 +105,22 @@
         }
     }
 
-    /// Machines that were provisioned and have not sent a heartbeat yet.
+    /// Returns the number of provisioned machines that have not sent a heartbeat yet.
     pub fn expected(&self) -> usize {
         self.expected.len()
     }
 }
 
 impl Controller {
-    /// Reads the cloud's list when it is due, and scales the fleet.
+    /// Reads the cloud's list if that is due, and scales the fleet in and out.
     pub(crate) fn tick_provisioning(&mut self) {
         self.tick_machine_list();
-        self.release_idle();
+        self.scale_in();
         self.provision();
         self.send_releases();
     }
 
-    /// Age past which a machine that has not sent a heartbeat is given up.
+    /// Returns the age beyond which a machine that has not sent a heartbeat is released.
     fn boot_deadline_ms(&self, kind: &str) -> u64 {
         (self.boot_ms(kind) as f64 * MAX_BOOT_TIMES) as u64 + self.context.config.lease_ms()
     }
@@ -130,7 +131,7 @@
         (boot_s * 1000.0) as u64
     }
 
-    fn machine_has_been_heard(&self, index: MachineIndex) -> bool {
-        self.machines.get(index).is_some_and(|machine| machine.has_been_heard())
+    fn machine_has_been_heard_from(&self, index: MachineIndex) -> bool {
+        self.machines.get(index).is_some_and(|machine| machine.has_been_heard_from())
     }
 }
--- a/crates/core/src/fleet/provisioning/scale_in.rs
+++ b/crates/core/src/fleet/provisioning/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scale in: machines that are idle, faulty or gone are released to the cloud.
+//! Scale-in: the release of idle, faulty and lost machines to the cloud.
 
 use std::collections::BTreeSet;
 
@@ -13,16 +13,18 @@
 use crate::ids::MachineIndex;
 use crate::{Outcome, Peer};
 
-/// The cloud releases at most this many machines in one request.
+/// Maximum number of machines that the cloud releases in one request.
 const MAX_MACHINES_PER_RELEASE: usize = 100;
-/// Share of a second's requests to the cloud that is left for others.
+/// Fraction of one second's requests to the cloud that releases leave to other requests.
 const RATE_RESERVE: f64 = 0.2;
-/// A machine whose lease expired is released after this many further lease expiries.
+/// A machine in state `LeaseExpired` is released this many lease expiry times after the last
+/// contact with it.
 const RELEASE_LOST_AFTER_EXPIRIES: u64 = 2;
-/// A terminated machine is forgotten after this many lease expiries.
+/// A terminated machine is removed from the leader's table this many lease expiry times after the
+/// last message from it, or after it became known.
 const FORGET_AFTER_EXPIRIES: u64 = 20;
 
-/// Why a machine is released.
+/// The reasons for which a machine may be released; none applies if all are false.
 #[derive(Clone, Copy)]
 struct ReleaseReason {
     idle: bool,
@@ -31,9 +33,9 @@
 }
 
 impl Controller {
-    /// Begins to release machines that are idle, faulty, lost or never came up. A new leader
-    /// waits for one lease, until it knows what runs.
-    pub(super) fn release_idle(&mut self) {
+    /// Begins the release of machines that are idle, faulty or lost, or that did not boot in time.
+    /// A new leader waits for one lease, after which it knows which tasks run.
+    pub(super) fn scale_in(&mut self) {
         let first_release_ms = self.epoch_began_ms + self.context.config.lease_ms();
         if self.context.now.steady_ms < first_release_ms {
             return;
@@ -46,7 +48,7 @@
 
     fn remove_registered_from_expected(&mut self) {
         let is_registered = |name: &&String| {
-            self.machines.find(name).is_some_and(|index| self.machine_has_been_heard(index))
+            self.machines.find(name).is_some_and(|index| self.machine_has_been_heard_from(index))
         };
         let registered: Vec<String> =
             self.provisioner.expected.keys().filter(is_registered).cloned().collect();
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Counts an idle machine as capacity that stays free for production.
+    /// Deducts an idle machine from the capacity that should stay free for production tasks.
     fn keep_warm(&self, machine: &Machine, warm: &mut WarmCapacity) {
         let capacity = self.capacity_of(&machine.kind);
         let tasks = capacity.map_or(0, |capacity| capacity.holds(&warm.need));
@@ -120,19 +122,19 @@
         ReleaseReason { idle, faulty, lost }
     }
 
-    /// How long a machine may be idle before it is released: the longer, the cheaper it is
-    /// beside the regular price of its type.
+    /// Returns how long a machine may be idle before it is released, in milliseconds. A spot
+    /// instance may be idle for longer by the ratio of its type's regular price to the spot price.
     fn max_idle_ms(&self, kind: &str, spot: bool) -> f64 {
         let min_stay_ms = (self.boot_ms(kind) as f64).max(MIN_CHARGE_S * 1000.0);
         let spot_type = self.machine_types.iter().find(|machine_type| {
             machine_type.name == kind && spot && machine_type.spot_price > 0.0
         });
-        let times_cheaper = spot_type
+        let price_ratio = spot_type
             .map_or(1.0, |machine_type| (machine_type.price / machine_type.spot_price).max(1.0));
-        self.context.config.operator.idle_ratio * min_stay_ms * times_cheaper
+        self.context.config.operator.idle_ratio * min_stay_ms * price_ratio
     }
 
-    /// Forgets machines that were terminated long ago and that no probe refers to.
+    /// Removes machines that were terminated long ago and to which no probe refers.
     fn forget_terminated(&mut self) {
         let now_ms = self.context.now.steady_ms;
         let forget_after_ms = FORGET_AFTER_EXPIRIES * self.context.config.lease_expiry_ms();
@@ -160,7 +162,8 @@
         }
     }
 
-    /// Begins to release a machine; its tasks are gone once the cloud has confirmed it.
+    /// Begins the release of a machine. Its tasks count as stopped once the cloud has confirmed the
+    /// release.
     pub(crate) fn begin_release(&mut self, index: MachineIndex) {
         let state = self.machines.get(index).map(|machine| machine.state);
         let released = matches!(state, Some(MachineState::Releasing | MachineState::Terminated));
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Asks the cloud to release the machines that wait for it.
+    /// Sends the cloud a request to release the next batch of machines in `to_release`.
     pub(super) fn send_releases(&mut self) {
         let now_ms = self.context.now.steady_ms;
         if self.provisioner.to_release.is_empty()
@@ -193,7 +196,7 @@
         self.call_for_fleet(Peer::Cloud, "POST", target, body, CLOUD_CHANGE_TIMEOUT_MS, purpose);
     }
 
-    /// The cloud has confirmed a release, or has not.
+    /// Handles the outcome of a release request.
     pub(crate) fn on_released(&mut self, machines: Vec<MachineIndex>, outcome: Outcome) {
         let confirmed = matches!(&outcome, Outcome::Answer(response) if response.status == 200);
         for index in machines {
@@ -203,7 +206,8 @@
                 self.provisioner.expected.remove(&name);
                 self.set_machine_state(index, MachineState::Terminated);
             } else if !self.provisioner.to_release.contains(&index) {
-                // Perhaps executed: asked for again until the cloud confirms it.
+                // The cloud may have executed the release; it is requested again until the cloud
+                // confirms it.
                 self.provisioner.to_release.push(index);
             }
         }
--- a/crates/core/src/fleet/provisioning/scale_out.rs
+++ b/crates/core/src/fleet/provisioning/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale out: requests for the machines that meet the unmet demand at the lowest price.
+//! Scale-out: requests for machines that meet the unmet demand at the lowest price.
 
 use std::collections::BTreeMap;
 
@@ -13,41 +13,43 @@
 use crate::fleet::resources::Resources;
 use crate::{Outcome, Peer};
 
-/// The cloud provisions at most this many machines in one request.
+/// Maximum number of machines that the cloud provisions in one request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// Requests that may wait for their answers at a time.
+/// Maximum number of provisioning requests in flight.
 const MAX_REQUESTS_IN_FLIGHT: usize = 4;
-/// Share of a second's requests to the cloud that is left for releases.
+/// Fraction of one second's requests to the cloud that provisioning leaves to releases.
 const RATE_RESERVE: f64 = 0.3;
-/// How much dearer an offer counts for each machine already chosen of it, so that equal offers
-/// are used evenly.
+/// Relative price increase of an offer for each machine already chosen from it, so that demand is
+/// spread evenly over equal offers.
 const PRICE_INCREASE_PER_MACHINE: f64 = 0.01;
-/// After an election, machines that run already have this many heartbeat intervals to register
-/// before others are provisioned.
+/// After an election, running machines have this many heartbeat intervals to register before the
+/// leader provisions others.
 const REGISTRATION_INTERVALS: u64 = 2;
 
-/// An offer for some demand, and what it would cost.
+/// An offer that can meet a demand, with its price for that demand.
 struct PricedOffer {
     offer: Offer,
-    /// Price of each task that it would run.
+    /// Price per task that one machine of the offer would run, with the increase for machines
+    /// already chosen.
     price_per_task: f64,
-    /// Tasks that one machine runs.
+    /// Number of tasks that one machine of the offer can run.
     tasks_each: u32,
 }
 
-/// A request for machines whose answer is waited for.
+/// A provisioning request in flight.
 #[derive(Debug)]
 pub(crate) struct ProvisionCall {
-    /// The machines asked for.
+    /// The offer from which machines are requested.
     pub offer: Offer,
-    /// How many of them.
+    /// Number of machines requested.
     pub count: u32,
-    /// The name under which the request is idempotent.
+    /// Idempotency key of the request, unique across epochs.
     pub provision_id: String,
 }
 
 impl Controller {
-    /// Asks for machines if there is unmet demand and what runs already is known.
+    /// Requests machines for unmet demand, unless the running machines are not known yet or too
+    /// many requests are in flight.
     pub(super) fn provision(&mut self) {
         if !self.may_provision() {
             return;
@@ -78,7 +80,7 @@
             return false;
         }
         let is_unregistered = |machine: &Machine| {
-            !machine.has_been_heard()
+            !machine.has_been_heard_from()
                 && machine.state == MachineState::Provisioning
                 && machine.addr.is_some()
         };
@@ -87,7 +89,7 @@
         !just_elected || !self.machines.iter().any(|(_, machine)| is_unregistered(machine))
     }
 
-    /// The offer that runs the demanded tasks at the lowest price each; the first of equals.
+    /// Returns the offer with the lowest price per demanded task; the first of equal ones.
     fn cheapest_offer(
         &self,
         demand: &UnmetDemand,
@@ -99,7 +101,7 @@
             .min_by(|a, b| a.price_per_task.total_cmp(&b.price_per_task))
     }
 
-    /// The offers of one machine type that may run the demanded tasks.
+    /// Returns the offers of one machine type that may run the demanded tasks.
     fn offers_of_type(
         &self,
         machine_type: &MachineType,
@@ -125,7 +127,7 @@
             .filter(|offer| self.is_available(offer, machine_type, demand))
             .map(|offer| {
                 let price = if offer.spot { machine_type.spot_price } else { machine_type.price };
-                // Capacity that would stay empty is paid for by the tasks that run.
+                // The tasks that run bear the price of capacity that would stay unused.
                 let tasks_run = f64::from(tasks_each.min(demand.tasks).max(1));
                 let machines_chosen = chosen.get(&offer).copied().unwrap_or(0.0);
                 let increase = 1.0 + PRICE_INCREASE_PER_MACHINE * machines_chosen;
@@ -134,7 +136,7 @@
             .collect()
     }
 
-    /// Whether an offer may run the demanded tasks and has not been refused lately.
+    /// Returns whether the demanded tasks may run on an offer that has not been refused recently.
     fn is_available(
         &self,
         offer: &Offer,
@@ -170,7 +172,7 @@
         self.call_for_fleet(Peer::Cloud, "POST", target, body, CLOUD_CHANGE_TIMEOUT_MS, purpose);
     }
 
-    /// The cloud has answered a request for machines, or has not.
+    /// Handles the outcome of a provisioning request.
     pub(crate) fn on_provisioned(&mut self, request: ProvisionCall, outcome: Outcome) {
         self.provisioner.requests_in_flight = self.provisioner.requests_in_flight.saturating_sub(1);
         if let Some(requested) = self.provisioner.requested.get_mut(&request.offer) {
@@ -184,10 +186,10 @@
         };
         let ProvisionCall { offer, count, provision_id } = request;
         let Some(provisioned) = provisioned else {
-            // What a request without an answer may still bring shows in the list.
+            // If a request without an answer was executed, its machines appear in the cloud's list.
             tracing::info!(
                 provision = %provision_id, kind = %offer.kind, spot = offer.spot,
-                "provisioning refused"
+                "provisioning request refused or unanswered"
             );
             return self.pause_offer(offer);
         };
@@ -201,7 +203,7 @@
         self.expect_machines(provisioned.machines, &offer);
     }
 
-    /// An offer that was refused is not asked for again for half a boot time.
+    /// Excludes a refused offer from further requests for half a boot time of its machine type.
     fn pause_offer(&mut self, offer: Offer) {
         let until_ms = self.context.now.steady_ms + self.boot_ms(&offer.kind) / 2;
         self.provisioner.refused_until_ms.insert(offer, until_ms);
@@ -211,7 +213,7 @@
         let since_ms = self.context.now.steady_ms;
         for name in names {
             let known = self.machines.find(&name);
-            if known.is_some_and(|index| self.machine_has_been_heard(index)) {
+            if known.is_some_and(|index| self.machine_has_been_heard_from(index)) {
                 continue;
             }
             let Offer { kind, zone, spot } = offer.clone();
--- a/crates/core/src/fleet/reconciliation.rs
+++ b/crates/core/src/fleet/reconciliation.rs
@@ -1,8 +1,9 @@
-//! Reconciliation: what a machine's newest heartbeat proves about tasks.
+//! Reconciliation of the leader's task states with a machine's newest heartbeat.
 //!
-//! A task that the heartbeat lists as alive runs there. One that it doesn't list runs there no
-//! more, provided that no command of ours is on its way and that the machine acknowledges our
-//! fencing token. An exited task counts by its cause.
+//! A task that the heartbeat lists as alive runs on the machine. A task that the heartbeat doesn't
+//! list no longer runs there, provided that no command of this leader is in flight and that the
+//! machine has acknowledged this leader's fencing token. The exit cause of an exited task
+//! determines how its state changes.
 
 use quartzgate_wire::msg::{ExitCause, HeartbeatTask, JobKind, TaskStatus};
 
@@ -12,25 +13,25 @@
 use crate::ids::{parse_task, scoped_to_epoch, MachineIndex, TaskKey};
 use crate::jobs::TaskState;
 
-/// Heartbeat intervals after which a service's task that still runs counts as having run well.
+/// Heartbeat intervals for which a service's task must run before its job counts as proven.
 const STEADY_AFTER_INTERVALS: u64 = 4;
 
 impl Controller {
-    /// Draws the conclusions from a machine's newest heartbeat.
+    /// Updates task states and the machine's state from the machine's newest heartbeat.
     pub(crate) fn reconcile_machine(&mut self, index: MachineIndex) {
         let first_token = scoped_to_epoch(self.epoch(), 0);
         let Some(machine) = self.machines.get_mut(index) else { return };
-        if !machine.has_been_heard() || machine.state == MachineState::Terminated {
+        if !machine.has_been_heard_from() || machine.state == MachineState::Terminated {
             return;
         }
         let new_agent_epoch = std::mem::take(&mut machine.new_agent_epoch);
-        let knows_epoch = machine.acknowledged_token >= first_token;
-        let knows_token = machine.acknowledged_token >= machine.fencing_token;
-        let no_start_under_way = knows_token && !machine.command_in_flight;
+        let epoch_acknowledged = machine.acknowledged_token >= first_token;
+        let token_acknowledged = machine.acknowledged_token >= machine.fencing_token;
+        let no_start_in_flight = token_acknowledged && !machine.command_in_flight;
         let reported = machine.reported_tasks.clone();
         let alive = self.apply_reported_tasks(index, &reported);
-        self.requeue_missing_tasks(index, &alive, no_start_under_way || new_agent_epoch);
-        if knows_epoch {
+        self.requeue_missing_tasks(index, &alive, no_start_in_flight || new_agent_epoch);
+        if epoch_acknowledged {
             self.resolve_unproven_tasks(index, &alive);
             self.set_machine_state(index, MachineState::Ready);
         } else {
@@ -38,15 +39,18 @@
             self.machines_to_command.insert(index);
         }
         let one_way_unreachable = |index| {
-            self.machines.get(index).is_some_and(|m| m.reachability.is_one_way_unreachable())
+            self.machines
+                .get(index)
+                .is_some_and(|machine| machine.reachability.is_one_way_unreachable())
         };
-        if !knows_token || one_way_unreachable(index) {
+        if !token_acknowledged || one_way_unreachable(index) {
             self.machines_to_command.insert(index);
         }
         self.machines_to_dispatch.insert(index);
     }
 
-    /// Applies the exited tasks first, then the others. Returns those alive here, sorted.
+    /// Applies the exited tasks first, then the others. Returns the tasks that are alive on the
+    /// machine, sorted.
     fn apply_reported_tasks(
         &mut self,
         index: MachineIndex,
@@ -64,13 +68,14 @@
         alive
     }
 
-    /// Tasks placed on the machine that it doesn't list are not there. Those that were being
-    /// started may still arrive, unless `starts_settled`.
+    /// Requeues the tasks placed on the machine that its heartbeat doesn't list. A task in state
+    /// `Starting` is requeued only if `starts_resolved`, because its start order may otherwise
+    /// still arrive.
     fn requeue_missing_tasks(
         &mut self,
         index: MachineIndex,
         alive: &[TaskKey],
-        starts_settled: bool,
+        starts_resolved: bool,
     ) {
         let Some(machine) = self.machines.get_mut(index) else { return };
         let unsent: Vec<TaskKey> = machine.pending_starts.iter().map(|(key, _)| *key).collect();
@@ -80,7 +85,7 @@
         for key in missing {
             let state = self.jobs.task(key).map(|task| task.state);
             let starting = matches!(state, Some(TaskState::Starting { .. }));
-            if !starting || starts_settled {
+            if !starting || starts_resolved {
                 tracing::debug!(task = ?key, "task no longer reported by its machine");
                 self.return_to_queue(key);
             }
@@ -90,16 +95,17 @@
     /// Resolves the tasks that an earlier leader may have started on this machine.
     fn resolve_unproven_tasks(&mut self, index: MachineIndex, alive: &[TaskKey]) {
         let Some(machine) = self.machines.get_mut(index) else { return };
-        // A task that is listed is alive here, even if an older heartbeat has placed it on
-        // another machine: in that case it stays unproven until it is no longer listed.
-        let (listed, gone): (Vec<_>, Vec<_>) = std::mem::take(&mut machine.unproven)
+        // A listed task is alive on this machine, even if an older heartbeat has placed the task
+        // on another machine. In that case the task stays unproven on this machine until the
+        // heartbeats no longer list it.
+        let (listed, not_running): (Vec<_>, Vec<_>) = std::mem::take(&mut machine.unproven)
             .into_iter()
             .partition(|key| alive.binary_search(key).is_ok());
         let (placed_here, placed_elsewhere): (Vec<_>, Vec<_>) =
             listed.into_iter().partition(|key| machine.tasks.contains_key(key));
         machine.unproven = placed_elsewhere;
-        self.prove_not_running(index, gone);
-        // Those placed here are no longer in doubt.
+        self.record_not_running(index, not_running);
+        // The heartbeat confirms the tasks placed on this machine: their probes on it are resolved.
         for key in placed_here {
             let Some(task) = self.jobs.task_mut(key) else { continue };
             for probe in task.probes.iter_mut().filter(|probe| probe.machine == index) {
@@ -108,7 +114,7 @@
         }
     }
 
-    /// Applies one task of a heartbeat. Returns its key if it is alive on the machine.
+    /// Applies one task of a heartbeat. Returns the task's key if it is alive on the machine.
     fn apply_reported_task(
         &mut self,
         index: MachineIndex,
@@ -131,8 +137,9 @@
         Some(key)
     }
 
-    /// A task has ended on the machine. Only the end of our own attempt changes its state,
-    /// except that a completed task is complete whoever started it.
+    /// Handles a task that has exited on the machine. Only the exit of the attempt that this
+    /// leader tracks on this machine changes the task's state, except that a completed task is
+    /// complete regardless of the attempt.
     fn apply_exited_task(
         &mut self,
         index: MachineIndex,
@@ -154,7 +161,8 @@
                 self.task_failed(index, key);
                 self.return_to_queue(key);
             }
-            // Not by our command: whoever else stopped it knows that its job has ended.
+            // This leader did not stop the task. Another controller stops a task only if it knows
+            // that the job has ended, so the job's record is read before any further start.
             Some(ExitCause::Stopped) if !matches!(state, TaskState::Stopping { .. }) => {
                 self.read_before_starts(key.job);
                 self.return_to_queue(key);
@@ -171,7 +179,8 @@
         }
     }
 
-    /// The machine refused a start for lack of resources: no other is sent for one interval.
+    /// Pauses starts to the machine for one heartbeat interval, after the machine refused a start
+    /// for lack of resources.
     fn pause_starts(&mut self, index: MachineIndex, reported: &HeartbeatTask) {
         let interval_ms = self.context.config.heartbeat_interval_ms();
         let until_ms = self.context.now.steady_ms + interval_ms;
@@ -183,7 +192,7 @@
         );
     }
 
-    /// A task is alive on the machine.
+    /// Handles a task that the heartbeat lists as alive on the machine.
     fn apply_live_task(
         &mut self,
         index: MachineIndex,
@@ -204,11 +213,12 @@
             {
                 let since_ms = if old_status == status { since_ms } else { now_ms };
                 if status == TaskStatus::Running {
-                    self.prove_steady_service(key, since_ms);
+                    self.mark_steady_service_proven(key, since_ms);
                 }
                 self.set_task_state(key, running_since(since_ms));
             }
-            // A task that is seen alive runs there, and may be started nowhere else.
+            // A task that is reported alive runs on this machine and must not be started
+            // elsewhere.
             TaskState::Unproven | TaskState::Waiting | TaskState::Unplaced => {
                 self.set_task_state(key, running_since(now_ms));
             }
@@ -216,8 +226,10 @@
         }
     }
 
-    /// A service's task never completes; one that has run for a while runs well.
-    fn prove_steady_service(&mut self, key: TaskKey, running_since_ms: u64) {
+    /// Marks a service's job as proven once one of its tasks has run for
+    /// [`STEADY_AFTER_INTERVALS`]. Tasks of services never complete, so completion can't prove
+    /// that the job runs well.
+    fn mark_steady_service_proven(&mut self, key: TaskKey, running_since_ms: u64) {
         let steady_ms = STEADY_AFTER_INTERVALS * self.context.config.heartbeat_interval_ms();
         let steady = self.context.now.steady_ms >= running_since_ms + steady_ms;
         let service = self.jobs.get(key.job).is_some_and(|job| job.spec.shape == JobKind::Service);
--- a/crates/core/src/fleet/reconciling_orders.rs
+++ b/crates/core/src/fleet/reconciling_orders.rs
@@ -1,7 +1,8 @@
-//! Orders that reconcile a machine with the leader's state: which of the tasks that it reports
-//! should stop, and which exited ones it may forget.
+//! Orders that reconcile a machine with the leader's state: which of its reported tasks should
+//! stop, and which of its exited tasks it may forget.
 //!
-//! Invariant: a machine forgets a task's end only when that end is recorded, or can't matter.
+//! Invariant: a machine is told to forget an exited task only when the exit is recorded in the
+//! store or is irrelevant.
 
 use quartzgate_wire::msg::{ExitCause, HeartbeatTask, Order, TaskStatus};
 
@@ -10,19 +11,20 @@
 use crate::jobs::{Job, JobState, TaskState};
 use crate::storage::records::TASKS_PER_CHUNK;
 
-/// A task that saves a checkpoint before it stops is given this many times the checkpoint's
-/// cost.
+/// The grace period of a task that saves a checkpoint before it stops, as a multiple of the
+/// checkpoint's cost.
 const CHECKPOINT_GRACE_FACTOR: f64 = 1.5;
-/// Least cost of a checkpoint that is reckoned with, in seconds.
+/// Lower bound of the checkpoint cost that is used for the grace period, in seconds.
 const MIN_CHECKPOINT_COST_S: f64 = 1.0;
-/// No grace: the task stops at once.
+/// Grace period of a task that must stop at once.
 const STOP_AT_ONCE_S: f64 = 0.0;
 
 impl Controller {
-    /// The stop and forget orders that follow from a machine's newest heartbeat.
+    /// Returns the stop and forget orders that follow from a machine's newest heartbeat.
     pub(super) fn reconciling_orders(&self, index: MachineIndex) -> Vec<Order> {
         let Some(machine) = self.machines.get(index) else { return Vec::new() };
-        // A forget order must not meet a start of the same attempt that is still on its way.
+        // A forget order must not be sent while a start of the same attempt may still be in
+        // transit.
         let may_send_forget =
             !machine.command_in_flight && machine.acknowledged_token >= machine.fencing_token;
         let mut orders = Vec::new();
@@ -39,14 +41,13 @@
         orders
     }
 
-    /// Whether the machine may forget an exited task.
     fn may_forget_task(&self, index: MachineIndex, reported: &HeartbeatTask) -> bool {
         let Some((job_id, number)) = parse_task(&reported.task) else { return true };
         // During recovery, the job's placement record may not have been read yet.
         if !self.knows_all_jobs() {
             return false;
         }
-        // A job that is not in memory is over: its terminal state is recorded.
+        // A job that is not in memory has ended, and its terminal state is recorded.
         let Some(job) = self.find_job(job_id) else { return true };
         let Some(chunk) = job.chunks.get(&(number / TASKS_PER_CHUNK)) else { return true };
         let Some(task) = job.task(number) else { return true };
@@ -62,15 +63,15 @@
         }
     }
 
-    /// The grace in seconds with which a task that is alive on a machine should stop; none if it
-    /// should go on, or if that can't be decided yet.
+    /// Returns the grace period in seconds with which a task that is alive on a machine should
+    /// stop; `None` if the task should continue, or if that can't be decided yet.
     fn stop_grace_s(&self, index: MachineIndex, reported: &HeartbeatTask) -> Option<f64> {
         let Some((job_id, number)) = parse_task(&reported.task) else {
             return Some(STOP_AT_ONCE_S);
         };
         let Some(job) = self.find_job(job_id) else {
-            let over = self.knows_all_jobs() || self.terminal_jobs.get(job_id).is_some();
-            return over.then_some(STOP_AT_ONCE_S);
+            let ended = self.knows_all_jobs() || self.terminal_jobs.get(job_id).is_some();
+            return ended.then_some(STOP_AT_ONCE_S);
         };
         if matches!(job.state, JobState::Unreadable | JobState::Aborting) {
             return None;
@@ -98,7 +99,7 @@
     }
 }
 
-/// Time for a task of this job to save a checkpoint.
+/// Returns the time that a task of this job is given to save a checkpoint, in seconds.
 fn checkpoint_grace_s(job: &Job) -> f64 {
     job.spec.checkpoint_cost_s.max(MIN_CHECKPOINT_COST_S) * CHECKPOINT_GRACE_FACTOR
 }
--- a/crates/core/src/fleet/relayed_orders.rs
+++ b/crates/core/src/fleet/relayed_orders.rs
@@ -1,5 +1,4 @@
-//! Orders of the leader on their way to a worker through another controller: checked once more
-//! whenever they are handed on.
+//! Filtering of the leader's orders to a worker by each controller that passes them on.
 
 use quartzgate_wire::msg::{Order, OrdersRequest};
 
@@ -7,8 +6,8 @@
 use crate::ids::parse_task;
 
 impl Controller {
-    /// The orders without starts of jobs that are known here to have ended: they may have been
-    /// aborted since the leader decided to start them.
+    /// Removes the starts of jobs that this controller knows to have ended: such a job may have
+    /// been aborted since the leader decided to start its tasks.
     pub(crate) fn without_terminal_starts(&self, mut request: OrdersRequest) -> OrdersRequest {
         request.orders.retain(|order| !self.starts_terminal_job(order));
         request
@@ -19,7 +18,7 @@
         let job = parse_task(task).map(|(job, _)| job);
         let ended = job.is_some_and(|job| self.terminal_jobs.get(job).is_some());
         if ended {
-            tracing::info!(task = %task, "start not passed on: its job has ended");
+            tracing::info!(task = %task, "start order dropped: its job has ended");
         }
         ended
     }
--- a/crates/core/src/fleet/resources.rs
+++ b/crates/core/src/fleet/resources.rs
@@ -1,44 +1,44 @@
-//! Amounts of CPU, GPU and memory, and whether one fits into another.
+//! Amounts of CPU, GPU and memory, and their comparison.
 
-/// What binary fractions may lose when amounts are added and subtracted.
+/// Tolerance for rounding errors of floating-point addition and subtraction of amounts.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
-/// Stands for "any number" where a task needs nothing of a resource.
+/// Number of tasks that fit by a resource of which a task needs nothing; stands for "unlimited".
 const UNLIMITED_TASKS: f64 = 1e6;
 
-/// A vector of resources: what a machine has, what is free of it, or what a task needs.
+/// A vector of resources: a machine's capacity, its free part, or the need of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// CPU cores.
+    /// Number of CPU cores.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory in gigabytes.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// Adds `times` times `other`; a negative factor subtracts.
+    /// Adds `other` multiplied by `times`; a negative factor subtracts.
     pub fn add(&mut self, other: &Resources, times: f64) {
         self.cpus += other.cpus * times;
         self.gpus += other.gpus * times;
         self.memory_gb += other.memory_gb * times;
     }
 
-    /// What is left of `self` without `other`; components may become negative.
+    /// Returns `self` minus `other`; components may become negative.
     pub fn minus(&self, other: &Resources) -> Resources {
         let mut difference = *self;
         difference.add(other, -1.0);
         difference
     }
 
-    /// Whether `need` fits in, but for rounding errors.
+    /// Returns whether `need` fits into `self`, within the rounding tolerance.
     pub fn fits(&self, need: &Resources) -> bool {
         self.cpus + ROUNDING_TOLERANCE >= need.cpus
             && self.gpus + ROUNDING_TOLERANCE >= need.gpus
             && self.memory_gb + ROUNDING_TOLERANCE >= need.memory_gb
     }
 
-    /// How many tasks that need `need` each fit in.
+    /// Returns how many tasks fit into `self` if each needs `need`.
     pub fn holds(&self, need: &Resources) -> u32 {
         let fitting = |free: f64, needed: f64| match needed > 0.0 {
             true => (free + ROUNDING_TOLERANCE) / needed,
--- a/crates/core/src/fleet/silent_machines.rs
+++ b/crates/core/src/fleet/silent_machines.rs
@@ -1,59 +1,62 @@
-//! Machines whose heartbeats stay away: they are asked for their status, released to the cloud
-//! if they alone are silent, and taken for empty when their leases have expired.
+//! Handling of machines whose heartbeats have stopped. The leader queries the status of such a
+//! machine, releases it to the cloud if only few machines are silent, and considers it empty when
+//! its lease has expired.
 //!
 //! Invariant: a machine's lease counts as expired only when it is proven that neither this
-//! leader, nor an earlier one, nor a lease proxy can have renewed it.
+//! leader, nor an earlier leader, nor a lease proxy can have renewed it.
 
 use super::machine::{Machine, MachineState};
 use crate::controller::Controller;
 use crate::ids::{scoped_to_epoch, MachineIndex};
 
-/// Silent machines are left alone if they are more than one in this many: then the network is
-/// the likelier cause.
-const SILENT_ONE_IN: usize = 12;
+/// Silent machines that the cloud still lists are not released if more than about one machine in
+/// this many is silent or unreachable, because a network fault is then the likelier cause.
+const SILENT_FRACTION_DIVISOR: usize = 12;
 
-/// What a machine's silence looks like at the moment.
+/// The leader's present contact with a machine.
 enum Contact {
-    /// Not judged: expired or leaving already, or not ready yet.
+    /// The machine is not judged: its lease has expired, it is being released or terminated, or it
+    /// is not ready yet.
     Untracked,
-    /// Its heartbeats arrive.
-    Heard,
-    /// Its heartbeats arrive, but commands to it don't.
+    /// The machine's heartbeats arrive.
+    Responsive,
+    /// The machine's heartbeats arrive, but commands don't reach it.
     OneWayUnreachable,
-    /// Silent for too long, or unreachable for good.
+    /// The machine has been silent for too long or is permanently unreachable.
     Lost(LostContact),
 }
 
 /// A machine that may be released before its lease expires.
 struct LostContact {
-    /// Whether a release would free tasks.
+    /// Whether the release of the machine may free tasks.
     may_hold_tasks: bool,
-    /// The cloud doesn't list it any more.
+    /// Whether the cloud no longer lists the machine.
     unlisted: bool,
 }
 
 impl Controller {
-    /// Releases single machines that have fallen silent, or are unreachable, while the others
-    /// are not: the cloud's confirmation that one is gone frees its tasks before its lease
-    /// would. Where many are silent the network is the likelier cause, and only those are
-    /// released that the cloud no longer lists.
+    /// Releases machines that are silent or unreachable while most others are not: the cloud's
+    /// confirmation of the release frees a machine's tasks before its lease expires. If many
+    /// machines are silent, a network fault is the likelier cause, and only machines that the
+    /// cloud no longer lists are released.
     pub(crate) fn release_silent_machines(&mut self) {
         let mut lost = Vec::new();
-        let (mut heard, mut one_way_unreachable) = (0, 0);
+        let (mut responsive, mut one_way_unreachable) = (0, 0);
         for (index, machine) in self.machines.iter() {
             match self.contact_with(index, machine) {
                 Contact::Untracked => {}
-                Contact::Heard => heard += 1,
+                Contact::Responsive => responsive += 1,
                 Contact::OneWayUnreachable => one_way_unreachable += 1,
                 Contact::Lost(contact) => lost.push((index, contact)),
             }
         }
         let listed_lost = lost.iter().filter(|(_, contact)| !contact.unlisted).count();
-        let troubled = one_way_unreachable + listed_lost;
-        let many =
-            troubled * SILENT_ONE_IN > heard + SILENT_ONE_IN || self.membership.has_proxy_claims();
+        let affected = one_way_unreachable + listed_lost;
+        let network_suspected = affected * SILENT_FRACTION_DIVISOR
+            > responsive + SILENT_FRACTION_DIVISOR
+            || self.membership.has_proxy_claims();
         for (index, contact) in lost {
-            if contact.may_hold_tasks && (contact.unlisted || !many) {
+            if contact.may_hold_tasks && (contact.unlisted || !network_suspected) {
                 self.release_lost(index, contact.unlisted);
             }
         }
@@ -64,25 +67,25 @@
         let one_way_unreachable = machine.reachability.is_one_way_unreachable();
         tracing::info!(
             machine = %machine.name, unlisted, one_way_unreachable,
-            "releasing a silent machine"
+            "releasing a silent or unreachable machine"
         );
         self.begin_release(index);
     }
 
-    /// Judges one machine's silence.
+    /// Classifies the leader's contact with one machine.
     fn contact_with(&self, index: MachineIndex, machine: &Machine) -> Contact {
         let now_ms = self.context.now.steady_ms;
         let unlisted = self.unlisted(machine);
         let one_way_unreachable = machine.reachability.is_one_way_unreachable();
-        // A one-way unreachable machine that the cloud doesn't list is gone: the heartbeats
-        // that still arrive were delayed.
-        let gone = one_way_unreachable && unlisted
+        // A one-way unreachable machine that the cloud doesn't list no longer exists: the
+        // heartbeats that still arrive were delayed.
+        let lost = one_way_unreachable && unlisted
             || machine.reachability.is_permanently_unreachable(now_ms, &self.reachability_timing());
         match machine.state {
             MachineState::LeaseExpired | MachineState::Releasing | MachineState::Terminated => {
                 Contact::Untracked
             }
-            _ if gone => Contact::Lost(LostContact { may_hold_tasks: true, unlisted }),
+            _ if lost => Contact::Lost(LostContact { may_hold_tasks: true, unlisted }),
             _ if self.silent_too_long(machine, unlisted)
                 && self.status_query_unanswered(index, machine, unlisted) =>
             {
@@ -90,32 +93,32 @@
                 Contact::Lost(LostContact { may_hold_tasks, unlisted })
             }
             _ if one_way_unreachable => Contact::OneWayUnreachable,
-            MachineState::Ready => Contact::Heard,
+            MachineState::Ready => Contact::Responsive,
             _ => Contact::Untracked,
         }
     }
 
-    /// Whether a machine has been silent for longer than its state allows.
+    /// Returns whether a machine has been silent for longer than its state allows.
     fn silent_too_long(&self, machine: &Machine, unlisted: bool) -> bool {
         let silent_since_ms = machine
             .last_heard_ms
             .max(machine.known_since_ms)
             .max(self.epoch_began_ms)
-            // While this process stalled, nothing could be received.
+            // This process could not receive anything while it was stalled.
             .max(self.stall.resumed_ms());
         let lease_ms = self.context.config.lease_ms();
         let max_silence_ms = match machine.state {
-            // Workers need a while to find a new leader, which meanwhile asks all machines
-            // whose addresses it knows for their status.
+            // Workers need time to find a new leader. Meanwhile the leader queries the status of
+            // all machines whose addresses it knows.
             MachineState::Registering | MachineState::Provisioning if !unlisted => lease_ms * 3 / 4,
-            // An earlier leader knew it, and the cloud no longer lists it.
+            // An earlier leader knew the machine, and the cloud no longer lists it.
             MachineState::Provisioning => 0,
             _ => lease_ms / 3,
         };
         self.context.now.steady_ms > silent_since_ms + max_silence_ms
     }
 
-    /// Whether a machine was asked for its status in vain, or can't be asked.
+    /// Returns whether a machine did not answer a status query in time, or can't be queried.
     fn status_query_unanswered(
         &self,
         index: MachineIndex,
@@ -128,8 +131,8 @@
         unanswered || machine.addr.is_none() || unlisted || self.mailbox_route(index).is_some()
     }
 
-    /// Asks machines that have been silent for a while for their status: they may send their
-    /// heartbeats to a controller that this one has no contact with.
+    /// Queries the status of machines that have been silent for a while: such a machine may send
+    /// its heartbeats to a controller that this one has no contact with.
     pub(crate) fn inspect_silent_machines(&mut self) {
         let now_ms = self.context.now.steady_ms;
         let pause_ms = self.context.config.heartbeat_interval_ms() * 3 / 2;
@@ -151,9 +154,9 @@
         }
     }
 
-    /// Takes silent machines for empty once their leases must have expired.
+    /// Considers silent machines empty once it is proven that their leases have expired.
     pub(crate) fn expire_silent_leases(&mut self) {
-        // Up to this time it is proven that no lease proxy renewed a lease.
+        // It is proven that no lease proxy renewed a lease up to this time.
         let unproxied_until_ms = self.unproxied_until_ms();
         for index in self.machines.indexes() {
             let Some(machine) = self.machines.get(index) else { continue };
@@ -165,14 +168,16 @@
             }
             tracing::info!(machine = %machine.name, releasing, "machine lease expired");
             match releasing {
-                // Whatever becomes of its release, nothing runs on it.
+                // The lease has expired, so nothing runs on the machine, whatever the outcome of
+                // its release.
                 true => self.on_machine_lost(index),
                 false => self.set_machine_state(index, MachineState::LeaseExpired),
             }
         }
     }
 
-    /// Whether it is proven that a machine's lease has expired; false if that is known already.
+    /// Returns whether it is proven that a machine's lease has expired. Returns false for a
+    /// machine that is already in state `LeaseExpired` or `Terminated`.
     fn lease_has_expired(&self, machine: &Machine, unproxied_until_ms: u64) -> bool {
         let config = &self.context.config;
         let expiry_ms = config.lease_expiry_ms();
@@ -180,13 +185,13 @@
         let last_answered_ms = machine.last_answered_ms.unwrap_or(0);
         match machine.state {
             MachineState::LeaseExpired | MachineState::Terminated => false,
-            // It acknowledges our tokens only, so its lease depends on our answers, or on a
-            // lease proxy that acts for us.
+            // The machine accepts only tokens of this epoch, so only answers of this leader, or of
+            // a lease proxy that acts for it, can have renewed the lease.
             _ if machine.acknowledged_token >= first_token => {
                 let last_contact_ms = last_answered_ms.max(machine.last_heard_ms);
                 unproxied_until_ms >= last_contact_ms + expiry_ms
             }
-            // An earlier leader may have renewed it until its own lease bound.
+            // An earlier leader may have renewed the lease until its own lease bound.
             _ => {
                 let inherited_expiry_ms = config.inherited_lease_expiry_ms();
                 unproxied_until_ms >= self.epoch_began_ms + inherited_expiry_ms
