--- a/crates/reachability/src/duplicates.rs
+++ b/crates/reachability/src/duplicates.rs
@@ -12,25 +12,27 @@
     pub sequence: u64,
 }
 
-/// How recent a heartbeat is, compared with the messages received before it.
+/// How recent a heartbeat is, compared with the messages received earlier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
     /// Newer than every message received so far.
     New,
-    /// Older than the machine's answer to a command, but not received before. It carries no
-    /// new information, but its sender may still wait for an answer.
+    /// Newer than every earlier heartbeat, but not newer than a status received by another path,
+    /// such as the answer to a command. The heartbeat carries no new information, but its sender
+    /// may still wait for an answer.
     Superseded,
-    /// Not newer than an earlier heartbeat: a duplicate, or delayed for so long that its
-    /// sender has given up. It carries no information, and answering it renews no lease.
+    /// Not newer than an earlier heartbeat, or of an earlier agent epoch: the heartbeat is a
+    /// duplicate, or was delayed for so long that its sender no longer waits for an answer. It
+    /// carries no information, and an answer to it must not renew a lease.
     Duplicate,
 }
 
 /// The newest message numbers received from one machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DuplicateDetector {
-    /// Newest message of any kind.
+    /// Number of the newest message of any kind.
     newest: MessageNumber,
-    /// Newest message that arrived as a heartbeat, not as the answer to a command.
+    /// Number of the newest message that was recorded as a heartbeat.
     newest_heartbeat: MessageNumber,
 }
 
--- a/crates/reachability/src/lib.rs
+++ b/crates/reachability/src/lib.rs
@@ -1,15 +1,15 @@
-//! Whether a machine that sends heartbeats can also be reached.
+//! Detection of machines that send heartbeats but can't be reached.
 //!
-//! A heartbeat that arrives proves only that the network carries messages from the machine.
-//! That messages reach the machine shows in two other ways: it answers commands, and its
-//! agent epochs outlast the lease, which only answers to heartbeats renew. A machine behind
-//! such a one-way failure looks alive and empty, so a scheduler that trusted its heartbeats
-//! would keep sending it work. [`Reachability`] detects this, and [`DuplicateDetector`]
-//! recognises heartbeats that were delivered late or twice. `docs/reachability.md` describes
-//! the rules and the alternatives that were considered.
+//! A heartbeat that arrives proves only that the network carries messages from the machine. Two
+//! other observations prove that messages reach the machine: it answers commands, and its agent
+//! epochs outlast the lease, which only answers to heartbeats renew. A machine that can send but
+//! not receive looks alive and empty, so a scheduler that trusted its heartbeats would keep
+//! assigning work to it. [`Reachability`] detects such a one-way failure, and
+//! [`DuplicateDetector`] detects heartbeats that were delivered late or twice.
+//! `docs/reachability.md` describes the rules and the alternatives that were considered.
 //!
-//! The crate does no input or output and reads no clock: times are milliseconds of a
-//! monotonic clock and are passed in.
+//! The crate performs no input or output and reads no clock: callers pass in times, in
+//! milliseconds of a monotonic clock.
 #![warn(missing_docs)]
 
 mod duplicates;
--- a/crates/reachability/src/reachability.rs
+++ b/crates/reachability/src/reachability.rs
@@ -1,6 +1,6 @@
-//! The state machine that follows whether one machine receives what is sent to it.
+//! The state machine that tracks whether one machine receives the messages sent to it.
 
-/// Durations that the rules are derived from, in milliseconds.
+/// Durations from which the rules for reachability are derived, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Interval between two heartbeats of a machine.
@@ -12,17 +12,17 @@
 /// Whether messages are believed to reach the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReachabilityState {
-    /// There is no evidence against it.
+    /// There is no evidence that messages fail to reach the machine.
     Reachable,
-    /// A command was not answered, or the lease expired: the machine gets no new work until it
-    /// has shown that messages reach it.
+    /// A command was not answered, or the lease expired. The machine gets no new work until there
+    /// is evidence that messages reach it.
     Suspected,
-    /// Consecutive commands or agent epochs were lost while heartbeats arrived: the machine's
-    /// capacity does not count.
+    /// Consecutive commands or agent epochs were lost while heartbeats arrived. The machine's
+    /// capacity does not count as usable.
     OneWayUnreachable {
-        /// When the state was entered.
+        /// Time at which the state was entered.
         since_ms: u64,
-        /// The state is not left before this time.
+        /// Earliest time at which the state may be left.
         until_ms: u64,
     },
 }
@@ -30,44 +30,46 @@
 /// The path that a command took to the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandRoute {
-    /// Straight from this controller.
+    /// The command was sent directly from this controller.
     Direct,
-    /// Through another controller. Such a path is slow and lossy, so a missing answer is no
-    /// evidence against the machine.
+    /// The command was sent through another controller. This path is slow and lossy, so a missing
+    /// answer is no evidence that the machine is unreachable.
     Relayed,
 }
 
-/// Consecutive commands without an answer, each after a heartbeat, that make a machine
-/// one-way unreachable.
+/// A machine is one-way unreachable after this many consecutive commands without an answer, each
+/// preceded by a heartbeat.
 const UNANSWERED_COMMANDS_LIMIT: u32 = 2;
-/// Consecutive agent epochs that ended although a heartbeat was answered, with the same effect.
+/// A machine is one-way unreachable after this many consecutive agent epochs that ended although a
+/// heartbeat of that epoch was answered.
 const LOST_EPOCHS_LIMIT: u32 = 2;
-/// A backoff grows to at most two to this power times its initial length.
+/// A backoff doubles from its initial length at most this many times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// After this many leases of reachability, earlier outages no longer lengthen the backoff.
+/// Earlier outages no longer lengthen the backoff if the last of them ended more than this many
+/// leases ago.
 const FORGET_OUTAGES_AFTER_LEASES: u64 = 8;
 
-/// What is known about whether messages reach one machine.
+/// The evidence of whether messages reach one machine, and the resulting state.
 #[derive(Clone, Debug)]
 pub struct Reachability {
     state: ReachabilityState,
-    /// Consecutive commands without an answer, each sent after a heartbeat.
+    /// Number of consecutive direct commands without an answer, each preceded by a heartbeat.
     unanswered_commands: u32,
-    /// A heartbeat has arrived since the last command without an answer.
+    /// Whether a heartbeat has arrived since the last command without an answer.
     heard_since_command: bool,
-    /// Consecutive agent epochs that ended although a heartbeat was answered.
+    /// Number of consecutive agent epochs that ended although a heartbeat was answered.
     lost_epochs: u32,
-    /// When the first message of the present agent epoch arrived.
+    /// Time at which the first message of the present agent epoch arrived.
     epoch_began_ms: u64,
-    /// A heartbeat of the present agent epoch was answered.
+    /// Whether a heartbeat of the present agent epoch was answered.
     heartbeat_answered: bool,
-    /// Recent outages, which lengthen the next one's minimum duration.
+    /// Number of recent outages, which determines the minimum duration of the next outage.
     recent_outages: u32,
-    /// When the last outage ended.
+    /// Time at which the last outage ended.
     recovered_ms: u64,
-    /// Earliest time of the next command during an outage.
+    /// Earliest time for the next command during an outage in which commands are lost.
     next_command_ms: u64,
-    /// Present pause between commands during an outage.
+    /// Present backoff between commands during an outage.
     command_backoff_ms: u64,
 }
 
@@ -89,31 +91,32 @@
 }
 
 impl Reachability {
-    /// The present state.
+    /// Returns the state that follows from the evidence so far.
     pub fn state(&self) -> ReachabilityState {
         self.state
     }
 
-    /// Whether the machine sends heartbeats but does not receive messages.
+    /// Returns whether the machine is believed to send heartbeats but receive no messages.
     pub fn is_one_way_unreachable(&self) -> bool {
         matches!(self.state, ReachabilityState::OneWayUnreachable { .. })
     }
 
-    /// Whether new work may be assigned to the machine.
+    /// Returns whether new work may be assigned to the machine.
     pub fn accepts_new_work(&self) -> bool {
         self.state == ReachabilityState::Reachable
     }
 
-    /// Whether a command is worth sending: during an outage commands are spaced out with an
-    /// exponential backoff.
+    /// Returns whether a command may be sent now. During an outage in which commands are lost, they
+    /// are sent with exponential backoff.
     pub fn may_send_command(&self, now_ms: u64) -> bool {
         !self.is_one_way_unreachable()
             || !self.commands_are_lost()
             || now_ms >= self.next_command_ms
     }
 
-    /// Whether the machine is of no use and has been for at least a lease: neither commands
-    /// nor answers to heartbeats reach it, or one agent epoch after the other is lost.
+    /// Returns whether the machine has been one-way unreachable for at least a lease with either
+    /// both channels failing (neither commands nor answers to heartbeats reach it) or consecutive
+    /// agent epochs lost.
     pub fn is_permanently_unreachable(&self, now_ms: u64, timing: &Timing) -> bool {
         let ReachabilityState::OneWayUnreachable { since_ms, .. } = self.state else {
             return false;
@@ -122,7 +125,7 @@
         (both_channels_fail || self.epochs_are_lost()) && now_ms >= since_ms + timing.lease_ms
     }
 
-    /// A new heartbeat arrived, the first of an agent epoch if `starts_epoch`.
+    /// Records the arrival of a new heartbeat, the first of an agent epoch if `starts_epoch`.
     pub fn on_heartbeat(&mut self, now_ms: u64, starts_epoch: bool, timing: &Timing) {
         self.heard_since_command = true;
         if starts_epoch {
@@ -133,19 +136,20 @@
         self.end_outage_if_over(now_ms);
     }
 
-    /// A heartbeat of the present agent epoch was answered.
+    /// Records that a heartbeat of the present agent epoch was answered.
     pub fn on_heartbeat_answered(&mut self) {
         self.heartbeat_answered = true;
     }
 
-    /// The machine showed the newest fencing token that was sent to it.
+    /// Records that the machine acknowledged the newest fencing token that was sent to it, which
+    /// ends a suspicion unless commands are lost.
     pub fn on_current_fencing_token(&mut self) {
         if self.state == ReachabilityState::Suspected && !self.commands_are_lost() {
             self.transition_to(ReachabilityState::Reachable);
         }
     }
 
-    /// The machine answered a command.
+    /// Records that the machine answered a command.
     pub fn on_command_answered(&mut self, now_ms: u64) {
         self.unanswered_commands = 0;
         if self.state == ReachabilityState::Suspected {
@@ -154,10 +158,11 @@
         self.end_outage_if_over(now_ms);
     }
 
-    /// A command was not answered.
+    /// Records that a command was not answered.
     ///
-    /// It counts only if a heartbeat has arrived since the last such command, because a machine
-    /// that sends nothing is silent and not one-way unreachable, and only on a direct route.
+    /// The command counts as lost only if it was sent on a direct route and if a heartbeat has
+    /// arrived since the last unanswered command: a machine from which nothing arrives is silent,
+    /// not one-way unreachable.
     pub fn on_command_unanswered(&mut self, now_ms: u64, route: CommandRoute, timing: &Timing) {
         let heard_since_command = std::mem::take(&mut self.heard_since_command);
         if heard_since_command && route == CommandRoute::Direct {
@@ -172,9 +177,9 @@
         }
     }
 
-    /// The machine's lease expired without a heartbeat. The next one may have been delayed in
-    /// the network, so the machine first has to show that messages reach it. Only the record
-    /// of earlier outages is kept.
+    /// Records that the machine's lease expired without a heartbeat. The next heartbeat may be one
+    /// that the network delayed, so the machine is suspected until there is evidence that messages
+    /// reach it. Only the record of earlier outages is kept.
     pub fn on_lease_expired(&mut self) {
         *self = Reachability {
             state: ReachabilityState::Suspected,
@@ -192,8 +197,8 @@
         self.lost_epochs >= LOST_EPOCHS_LIMIT
     }
 
-    /// An agent begins a new epoch when its lease has expired, so an answer to the previous
-    /// epoch cannot have arrived in time.
+    /// Records the begin of an agent epoch. An agent begins a new epoch when its lease has expired,
+    /// so an answer to a heartbeat of the previous epoch can't have arrived in time.
     fn on_new_epoch(&mut self, now_ms: u64, timing: &Timing) {
         if self.heartbeat_answered {
             self.lost_epochs += 1;
@@ -205,15 +210,16 @@
         }
     }
 
-    /// Whether the present agent epoch would have ended by now if no answer had arrived.
+    /// Returns whether the present agent epoch would have ended by now if no answer had reached the
+    /// machine.
     fn epoch_outlasted_lease(&self, now_ms: u64, timing: &Timing) -> bool {
         let latest_end_ms = self.epoch_began_ms + timing.lease_ms + timing.heartbeat_interval_ms;
         self.heartbeat_answered && now_ms > latest_end_ms
     }
 
     fn extend_command_backoff(&mut self, now_ms: u64, timing: &Timing) {
-        let longest_ms = timing.heartbeat_interval_ms << MAX_BACKOFF_DOUBLINGS;
-        self.command_backoff_ms = (2 * self.command_backoff_ms).min(longest_ms);
+        let max_backoff_ms = timing.heartbeat_interval_ms << MAX_BACKOFF_DOUBLINGS;
+        self.command_backoff_ms = (2 * self.command_backoff_ms).min(max_backoff_ms);
         self.next_command_ms = now_ms + self.command_backoff_ms;
     }
 
@@ -232,7 +238,7 @@
         self.transition_to(ReachabilityState::OneWayUnreachable { since_ms: now_ms, until_ms });
     }
 
-    /// Ends an outage once both channels work again and its minimum duration has passed.
+    /// Ends an outage if both channels work again and its minimum duration has passed.
     fn end_outage_if_over(&mut self, now_ms: u64) {
         let ReachabilityState::OneWayUnreachable { until_ms, .. } = self.state else { return };
         let both_channels_work = self.unanswered_commands == 0 && self.lost_epochs == 0;
@@ -242,7 +248,7 @@
         }
     }
 
-    /// The only place where the state changes.
+    /// Changes the state. Apart from `on_lease_expired`, no other function does so.
     fn transition_to(&mut self, state: ReachabilityState) {
         self.state = state;
     }
--- a/crates/reachability/tests/reachability.rs
+++ b/crates/reachability/tests/reachability.rs
@@ -1,4 +1,4 @@
-//! Reachability and duplicate detection by themselves: sequences of messages and commands.
+//! Reachability and duplicate detection in isolation, with sequences of messages and commands.
 
 use std::collections::BTreeSet;
 
@@ -10,8 +10,8 @@
 
 const TIMING: Timing = Timing { heartbeat_interval_ms: 1_000, lease_ms: 8_000 };
 
-/// A machine from which nothing arrives is silent, not one-way unreachable: commands that are
-/// lost one after another, with no heartbeat in between, make it suspected and no more.
+/// Guards against considering a silent machine one-way unreachable: consecutive lost commands
+/// without a heartbeat in between make the machine suspected only.
 #[test]
 fn lost_commands_without_heartbeats_only_raise_suspicion() {
     let mut reachability = Reachability::default();
@@ -23,7 +23,8 @@
     assert_eq!(reachability.state(), ReachabilityState::Reachable);
 }
 
-/// Sends heartbeats and loses commands until the machine is one-way unreachable; returns when.
+/// Records heartbeats and lost commands until the machine is one-way unreachable. Returns the time
+/// at which this happens.
 fn lose_commands_until_unreachable(reachability: &mut Reachability, mut now_ms: u64) -> u64 {
     while !reachability.is_one_way_unreachable() {
         now_ms += 1_000;
@@ -33,8 +34,8 @@
     now_ms
 }
 
-/// A machine that becomes unreachable again and again stays so for longer each time, and gets
-/// commands less and less often meanwhile.
+/// A machine that repeatedly becomes one-way unreachable remains so for longer each time, and gets
+/// commands at growing intervals during an outage.
 #[test]
 fn backoff_doubles_with_each_outage() {
     let (mut reachability, mut now_ms) = (Reachability::default(), 0);
@@ -63,8 +64,8 @@
 }
 
 proptest! {
-    /// In any order of late and repeated messages, only one that is newer than all before it
-    /// counts as new, and no heartbeat is answered twice.
+    /// For any order of late and repeated messages, only a message that is newer than all earlier
+    /// ones counts as new, and no heartbeat is answered twice.
     #[test]
     fn only_newer_messages_count_as_new(
         messages in prop::collection::vec((1u64..4, 1u64..12, any::<bool>()), 1..60)
