--- a/crates/core/src/fleet/calls.rs
+++ b/crates/core/src/fleet/calls.rs
@@ -19,9 +19,9 @@
     RelayHeartbeat { request: RequestId, heartbeat: Box<Heartbeat> },
     /// A page of the cloud's list of machines, starting after the name `since`.
     ListMachines { since: Option<String> },
-    /// A request to the cloud to provision machines, made in this epoch of the leader.
+    /// A request to the cloud to provision machines, made in the leader's epoch `epoch`.
     Provision { request: ProvisionCall, epoch: u64 },
-    /// A request to the cloud to release machines, made in this epoch of the leader.
+    /// A request to the cloud to release machines, made in the leader's epoch `epoch`.
     Release { machines: Vec<MachineIndex>, epoch: u64 },
 }
 
--- a/crates/core/src/fleet/provisioning/scale_out.rs
+++ b/crates/core/src/fleet/provisioning/scale_out.rs
@@ -48,8 +48,8 @@
 }
 
 impl Controller {
-    /// Requests machines for unmet demand, unless the running machines are not known yet or too
-    /// many requests are in flight.
+    /// Requests machines for unmet demand once the running machines are known, unless too many
+    /// requests are in flight.
     pub(super) fn provision(&mut self) {
         if !self.may_provision() {
             return;
