--- a/crates/core/src/jobs/chunk.rs
+++ b/crates/core/src/jobs/chunk.rs
@@ -1,4 +1,4 @@
-//! Chunks: the tasks of a job that share one placement record, and the state of that record.
+//! Chunks: groups of a job's tasks that share one placement record, and the state of that record.
 
 use crate::controller::Controller;
 use crate::jobs::{Task, TaskState};
@@ -6,39 +6,41 @@
 /// Consecutive tasks of a job that share a placement record.
 #[derive(Clone, Debug)]
 pub struct Chunk {
-    /// Its tasks, in the order of their numbers.
+    /// The tasks of the chunk, in the order of their numbers.
     pub tasks: Vec<Task>,
-    /// The stored record lags behind memory.
+    /// Whether the chunk has changes that no write of its record includes yet.
     pub dirty: bool,
-    /// Steady clock since when it does.
+    /// Monotonic time at which the chunk became dirty.
     pub dirty_ms: u64,
-    /// A write or a read of the record is in flight.
+    /// Whether a write or a read of the record is in flight.
     pub busy: bool,
-    /// Waiting tasks were given machines that the stored record does not name yet.
+    /// Whether waiting tasks have new probes that no write of the record includes yet: the tasks
+    /// can't start on these machines until such a write is stored.
     pub blocks_starts: bool,
-    /// Version of the newest record that was sent.
+    /// Version of the latest record that was sent to the key-value store.
     pub version: u32,
-    /// Version of the newest record that is known to be stored.
+    /// Version of the latest record that is known to be stored.
     pub stored_version: u32,
-    /// The store's revision of the record's keys; 0 if there are none.
+    /// Revision of the record's keys in the key-value store; 0 if the record has no keys of its
+    /// own.
     pub revision: u64,
-    /// Number of keys over which the stored record is spread, all with this revision.
+    /// Number of keys over which the stored record is split, all with the same revision.
     pub pieces: u32,
-    /// The stored record is part of the job's record, and has no keys of its own.
+    /// Whether the stored record is embedded in the job's record and has no keys of its own.
     pub inline: bool,
-    /// Steady clock before which no write is tried, since the record is too large.
+    /// Monotonic time before which no write is attempted, because the record is too large.
     pub deferred_until_ms: u64,
 }
 
 impl Chunk {
-    /// Whether all of its tasks are done.
+    /// Returns whether all tasks of the chunk are done.
     pub fn whole(&self) -> bool {
         self.tasks.iter().all(|task| task.state.is_done())
     }
 }
 
 impl Controller {
-    /// A chunk of so many unplaced tasks, without a record.
+    /// Creates a chunk of `len` unplaced tasks that has no stored record yet.
     pub(crate) fn new_chunk(&mut self, len: u32) -> Chunk {
         let tasks = (0..len)
             .map(|_| {
--- a/crates/core/src/jobs/dependencies/mod.rs
+++ b/crates/core/src/jobs/dependencies/mod.rs
@@ -1,16 +1,17 @@
-//! Dependencies between jobs: a directed acyclic graph.
+//! Dependencies between jobs, which form a directed acyclic graph.
 //!
-//! The leader's memory holds the part of the graph that is still open: for each job that has not
-//! ended, which jobs in memory wait for it. An edge is removed when the end of the named job is
-//! known to be recorded. A job is `Waiting` while it has an edge left, and aborted as soon as one of
-//! its dependencies is.
+//! The leader's memory holds the open part of the graph: for each job that is not known to have
+//! ended, the jobs in memory that wait for it. An edge is removed when the terminal state of the
+//! dependency is known to be recorded. A job is `Waiting` while it has pending dependencies, and is
+//! aborted as soon as one of its dependencies is aborted.
 //!
-//! No task of a waiting job was ever placed, so whether it is aborted through a dependency follows
-//! from the records alone. Any controller can find it out by reading the records along the graph (a
-//! *walk*), before anyone has written that end.
+//! No task of a waiting job was ever placed, so the records alone determine whether the job is
+//! aborted through a dependency. Any controller can find that out by reading the records along the
+//! graph (a *walk*), even before the abort is written to the job's own record.
 //!
-//! Priorities and deadlines propagate backwards: a job has the highest priority of those that depend
-//! on it, and is due before them by the expected duration of what lies between.
+//! Priorities and deadlines propagate from a job to its dependencies: a job has at least the
+//! highest priority of the jobs that depend on it, and is due earlier than they are by the expected
+//! duration of the jobs between.
 
 mod propagation;
 mod walks;
@@ -28,47 +29,48 @@
 
 pub use self::propagation::Deadline;
 
-/// Unknown dependencies that are read at a time.
+/// Maximum number of unknown dependencies whose records are read per tick.
 const MAX_UNKNOWN_READS: usize = 20;
 
-/// The open part of the graph, and the walks that are under way.
+/// The open part of the dependency graph, and the walks in progress.
 #[derive(Default)]
 pub(crate) struct DependencyGraph {
-    /// Jobs in memory that wait for a job, by its identifier.
+    /// Jobs in memory that wait for a dependency, by the dependency's identifier.
     dependents: HashMap<String, BTreeSet<JobIndex>>,
-    /// Dependencies that are neither in memory nor known to have ended, and the steady clock at
-    /// which the record of each was last asked for; 0 if it never was.
+    /// Dependencies that are neither in memory nor known to have ended, with the monotonic time at
+    /// which the record of each was last requested; 0 if it has not been requested.
     unknown: BTreeMap<String, u64>,
-    /// Recorded ends that have not been applied to the dependents yet.
-    ended: VecDeque<(String, RecordedStatus)>,
-    /// Jobs whose priority or deadline may be inherited.
+    /// Recorded terminal states that have not been applied to the dependents yet.
+    unapplied_terminal_states: VecDeque<(String, RecordedStatus)>,
+    /// Jobs that had an edge at the last propagation, so that their priority or deadline may be
+    /// inherited.
     inheriting: BTreeSet<JobIndex>,
-    /// The graph has changed since priorities and deadlines were last propagated.
+    /// Whether the graph has changed since priorities and deadlines were last propagated.
     changed: bool,
-    /// Steady clock of the last propagation.
+    /// Monotonic time of the last propagation.
     propagated_ms: u64,
-    /// Requests that are answered by reading records along the graph.
+    /// Walks in progress, by the request that each will answer.
     walks: BTreeMap<RequestId, DependencyWalk>,
 }
 
 impl DependencyGraph {
-    /// Drops what belongs to the leader's memory. Walks go on, since requests still wait for them.
+    /// Clears the graph, which only a leader holds. Walks continue, because requests wait for them.
     pub fn forget_graph(&mut self) {
         let walks = std::mem::take(&mut self.walks);
         *self = DependencyGraph { walks, ..DependencyGraph::default() };
     }
 
-    /// Whether any job in memory waits for this one.
+    /// Returns whether any job in memory waits for this one.
     pub fn has_dependents(&self, id: &str) -> bool {
         self.dependents.contains_key(id)
     }
 
-    /// Number of edges.
+    /// Returns the number of edges: the pending dependencies of all jobs in memory.
     pub fn edges(&self) -> usize {
         self.dependents.values().map(BTreeSet::len).sum()
     }
 
-    /// Number of dependencies of which neither job nor end is known.
+    /// Returns the number of dependencies that are neither in memory nor known to have ended.
     pub fn unknown(&self) -> usize {
         self.unknown.len()
     }
@@ -87,7 +89,8 @@
         }
     }
 
-    /// Removes the edges of a dependency that has ended, and returns the jobs that waited for it.
+    /// Removes the edges to a dependency that has ended, and returns the jobs that waited for it,
+    /// or `None` if there were none.
     fn take_dependents(&mut self, dependency: &str) -> Option<BTreeSet<JobIndex>> {
         self.unknown.remove(dependency);
         let dependents = self.dependents.remove(dependency)?;
@@ -95,17 +98,19 @@
         Some(dependents)
     }
 
-    /// Unknown dependencies whose records were not asked for within `retry_ms`, a bounded number.
+    /// Returns the unknown dependencies whose records were not requested within the last `retry_ms`
+    /// milliseconds, at most [`MAX_UNKNOWN_READS`] of them.
     fn unknown_to_read(&self, now_ms: u64, retry_ms: u64) -> Vec<String> {
-        let is_due = |asked_ms: u64| asked_ms == 0 || now_ms >= asked_ms + retry_ms;
-        let due = self.unknown.iter().filter(|(_, asked_ms)| is_due(**asked_ms));
+        let is_due = |requested_ms: u64| requested_ms == 0 || now_ms >= requested_ms + retry_ms;
+        let due = self.unknown.iter().filter(|(_, requested_ms)| is_due(**requested_ms));
         due.map(|(id, _)| id.clone()).take(MAX_UNKNOWN_READS).collect()
     }
 }
 
 impl Controller {
-    /// Enters a job's dependencies into the graph. Those that ended are known by their recorded
-    /// ends; the records of those that memory does not know are read later.
+    /// Adds a job's dependencies to the graph, except those whose terminal state is known: a job
+    /// with an aborted dependency is aborted. The records of dependencies that are neither in
+    /// memory nor known to have ended are read later.
     pub(crate) fn add_to_dependency_graph(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get(job_index) else { return };
         let dependencies = job.spec.dependencies.clone();
@@ -124,7 +129,7 @@
         if aborted {
             self.abort_through_dependency(job_index);
         } else if self.jobs.get(job_index).is_some_and(|job| job.state == JobState::Live) {
-            // It becomes `Waiting` if an edge was added.
+            // Changes the job to `Waiting` if an edge was added.
             self.set_job_state(job_index, JobState::Live);
         }
     }
@@ -139,7 +144,7 @@
         }
     }
 
-    /// Takes a job that has ended, or leaves memory, out of the graph.
+    /// Removes a job that was aborted or leaves memory from the graph.
     pub(crate) fn remove_from_dependency_graph(&mut self, job_index: JobIndex) {
         self.dependency_graph.inheriting.remove(&job_index);
         let Some(job) = self.jobs.get_mut(job_index) else { return };
@@ -147,27 +152,28 @@
         for dependency in std::mem::take(&mut job.pending_dependencies) {
             self.dependency_graph.remove_edge(&dependency, job_index);
         }
-        // A job with dependents leaves memory although its end is not known.
+        // The job has dependents and leaves memory although its terminal state is not known, so its
+        // record has to be read.
         if self.dependency_graph.has_dependents(&id) && self.terminal_jobs.get(&id).is_none() {
             self.dependency_graph.unknown.insert(id, 0);
         }
     }
 
-    /// Remembers the recorded end of a job, whichever controller wrote it.
+    /// Remembers the recorded terminal state of a job, whichever controller wrote it.
     pub(crate) fn learn_terminal_state(&mut self, id: &str, status: RecordedStatus) {
         self.terminal_jobs.insert(id.to_string(), status);
         if self.dependency_graph.has_dependents(id) {
-            self.dependency_graph.ended.push_back((id.to_string(), status));
+            self.dependency_graph.unapplied_terminal_states.push_back((id.to_string(), status));
         }
     }
 
-    /// Applies recorded ends to the dependents, and propagates priorities and deadlines if the graph
-    /// has changed.
+    /// Applies recorded terminal states to the dependents, and propagates priorities and deadlines
+    /// if the graph has changed, at most once per write batch interval.
     pub(crate) fn settle_dependencies(&mut self) {
-        while let Some((id, status)) = self.dependency_graph.ended.pop_front() {
+        while let Some((id, status)) = self.dependency_graph.unapplied_terminal_states.pop_front() {
             let Some(dependents) = self.dependency_graph.take_dependents(&id) else { continue };
             for dependent in dependents {
-                self.settle_dependent(dependent, &id, status);
+                self.apply_terminal_state(dependent, &id, status);
             }
         }
         let next_ms = self.dependency_graph.propagated_ms + self.context.config.write_batch_ms();
@@ -176,12 +182,17 @@
         }
     }
 
-    fn settle_dependent(&mut self, dependent: JobIndex, dependency: &str, status: RecordedStatus) {
+    fn apply_terminal_state(
+        &mut self,
+        dependent: JobIndex,
+        dependency: &str,
+        status: RecordedStatus,
+    ) {
         let Some(job) = self.jobs.get_mut(dependent) else { return };
         job.pending_dependencies.remove(dependency);
-        let ready = job.pending_dependencies.is_empty() && job.state == JobState::Waiting;
+        let is_ready = job.pending_dependencies.is_empty() && job.state == JobState::Waiting;
         match status {
-            RecordedStatus::Done if ready => self.set_job_state(dependent, JobState::Live),
+            RecordedStatus::Done if is_ready => self.set_job_state(dependent, JobState::Live),
             RecordedStatus::Aborted => self.abort_through_dependency(dependent),
             _ => {}
         }
@@ -198,26 +209,26 @@
         self.record_writer.mark_job_dirty(job_index);
     }
 
-    /// The jobs in memory that this one waits for, directly or through others; `None` if one of
-    /// them is not in memory.
+    /// Returns the jobs on which this job's start depends, directly or transitively, or `None` if
+    /// one of them is not in memory.
     pub(crate) fn before(&self, job_index: JobIndex) -> Option<Vec<JobIndex>> {
         let mut found = Vec::new();
         let mut seen = HashSet::from([job_index]);
-        let mut open = vec![job_index];
-        while let Some(index) = open.pop() {
+        let mut unvisited = vec![job_index];
+        while let Some(index) = unvisited.pop() {
             for id in &self.jobs.get(index)?.pending_dependencies {
                 let dependency = self.jobs.find(id)?;
                 if seen.insert(dependency) {
                     found.push(dependency);
-                    open.push(dependency);
+                    unvisited.push(dependency);
                 }
             }
         }
         Some(found)
     }
 
-    /// Answers the requests whose walks took too long, and reads the records of dependencies that
-    /// memory does not know.
+    /// Answers the requests whose walks took too long. On the leader, also reads the records of
+    /// unknown dependencies.
     pub(crate) fn tick_dependencies(&mut self) {
         self.expire_walks();
         if self.leads() {
@@ -238,7 +249,7 @@
         }
     }
 
-    /// Outcome of reading the record of an unknown dependency.
+    /// Handles the outcome of reading the record of an unknown dependency.
     pub(crate) fn on_dependency_read(&mut self, id: String, outcome: Outcome) {
         let Ok(pair) = self.read_outcome(outcome) else { return };
         let record = pair.as_ref().and_then(|pair| decode::<JobRecord>(&pair.value));
@@ -251,15 +262,16 @@
                     self.dependency_graph.unknown.remove(&id);
                 }
             }
-            ended => self.learn_terminal_state(&id, ended),
+            terminal => self.learn_terminal_state(&id, terminal),
         }
     }
 
-    /// An operator has to repair the record: it is read again, but seldom.
+    /// Logs that a dependency's record is missing or can't be decoded. An operator has to repair
+    /// it, so the next read of the record is delayed by an additional lease period.
     fn on_dependency_unreadable(&mut self, id: &str) {
-        let later_ms = self.context.now.steady_ms + self.context.config.lease_ms();
-        if let Some(asked_ms) = self.dependency_graph.unknown.get_mut(id) {
-            *asked_ms = later_ms;
+        let delayed_ms = self.context.now.steady_ms + self.context.config.lease_ms();
+        if let Some(requested_ms) = self.dependency_graph.unknown.get_mut(id) {
+            *requested_ms = delayed_ms;
             tracing::error!(job = %id, "a dependency's record is missing or can't be decoded; the jobs that depend on it wait");
         }
     }
--- a/crates/core/src/jobs/dependencies/walks.rs
+++ b/crates/core/src/jobs/dependencies/walks.rs
@@ -1,8 +1,9 @@
-//! Walks: reads of records along the dependency graph on behalf of one request.
+//! Walks: reads of job records along the dependency graph on behalf of one request.
 //!
-//! A status query has to know whether a job is aborted through a dependency, and a submission
-//! whether all of its dependencies were accepted. Any controller can answer both from the records.
-//! The number of walks and the names that they hold are bounded.
+//! The answer to a status query depends on whether the job is aborted through a dependency, and the
+//! answer to a submission on whether all of the job's dependencies were accepted. Any controller
+//! can answer both from the records. The number of walks and the memory for their job identifiers
+//! are bounded.
 
 use std::collections::HashSet;
 
@@ -18,39 +19,39 @@
 use crate::storage::records::{decode, JobRecord, RecordedStatus};
 use crate::{Outcome, RequestId};
 
-/// Reads of one walk in flight at a time.
+/// Maximum number of reads of one walk in flight.
 const MAX_WALK_READS: usize = 6;
-/// Rough size of a name in the memory of a walk.
-const BYTES_PER_WALK_NAME: usize = 64;
+/// Approximate memory that one job identifier takes in a walk.
+const BYTES_PER_WALK_ID: usize = 64;
 
-/// What a walk is for.
+/// The purpose of a walk.
 #[derive(Debug)]
 enum WalkPurpose {
-    /// To answer a status query for a job whose record says that it has not ended.
+    /// Answers a status query for a job that is live according to its record.
     Status(JobAnswer),
-    /// To verify that all dependencies of a submission were accepted.
+    /// Verifies that all dependencies of a submission were accepted.
     Admission(Box<JobSpec>),
 }
 
-/// Reads of records along the graph for one request.
+/// State of a walk: the job records that are read for one request.
 #[derive(Debug)]
 pub(super) struct DependencyWalk {
     purpose: WalkPurpose,
-    /// Jobs whose records are still to be read.
+    /// Jobs whose records have not been requested yet.
     unread: Vec<String>,
-    /// Jobs that were ever in `unread`.
+    /// All jobs that have been in `unread`.
     seen: HashSet<String>,
     reads_in_flight: usize,
-    /// A job that was read has not ended.
+    /// Whether some record that was read says that its job has not ended.
     found_live: bool,
-    /// A job that was read is aborted.
+    /// Whether some job of the walk is known to be aborted.
     found_aborted: bool,
-    /// Steady clock at which the request is answered as undecidable.
+    /// Monotonic time at which the request is refused because its answer can't be decided in time.
     expires_ms: u64,
 }
 
 impl DependencyWalk {
-    /// Whether it is for a submission that names this job as a direct dependency.
+    /// Returns whether the walk is for a submission that names this job as a direct dependency.
     fn admits_dependent_of(&self, id: &String) -> bool {
         matches!(&self.purpose, WalkPurpose::Admission(spec) if spec.dependencies.contains(id))
     }
@@ -64,7 +65,7 @@
 }
 
 impl Controller {
-    /// Answers the requests whose walks took too long as undecidable at present.
+    /// Refuses the requests whose walks took too long, because they can't be decided now.
     pub(super) fn expire_walks(&mut self) {
         for request in self.dependency_graph.expired_walks(self.context.now.steady_ms) {
             self.dependency_graph.walks.remove(&request);
@@ -72,20 +73,22 @@
         }
     }
 
-    /// Answers a status query for a job that its record calls live: it is aborted if one of its
-    /// dependencies is, and queued while one has not ended.
+    /// Answers a status query for a job that is live according to its record, after reading the
+    /// records of its dependencies, `named`: the job is aborted if one of them is aborted, and
+    /// queued while one of them has not ended.
     pub(crate) fn walk(&mut self, request: RequestId, answer: JobAnswer, named: Vec<String>) {
         self.begin_walk(request, WalkPurpose::Status(answer), named)
     }
 
-    /// Submits a job once all of its dependencies are known to have been accepted.
+    /// Submits a job once all of its dependencies are known to have been accepted and not to be
+    /// services.
     pub(crate) fn admit(&mut self, request: RequestId, spec: JobSpec) {
         let unread =
             spec.dependencies.iter().filter(|id| !self.is_valid_dependency(id)).cloned().collect();
         self.begin_walk(request, WalkPurpose::Admission(Box::new(spec)), unread)
     }
 
-    /// Whether memory knows that a job was accepted and is not a service.
+    /// Returns whether memory shows that a job was accepted and is not a service.
     fn is_valid_dependency(&self, id: &str) -> bool {
         match self.terminal_jobs.get(id) {
             // A service never ends as done.
@@ -100,9 +103,9 @@
 
     fn begin_walk(&mut self, request: RequestId, purpose: WalkPurpose, unread: Vec<String>) {
         let walks = &self.dependency_graph.walks;
-        let names = walks.values().map(|walk| walk.seen.len()).sum::<usize>() + unread.len();
+        let ids = walks.values().map(|walk| walk.seen.len()).sum::<usize>() + unread.len();
         let too_many = walks.len() >= self.context.config.max_dependency_walks();
-        let too_large = names * BYTES_PER_WALK_NAME > self.context.config.max_held_bytes();
+        let too_large = ids * BYTES_PER_WALK_ID > self.context.config.max_held_bytes();
         if too_many || too_large && !walks.is_empty() {
             return self.answer_busy(request, RefusalReason::TooManyWaiting);
         }
@@ -119,7 +122,7 @@
         self.continue_walk(request);
     }
 
-    /// Reads the next records, and answers the request once all were read.
+    /// Requests the next records, and answers the request once all records have been read.
     fn continue_walk(&mut self, request: RequestId) {
         loop {
             let Some(walk) = self.dependency_graph.walks.get_mut(&request) else { return };
@@ -129,8 +132,8 @@
             let Some(id) = walk.unread.pop() else { break };
             match self.terminal_jobs.get(&id) {
                 Some(RecordedStatus::Done) => continue,
-                // The end of a direct dependency does not say whether it was a service: its
-                // record is read.
+                // An abort does not show whether a direct dependency was a service, so that
+                // dependency's record is read.
                 Some(_) if !walk.admits_dependent_of(&id) => {
                     walk.found_aborted = true;
                     if let WalkPurpose::Status(_) = walk.purpose {
@@ -142,7 +145,7 @@
             }
             walk.reads_in_flight += 1;
             if !self.may_read(ReadPurpose::Request) {
-                return self.give_up_walk(request);
+                return self.refuse_undecided(request);
             }
             let pending = InFlight::WalkRead { request, job: id.clone() };
             self.look_up(&id, pending);
@@ -169,7 +172,8 @@
         }
     }
 
-    /// The job that a status query asks for has an aborted dependency.
+    /// Answers a status query for a job that has an aborted dependency, and applies the abort to
+    /// the job if this controller is the leader.
     fn end_walk_as_aborted(&mut self, request: RequestId) {
         let Some(walk) = self.dependency_graph.walks.remove(&request) else { return };
         let WalkPurpose::Status(answer) = walk.purpose else { return };
@@ -180,23 +184,23 @@
         self.answer_terminal(request, &answer.id, RecordedStatus::Aborted);
     }
 
-    /// The request can't be decided now.
-    fn give_up_walk(&mut self, request: RequestId) {
+    /// Ends a walk and refuses its request, because the answer can't be decided now.
+    fn refuse_undecided(&mut self, request: RequestId) {
         self.dependency_graph.walks.remove(&request);
         self.answer_busy(request, RefusalReason::DependenciesUnknown);
     }
 
-    /// Outcome of reading a record for a walk.
+    /// Handles the outcome of reading a record for a walk.
     pub(crate) fn on_walk_read(&mut self, request: RequestId, id: String, outcome: Outcome) {
         let read = self.read_outcome(outcome);
         let Some(walk) = self.dependency_graph.walks.get_mut(&request) else { return };
         walk.reads_in_flight -= 1;
         let admits_dependent = walk.admits_dependent_of(&id);
-        let Ok(found) = read else { return self.give_up_walk(request) };
+        let Ok(found) = read else { return self.refuse_undecided(request) };
         let Some(pair) = found else { return self.on_walk_record_missing(request, &id) };
         let Some(record) = decode::<JobRecord>(&pair.value) else {
-            tracing::error!(job = %id, "the job's record can't be read; it is left as it is");
-            return self.give_up_walk(request);
+            tracing::error!(job = %id, "the job's record can't be decoded; it is left unchanged");
+            return self.refuse_undecided(request);
         };
         if admits_dependent && record.is_service() {
             return self.refuse_admission(request, "a job in prereqs is a service");
@@ -225,11 +229,11 @@
         if walk.is_some_and(|walk| walk.admits_dependent_of(id)) {
             return self.refuse_admission(request, "a job in prereqs was never accepted");
         }
-        tracing::error!(job = %id, "a dependency's record is missing");
-        self.give_up_walk(request);
+        tracing::error!(job = %id, "a dependency's record is missing; the request is refused");
+        self.refuse_undecided(request);
     }
 
-    /// Ends a walk for a submission that names a job which it must not depend on.
+    /// Ends a walk for a submission that names an invalid dependency, and refuses the submission.
     fn refuse_admission(&mut self, request: RequestId, reason: &str) {
         let walk = self.dependency_graph.walks.remove(&request);
         if let Some(WalkPurpose::Admission(spec)) = walk.map(|walk| walk.purpose) {
@@ -237,7 +241,7 @@
         }
     }
 
-    /// The dependencies of a job that has not ended are read as well.
+    /// Extends a walk by the dependencies of a job that has not ended.
     fn on_walk_found_live(
         &mut self,
         request: RequestId,
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -1,4 +1,5 @@
-//! One job in the leader's memory: what was submitted, its state, and the counts of its tasks.
+//! A job in the leader's memory: the submitted specification, the job's state, and the counts of
+//! its tasks by state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,105 +17,115 @@
 /// The state of a job in the leader's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// The write of its acceptance is in flight.
+    /// The write that records the job's acceptance is in flight.
     Recording,
-    /// Accepted, with dependencies that are not known to be recorded as done.
+    /// Accepted; some dependencies are not known to be recorded as done.
     Waiting,
-    /// Accepted, and its tasks may run.
+    /// Accepted; the job's tasks may run.
     Live,
-    /// The write of its abort is in flight; nothing starts until its outcome is known.
+    /// The write of the job's abort is in flight; no task starts until its outcome is known.
     Aborting,
-    /// The outcome of writing its abort is indeterminate: its tasks are stopped, and the write
-    /// is repeated until the abort is known to be recorded.
+    /// The outcome of writing the job's abort is indeterminate: its tasks are stopped, and the
+    /// write is retried until the abort is known to be recorded.
     AbortIndeterminate,
-    /// Recorded as aborted; its placement records remain until no task is on a machine.
+    /// Recorded as aborted; the job's placement records remain until no task is on a machine.
     Aborted,
-    /// All tasks are done, and the write that says so is in flight.
+    /// All tasks are done, and the write that records the job as done is in flight.
     Finishing,
     /// Recorded as done.
     Done,
-    /// Its record can't be decoded: it is left unchanged, and reported as an error.
+    /// The job's record can't be decoded: the record is left unchanged, and an error is logged.
     Unreadable,
 }
 
 impl JobState {
-    /// Whether it is accepted, and not known to be recorded as ended.
+    /// Returns whether the job is accepted and its end is neither recorded nor being recorded.
     pub fn is_accepted(self) -> bool {
         matches!(self, JobState::Live | JobState::Waiting)
     }
 }
 
-/// A job in the leader's memory. Its counts of tasks follow from the states of its tasks.
+/// A job in the leader's memory. Its counts of tasks are derived from the states of its tasks.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The identifier that its user chose.
+    /// Identifier of the job, chosen by the user who submitted it.
     pub id: String,
-    /// What was submitted.
+    /// The specification as it was submitted.
     pub spec: JobSpec,
-    /// Key of the image that its tasks need.
+    /// Key of the image that the job's tasks need.
     pub image: ImageKey,
-    /// Its team, by position in the settings.
+    /// The job's team, as a position in the list of teams in the settings.
     pub team: usize,
-    /// Changed by [`Controller::set_job_state`] alone.
+    /// State of the job; only [`Controller::set_job_state`] changes it.
     pub state: JobState,
-    /// The store's revision of its record; 0 before the record is known to be stored.
+    /// Revision of the job's record in the key-value store; 0 until the record is known to be
+    /// stored.
     pub revision: u64,
-    /// Time of day of its submission.
+    /// Wall-clock time of the submission.
     pub at_ms: u64,
-    /// Time of day from which on it could run: of its submission, or of the end of the last of
-    /// its dependencies.
+    /// Wall-clock time from which on the job could run: the time of its submission, or the time at
+    /// which its last dependency was found to be done.
     pub ready_ms: u64,
-    /// Dependencies whose ends are not known to be recorded.
+    /// Dependencies whose terminal states are not known to be recorded.
     pub pending_dependencies: BTreeSet<String>,
-    /// Effective priority, see [`crate::jobs::dependencies`].
+    /// Effective priority: the job's own or one inherited from a dependent, see
+    /// [`crate::jobs::dependencies`].
     pub priority: Priority,
-    /// Effective deadline, see [`crate::jobs::dependencies`].
+    /// Effective deadline: the job's own or one inherited from a dependent, see
+    /// [`crate::jobs::dependencies`].
     pub deadline: Option<Deadline>,
-    /// The effective deadline is missed unless it starts now; updated each heartbeat round.
+    /// Whether the job has an inherited priority and must start now for its effective deadline to
+    /// be met; updated in each heartbeat round.
     pub deadline_at_risk: bool,
-    /// Chunks with tasks that were placed, by number.
+    /// Chunks that are in memory, by number.
     pub chunks: BTreeMap<u32, Chunk>,
-    /// Ranges, both ends included, of chunks that the job's own record says are done.
+    /// Ranges, both ends included, of the chunks that are done according to the job's own record.
     pub done_chunks: Vec<(u32, u32)>,
-    /// A write or a read of the job's own record is in flight.
+    /// Whether a write or a read of the job's own record is in flight.
     pub busy: bool,
-    /// Another controller has stopped a task of it: no task starts before its record was read.
+    /// Whether another controller has stopped a task of the job, so that no task starts until the
+    /// job's record has been reread.
     pub must_reread_record: bool,
-    /// Batch record that holds it, unless it has a record of its own.
+    /// Number of the batch record that holds the job; `None` if the job has a record of its own.
     pub page: Option<u64>,
-    /// It is in a batch record and is to get a record of its own.
+    /// Whether the job, if it is in a batch record, has to get a record of its own.
     pub own: bool,
-    /// Zone chosen for the whole job, if its tasks have to run together.
+    /// Zone chosen for the whole job, if its tasks have to run in the same zone.
     pub zone: Option<u16>,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Tasks that a heartbeat has confirmed on a machine.
+    /// Number of tasks that a heartbeat has confirmed on a machine, including those being stopped.
     pub on: u32,
-    /// Tasks that are placed and wait for a machine.
+    /// Number of tasks that are placed and wait for a machine.
     pub waiting: u32,
-    /// Number of the first task that has not been placed.
+    /// Number of the task at which the next search for unplaced tasks begins; no earlier task is
+    /// unplaced.
     pub next: u32,
-    /// No machine could take a task of it: steady clock before which it is not placed again.
+    /// Monotonic time before which the job is not placed, because no machine could take its tasks.
     pub placement_from_ms: u64,
-    /// Machines on which a task of it failed.
+    /// Machines on which a task of the job has failed.
     pub failed_on: Vec<MachineIndex>,
-    /// Whether its failures are attributed to the job itself.
+    /// Whether the job's failures are attributed to the job itself.
     pub health: JobHealth,
-    /// Trial starts since its failures were attributed to it.
+    /// Number of trial starts since the job's failures were attributed to it.
     pub trials: u32,
-    /// Steady clock of the next trial start.
+    /// Monotonic time of the next trial start.
     pub next_trial_ms: u64,
-    /// Tasks that occupy a machine, or are about to.
+    /// Number of tasks that are bound: those that occupy a machine or are being started on one.
     pub bound: u32,
-    /// Steady clock of its abort; before that, of its entry into memory.
+    /// Monotonic time at which the job was aborted; until then, the time at which it was loaded
+    /// into memory.
     pub aborted_ms: u64,
-    /// Steady clock before which its record is not written, since the store refused it.
+    /// Monotonic time before which the job's record is not written, because the store refused it.
     pub deferred_until_ms: u64,
-    /// Steady clock at which its record was last read again.
+    /// Monotonic time at which the job's record was last reread; at first, the time at which the
+    /// job was loaded into memory. Restarted when the job's last dependency is done.
     pub read_ms: u64,
-    /// Objectives of its class that it can't meet any more; updated each heartbeat round.
+    /// Number of deadline objectives that the job can no longer meet; updated in each heartbeat
+    /// round.
     pub missed_objectives: u8,
-    /// Highest ratio of demand to supply among its constraints; updated each heartbeat round.
+    /// Highest ratio of demand to supply among the job's constraints; updated in each heartbeat
+    /// round.
     pub ratio: f64,
 }
 
@@ -168,28 +179,30 @@
         job
     }
 
-    /// Resources that one task of it needs.
+    /// Returns the resources that one task of the job needs.
     pub fn resources(&self) -> Resources {
         Resources { cpus: self.spec.cpus, gpus: self.spec.gpus, memory_gb: self.spec.memory_gb }
     }
 
-    /// Fraction of its tasks' resources that preemption can free when it has this priority. The
-    /// tasks of a gang are not preempted singly, unless the gang has the lowest priority.
+    /// Returns the fraction of the resources of the job's tasks that counts as preemptible when the
+    /// job has this priority. The tasks of a gang are not preempted one by one, so they count only
+    /// if the gang has the lowest priority.
     pub fn preemptible_fraction(&self, priority: Priority) -> f64 {
         f64::from(u8::from(self.spec.shape != JobKind::Gang || priority == Priority::Low))
     }
 
-    /// Work that is left, in seconds of machine time, by the submitted estimate.
+    /// Returns the job's remaining work in seconds of machine time, according to the submitted
+    /// estimate.
     pub fn remaining_s(&self) -> f64 {
         f64::from(self.spec.tasks.saturating_sub(self.done)) * self.spec.estimate_s
     }
 
-    /// A task by its number, if its chunk is in memory.
+    /// Returns a task by its number, if its chunk is in memory.
     pub fn task(&self, task: u32) -> Option<&Task> {
         self.chunks.get(&(task / TASKS_PER_CHUNK))?.tasks.get((task % TASKS_PER_CHUNK) as usize)
     }
 
-    /// A task by its number, if its chunk is in memory.
+    /// Returns a task by its number for modification, if its chunk is in memory.
     pub fn task_mut(&mut self, task: u32) -> Option<&mut Task> {
         self.chunks
             .get_mut(&(task / TASKS_PER_CHUNK))?
@@ -197,18 +210,19 @@
             .get_mut((task % TASKS_PER_CHUNK) as usize)
     }
 
-    /// The chunk of a task, if it is in memory.
+    /// Returns the chunk of a task for modification, if the chunk is in memory.
     pub fn chunk_of(&mut self, task: u32) -> Option<&mut Chunk> {
         self.chunks.get_mut(&(task / TASKS_PER_CHUNK))
     }
 
-    /// Whether the job's own record says that the chunk of this task is done.
+    /// Returns whether the chunk of this task is done according to the job's own record.
     pub fn in_done_chunk(&self, task: u32) -> bool {
         let chunk = task / TASKS_PER_CHUNK;
         self.done_chunks.iter().any(|(first, last)| (*first..=*last).contains(&chunk))
     }
 
-    /// The answer to a status query.
+    /// Builds the answer to a status query. The counts of tasks are set only while the job is
+    /// queued or running.
     pub fn answer(&self) -> JobAnswer {
         let status = match self.state {
             JobState::Done => JobStatus::Done,
@@ -221,27 +235,32 @@
         JobAnswer { id: self.id.clone(), status, done: count(self.done), running: count(self.on) }
     }
 
-    /// The tasks of all chunks in memory with their numbers, in order.
+    /// Iterates over the tasks of all chunks in memory, with their numbers, in order.
     pub fn tasks(&self) -> impl Iterator<Item = (u32, &Task)> {
         self.chunks.iter().flat_map(|(chunk_number, chunk)| {
             let first_task = chunk_number * TASKS_PER_CHUNK;
-            chunk.tasks.iter().enumerate().map(move |(at, task)| (first_task + at as u32, task))
+            chunk
+                .tasks
+                .iter()
+                .enumerate()
+                .map(move |(offset, task)| (first_task + offset as u32, task))
         })
     }
 
-    /// Number of tasks in a chunk.
+    /// Returns the number of tasks in a chunk; only the last chunk may be shorter than the others.
     pub fn chunk_len(&self, chunk: u32) -> u32 {
         (self.spec.tasks - chunk * TASKS_PER_CHUNK).min(TASKS_PER_CHUNK)
     }
 
-    /// Whether its next task may be placed: its chunk is open, or another may be opened. This
-    /// bounds the memory and the records that a large job array takes.
-    pub fn may_open(&self) -> bool {
+    /// Returns whether the chunk of the job's next task is in memory or another chunk may be opened
+    /// for it. The limit on chunks bounds the memory and the number of records that a large job
+    /// array takes.
+    pub fn may_open_chunk(&self) -> bool {
         self.chunks.contains_key(&(self.next / TASKS_PER_CHUNK))
             || self.chunks.values().filter(|chunk| !chunk.whole()).count() < MAX_OPEN_CHUNKS
     }
 
-    /// The ranges of done chunks once these are done as well.
+    /// Returns the ranges of done chunks, with the chunks in `more` added.
     pub fn done_chunks_with(&self, more: &[u32]) -> Vec<(u32, u32)> {
         let recorded = self.done_chunks.iter().flat_map(|(first, last)| *first..=*last);
         let mut all: Vec<u32> = recorded.chain(more.iter().copied()).collect();
@@ -249,12 +268,12 @@
         ranges(all)
     }
 
-    /// Number of chunks that the job's tasks make.
+    /// Returns the number of chunks into which the job's tasks are divided.
     pub fn chunk_count(&self) -> u32 {
         self.spec.tasks.div_ceil(TASKS_PER_CHUNK)
     }
 
-    /// Moves a task from one state to another in the job's counts.
+    /// Updates the job's counts for a task that changes from one state to another.
     pub(super) fn count_transition(&mut self, old: &TaskState, new: &TaskState) {
         let adjust = |count: &mut u32, before: bool, after: bool| {
             *count = *count + u32::from(after) - u32::from(before);
@@ -267,8 +286,8 @@
 }
 
 impl Controller {
-    /// A job as it enters memory, without tasks or dependencies. `at_ms` is the time of day of its
-    /// submission.
+    /// Creates a job as it is loaded into memory, without chunks or pending dependencies. `at_ms`
+    /// is the wall-clock time of its submission.
     pub(crate) fn new_job(
         &self,
         spec: JobSpec,
@@ -278,7 +297,7 @@
         at_ms: u64,
     ) -> Job {
         let ratio = self.ratio_of(&spec);
-        // `quartzgate-loadtest service-report --logs` reads this line and `begun`.
+        // `quartzgate-loadtest service-report --logs` parses this log line and the line `begun`.
         tracing::debug!(job = %spec.id, class = %spec.class, tasks = spec.tasks, "job entered");
         Job::new(spec, team, state, revision, at_ms, self.context.now.steady_ms, ratio)
     }
--- a/crates/core/src/jobs/snapshot.rs
+++ b/crates/core/src/jobs/snapshot.rs
@@ -1,4 +1,4 @@
-//! The placement record of a chunk, as a snapshot of memory.
+//! Builds the placement record of a chunk as a snapshot of the tasks in memory.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,8 @@
 use crate::storage::records::{ranges, PlacementRecord, ProbeSet, TASKS_PER_CHUNK};
 
 impl Controller {
-    /// The placement record of a chunk according to memory, under the chunk's next version.
+    /// Builds the placement record of a chunk from memory, and advances the chunk to its next
+    /// version.
     pub(crate) fn placement_record(
         &mut self,
         job_index: JobIndex,
@@ -32,14 +33,15 @@
     }
 }
 
-/// Ranges of the numbers of a chunk's done tasks.
+/// Returns the numbers of a chunk's done tasks as ranges.
 fn done_tasks(chunk: &Chunk, first_task: u32) -> Vec<(u32, u32)> {
     let numbered = chunk.tasks.iter().enumerate();
     let done = numbered.filter(|(_, task)| task.state.is_done());
-    ranges(done.map(|(at, _)| first_task + at as u32))
+    ranges(done.map(|(offset, _)| first_task + offset as u32))
 }
 
-/// Adds the machines of each reserved task to a record; neighbours with the same ones share a set.
+/// Adds the probed machines of each reserved task to a record. Consecutive tasks with the same
+/// machines share one set.
 fn add_probe_sets(
     record: &mut PlacementRecord,
     chunk: &Chunk,
@@ -47,15 +49,15 @@
     machines: &Machines,
 ) {
     let mut positions: BTreeMap<MachineIndex, u32> = BTreeMap::new();
-    for (at, task) in chunk.tasks.iter().enumerate() {
+    for (offset, task) in chunk.tasks.iter().enumerate() {
         if !task.state.reserved() {
             continue;
         }
-        let number = first_task + at as u32;
+        let number = first_task + offset as u32;
         let mut set = Vec::with_capacity(task.probes.len());
         for probe in &task.probes {
             let known = machines.get(probe.machine);
-            // A terminated machine holds no task: the next leader need not ask it.
+            // A terminated machine holds no task, so the next leader does not have to query it.
             let Some(machine) = known.filter(|m| m.state != MachineState::Terminated) else {
                 continue;
             };
@@ -73,7 +75,7 @@
     }
 }
 
-/// Names of the zones of a chunk's tasks; empty where none was chosen.
+/// Returns the zone names of a chunk's tasks; the name is empty for a task without a chosen zone.
 fn zone_names(chunk: &Chunk, zones: &[String]) -> Vec<String> {
     let name = |zone: u16| zones[zone as usize].clone();
     chunk.tasks.iter().map(|task| task.zone.map_or(String::new(), name)).collect()
--- a/crates/core/src/jobs/task.rs
+++ b/crates/core/src/jobs/task.rs
@@ -1,32 +1,34 @@
-//! Tasks and their states.
+//! Tasks, their states, and their probes.
 
 use quartzgate_wire::msg::TaskStatus;
 
 use crate::ids::MachineIndex;
 
-/// The state of a task, as far as this leader knows.
+/// The state of a task as this leader knows it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TaskState {
-    /// Not placed: in no placement record, on no machine.
+    /// Not placed: no placement record names the task, and it is on no machine.
     Unplaced,
-    /// Placed and provably on no machine: may be bound to one of its probes.
+    /// Placed and provably on no machine: one of the probed machines may bind the task.
     Waiting,
-    /// Possibly on a machine where an earlier leader could have started it.
+    /// Possibly on a machine, because an earlier leader may have started the task there.
     Unproven,
-    /// Bound: the command to start it has been sent, or is about to be.
+    /// Bound to a machine: the start command has been sent or is about to be sent.
     Starting { machine: MachineIndex, attempt: u64 },
-    /// Reported by its machine, since this moment of the steady clock.
+    /// Reported by its machine; `since_ms` is the monotonic time of the first report of this
+    /// status.
     On { machine: MachineIndex, attempt: u64, status: TaskStatus, since_ms: u64 },
-    /// Commanded to stop, still on its machine; `grace` if it may save a checkpoint first.
+    /// Being stopped, still on its machine; `grace` is set if it may save a checkpoint first.
     Stopping { machine: MachineIndex, attempt: u64, grace: bool },
-    /// Completed; this is durable once the record of its chunk has reached this version.
+    /// Completed; the completion is durable once the chunk's stored record has reached `version`.
     Done { version: u32 },
-    /// Its job was aborted and it is provably on no machine.
+    /// The job was aborted and the task is provably on no machine.
     Dropped,
 }
 
 impl TaskState {
-    /// The machine that the task occupies, as far as this leader knows, and the attempt.
+    /// Returns the machine that the task occupies, as far as this leader knows, and the attempt
+    /// number.
     pub fn machine(&self) -> Option<(MachineIndex, u64)> {
         match *self {
             TaskState::Starting { machine, attempt }
@@ -36,7 +38,8 @@
         }
     }
 
-    /// Whether it counts against the team's limit: placed, and not provably ended.
+    /// Returns whether the task counts towards the team's limit: it is placed and not provably
+    /// ended.
     pub fn reserved(&self) -> bool {
         !matches!(self, TaskState::Unplaced | TaskState::Done { .. } | TaskState::Dropped)
     }
@@ -49,7 +52,8 @@
         matches!(self, TaskState::Unproven)
     }
 
-    /// Confirmed on a machine by a heartbeat, and not yet known to have left it.
+    /// Returns whether a heartbeat has confirmed the task on a machine and the task is not yet
+    /// known to have left it.
     pub(super) fn is_confirmed_on_machine(&self) -> bool {
         matches!(self, TaskState::On { .. } | TaskState::Stopping { .. })
     }
@@ -62,31 +66,32 @@
 /// A machine that a task may be bound to once the record that names it is durable.
 #[derive(Clone, Copy, Debug)]
 pub struct Probe {
-    /// The machine.
+    /// The probed machine; the task is in its queue while the task waits.
     pub machine: MachineIndex,
-    /// The first version of the chunk's record that names this machine.
+    /// The first version of the chunk's record that names this machine for the task.
     pub version: u32,
-    /// An earlier leader may have started the task here.
+    /// Whether an earlier leader may have started the task on this machine.
     pub unproven: bool,
 }
 
 /// One task of a job.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Changed by `set_task_state` alone.
+    /// State of the task; only `set_task_state` changes it.
     pub state: TaskState,
-    /// The machines whose queues it is in, or will be once it waits.
+    /// Probes on the machines whose queues hold the task while it waits.
     pub probes: Vec<Probe>,
-    /// Zone that placement has chosen, for jobs with a zone rule.
+    /// Zone that placement has chosen; set only for jobs with a zone rule.
     pub zone: Option<u16>,
-    /// How often another task was bound before this one in a queue.
+    /// How many times a later task was bound before this one from a queue; reset when this task is
+    /// bound.
     pub slack: u32,
-    /// Sequence number of its arrival, growing over all jobs.
+    /// Sequence number of the task's arrival, increasing over all jobs.
     pub arrived: u64,
-    /// Steady clock at its latest change of state.
+    /// Monotonic time of the latest change to another kind of state.
     pub since_ms: u64,
-    /// Attempts that have failed.
+    /// Number of attempts that have failed.
     pub failures: u32,
-    /// Steady clock before which it is not started again (back-off).
+    /// Monotonic time before which the task is not started again (retry backoff).
     pub not_before_ms: u64,
 }
--- a/crates/core/src/jobs/transitions.rs
+++ b/crates/core/src/jobs/transitions.rs
@@ -1,8 +1,8 @@
-//! Changes of state of tasks and jobs, and what follows from them.
+//! State transitions of tasks and jobs, and their consequences.
 //!
-//! Invariant: the counts of jobs, the usage of teams and the used resources of machines always equal
-//! what the states of the tasks say. All changes go through [`Controller::set_task_state`] and
-//! [`Controller::set_job_state`].
+//! Invariant: the counts of jobs, the usage of teams and the used resources of machines always
+//! agree with the states of the tasks. All state changes go through [`Controller::set_task_state`]
+//! and [`Controller::set_job_state`].
 
 use crate::controller::Controller;
 use crate::fleet::fault_attribution::JobHealth;
@@ -11,8 +11,8 @@
 use crate::storage::records::{RecordedStatus, TASKS_PER_CHUNK};
 
 impl Controller {
-    /// The one function that changes a task's state. It keeps the machines' used resources, the
-    /// teams' usage and the jobs' counts consistent with it.
+    /// Changes a task's state; no other function does. Keeps the machines' used resources, the
+    /// teams' usage and the jobs' counts consistent with the new state.
     pub(crate) fn set_task_state(&mut self, key: TaskKey, state: TaskState) {
         let now_ms = self.context.now.steady_ms;
         let Some(job) = self.jobs.get_mut(key.job) else { return };
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Moves a task's resources between the sums of its team.
+    /// Updates the resource sums of a task's team for a change of the task's state.
     fn update_team_usage(&mut self, job_index: JobIndex, old: &TaskState, new: &TaskState) {
         let Some(job) = self.jobs.get(job_index) else { return };
         let resources = job.resources();
         let usage = &mut self.teams[job.team];
-        let sign = |counted: bool| if counted { 1.0 } else { -1.0 };
+        let sign = |is_counted: bool| if is_counted { 1.0 } else { -1.0 };
         if old.is_unproven() != new.is_unproven() {
             usage.unproven.add(&resources, sign(new.is_unproven()));
         }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Moves a task from the machine of its old state to that of its new one.
+    /// Moves a task from the machine of its old state to the machine of its new state.
     fn update_machine_usage(&mut self, key: TaskKey, old: &TaskState, new: &TaskState) {
         let Some(job) = self.jobs.get(key.job) else { return };
         let resources = job.resources();
@@ -72,7 +72,7 @@
                 machine.used.add(&resources, -1.0);
                 machine.preemptible_by_priority[priority].add(&resources, -preemptible);
                 if machine.tasks.is_empty() {
-                    // Rounding errors of many additions end here.
+                    // Clears the rounding errors that many additions and subtractions leave.
                     (machine.used, machine.preemptible_by_priority) = Default::default();
                     machine.idle_since_ms = self.context.now.steady_ms;
                 }
@@ -88,9 +88,9 @@
         }
     }
 
-    /// The one function that changes a job's state. `Live` becomes `Waiting` for a job with
-    /// dependencies that have not ended, and a recorded end is final: no outcome of a call that
-    /// was in flight brings the job back.
+    /// Changes a job's state; no other function does. Sets `Waiting` instead of `Live` for a job
+    /// with pending dependencies. `Aborted` and `Done` are final: the outcome of a call that was in
+    /// flight does not revive the job.
     pub(crate) fn set_job_state(&mut self, job_index: JobIndex, state: JobState) {
         let Some(job) = self.jobs.get_mut(job_index) else { return };
         let state = match state {
@@ -104,7 +104,7 @@
         match state {
             JobState::Aborted => self.on_job_aborted(job_index),
             JobState::Done => self.on_job_done(job_index),
-            // The user needs none of its tasks any more, whether or not the abort is recorded.
+            // The user no longer needs the job's tasks, whether or not the abort is recorded.
             JobState::AbortIndeterminate => self.stop_tasks(job_index),
             JobState::Live if old == JobState::Aborting => self.dispatch_all_machines(),
             JobState::Live if old == JobState::Waiting => self.on_dependencies_done(job_index),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Drops the tasks that are on no machine, and stops the others.
+    /// Drops the waiting and unplaced tasks of an aborted job, and stops the tasks on machines.
     fn on_job_aborted(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get(job_index) else { return };
         tracing::info!(job = %job.id, "job aborted");
@@ -146,7 +146,7 @@
         self.remember_terminal_state(job_index, RecordedStatus::Done);
     }
 
-    /// Its last dependency is recorded as done: its tasks may be placed.
+    /// Makes a job ready for placement after its last dependency was recorded as done.
     fn on_dependencies_done(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get_mut(job_index) else { return };
         job.ready_ms = self.context.now.wall_ms;
@@ -156,7 +156,7 @@
         self.preempt_due = true;
     }
 
-    /// Sends commands to the machines that hold tasks of a job that must not run any more.
+    /// Schedules commands to the machines that hold tasks of a job that must no longer run.
     fn stop_tasks(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get(job_index) else { return };
         let occupied = job.tasks().filter_map(|(_, task)| task.state.machine());
@@ -169,23 +169,25 @@
         }
     }
 
-    /// A task has left its machine without being done: it waits again, or is dropped with its
-    /// aborted job. It stays unproven while an earlier leader may have started it elsewhere.
+    /// Returns a task that has left its machine without being done to the waiting state, or drops
+    /// it if its job is aborted. The task becomes unproven instead while an earlier leader may have
+    /// started it on another machine.
     pub(crate) fn return_to_queue(&mut self, key: TaskKey) {
         let Some(job) = self.jobs.get(key.job) else { return };
         let aborted = job.state == JobState::Aborted;
         let Some(task) = job.task(key.task) else { return };
-        let next = if task.probes.iter().any(|probe| probe.unproven) {
+        let next_state = if task.probes.iter().any(|probe| probe.unproven) {
             TaskState::Unproven
         } else if aborted {
             TaskState::Dropped
         } else {
             TaskState::Waiting
         };
-        self.set_task_state(key, next);
+        self.set_task_state(key, next_state);
     }
 
-    /// A task is known to be done, from whatever source. Idempotent.
+    /// Marks a task as done, whichever source reported it. Idempotent. If this completes a job with
+    /// dependents, expedites the next write.
     pub(crate) fn task_done(&mut self, key: TaskKey) {
         let Some(job) = self.jobs.get_mut(key.job) else { return };
         if matches!(job.state, JobState::Done | JobState::Finishing) {
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -1,9 +1,9 @@
 //! Candidate selection: the machines on which tasks of one job may be placed, best first.
 //!
-//! Looking at all machines is what placement costs, and the cost grows with the fleet. So it is done
-//! once for many tasks of a job: the machines are kept in one heap a zone, ordered by a score, and
-//! those that were chosen return to it with their new scores. How many machines may be looked at in
-//! a time is bounded ([`super::search_budget`]), so that placement never takes the processor time that
+//! Scanning all machines dominates the cost of placement, and this cost grows with the fleet. One
+//! scan therefore serves many tasks of a job: the machines are kept in one heap per zone, ordered
+//! by score, and a chosen machine is pushed back with its new score. The rate of machine scans is
+//! bounded ([`super::search_budget`]), so that placement never takes the processor time that
 //! running work needs.
 
 use std::cmp::Reverse;
@@ -24,36 +24,38 @@
     zone: Option<u16>,
     /// Resources that the job may use now.
     free: Resources,
-    /// What of them is left beside the tasks in the machine's queue.
+    /// The part of `free` that the tasks in the machine's queue leave.
     spare: Resources,
-    /// Expected wait in its queue.
+    /// Expected wait in the machine's queue, in seconds.
     wait_s: f64,
     has_image: bool,
-    /// Fetching the image would take longer than tasks of the job's class should wait.
+    /// Fetching the image would take longer than the wait objective of the job's class allows.
     slow_fetch: bool,
     spot: bool,
-    /// It has GPUs, which are scarce, and the job needs none.
-    scarce: bool,
-    /// Used part of its CPUs.
+    /// The machine has GPUs, GPUs are scarce, and the job needs none.
+    wastes_gpus: bool,
+    /// Fraction of the machine's CPUs that is in use.
     used_fraction: f64,
-    /// Tasks in its queue.
+    /// Number of tasks in the machine's queue.
     queued: usize,
-    /// Tasks of the job for which it was chosen since, weighted by how likely they run here.
-    chosen: f64,
-    /// Small random number that spreads the choice among equals.
+    /// Tasks of the job for which this machine was chosen since the scan, each weighted by how
+    /// likely it is to run here.
+    expected_tasks: f64,
+    /// Small random number that breaks ties between equal scores.
     jitter: f64,
 }
 
-/// Score (the lower the better) and position in the list, in the order of a max-heap.
+/// Score (lower is better) and position in the candidate list, reversed so that a max-heap yields
+/// the lowest score first.
 type Scored = Reverse<(OrderedFloat<f64>, usize)>;
 
-/// What one zone offers the job.
+/// Capacity of one zone for the job.
 #[derive(Clone, Debug, Default)]
 struct ZoneCapacity {
     machines: u32,
-    /// Tasks that fit the spare resources of its machines.
+    /// Number of tasks that fit the spare resources of the zone's machines.
     fitting_tasks: u32,
-    /// Machines among those that have the image.
+    /// Machines that have the image and spare resources for at least one task.
     with_image: u32,
 }
 
@@ -63,18 +65,19 @@
     need: Resources,
     allows_spot: bool,
     list: Vec<Candidate>,
-    /// Positions in `list` by zone, those of unknown zone last.
+    /// One heap of positions in `list` per zone; the last heap is for machines of unknown zone.
     heaps: Vec<BinaryHeap<Scored>>,
     zones: Vec<ZoneCapacity>,
 }
 
 impl Candidates {
-    /// Whether there is no candidate at all.
+    /// Returns whether no machine may take a task of the job.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// Whether one more task fits the spare resources of a machine in this zone, or in any.
+    /// Returns whether one more task fits the spare resources of a machine in this zone, or in any
+    /// zone if `zone` is `None`.
     pub fn has_spare(&self, zone: Option<u16>) -> bool {
         match zone {
             Some(zone) => self.zones[zone as usize].fitting_tasks > 0,
@@ -82,20 +85,22 @@
         }
     }
 
-    /// Whether there is a candidate in this zone, or in any.
+    /// Returns whether there is a candidate in this zone, or in any zone if `zone` is `None`.
     pub fn any_in(&self, zone: Option<u16>) -> bool {
         zone.map_or(!self.list.is_empty(), |zone| self.zones[zone as usize].machines > 0)
     }
 
-    /// The zone whose spare resources hold most tasks.
+    /// Returns the zone with candidates whose spare resources fit the most tasks.
     pub fn zone_with_most_spare(&self) -> Option<u16> {
         let known = self.zones.len() as u16 - 1;
         let with_machines = (0..known).filter(|zone| self.zones[*zone as usize].machines > 0);
         with_machines.max_by_key(|zone| self.zones[*zone as usize].fitting_tasks)
     }
 
-    /// The zone for one more task of a job that is spread: the one with the fewest of its tasks
-    /// that has spare resources and may take one more, preferably where the image is.
+    /// Returns the zone for one more task of a job that is spread over zones. Only zones with
+    /// candidates and with fewer than `max_per_zone` of the job's tasks qualify. Among these,
+    /// prefers a zone with spare resources, then the fewest of the job's tasks, then a machine that
+    /// has the image, then the most spare resources.
     pub fn spread_zone(&self, counts: &[u32], max_per_zone: u32) -> Option<u16> {
         let is_open = |zone: &usize| counts[*zone] < max_per_zone && self.zones[*zone].machines > 0;
         let best = (0..counts.len()).filter(is_open).max_by_key(|zone| {
@@ -106,11 +111,11 @@
         best.map(|zone| zone as u16)
     }
 
-    /// The best machines for one more task, at most `count` of them, the first being the one where
-    /// it will most likely run.
+    /// Chooses the best machines for one more task, at most `count` and none from `avoid`. The task
+    /// will most likely run on the first of them.
     pub fn choose(
         &mut self,
-        core: &Controller,
+        controller: &Controller,
         zone: Option<u16>,
         count: usize,
         avoid: &[MachineIndex],
@@ -119,14 +124,14 @@
         let weight_of_others = 0.5 / chosen.len().max(1) as f64;
         for (rank, &(heap, position)) in chosen.iter().enumerate() {
             let weight = if rank == 0 { 1.0 } else { weight_of_others };
-            self.take(heap, position, weight);
-            let score = self.score(core, position);
+            self.add_expected_task(heap, position, weight);
+            let score = self.score(controller, position);
             self.heaps[heap].push(Reverse((score, position)));
         }
         chosen.into_iter().map(|(_, position)| self.list[position].index).collect()
     }
 
-    /// Takes the best candidates out of the heaps; returns the heap and the position of each.
+    /// Pops the best candidates from the heaps. Returns the heap and the list position of each.
     fn pop_best(
         &mut self,
         zone: Option<u16>,
@@ -153,12 +158,12 @@
         chosen
     }
 
-    /// Counts one more task for a candidate, by its weight.
-    fn take(&mut self, zone: usize, position: usize, weight: f64) {
+    /// Charges one more expected task to a candidate, weighted by how likely it is to run there.
+    fn add_expected_task(&mut self, zone: usize, position: usize, weight: f64) {
         let (candidate, capacity) = (&mut self.list[position], &mut self.zones[zone]);
         let fitting_before = candidate.spare.holds(&self.need);
         candidate.spare.add(&self.need, -weight);
-        candidate.chosen += weight;
+        candidate.expected_tasks += weight;
         candidate.queued += 1;
         let fitting = candidate.spare.holds(&self.need);
         capacity.fitting_tasks -= fitting_before - fitting;
@@ -167,22 +172,25 @@
         }
     }
 
-    /// How well a machine would serve one more task: the lower the better.
-    fn score(&self, core: &Controller, position: usize) -> OrderedFloat<f64> {
+    /// Rates a machine for one more task of the job; lower is better.
+    fn score(&self, controller: &Controller, position: usize) -> OrderedFloat<f64> {
         let candidate = &self.list[position];
         let mut score = candidate.jitter;
         if candidate.spare.fits(&self.need) {
-            // Spare now: first where the image is, then the cheap ones, then bin packing.
+            // The task fits now: prefer machines that have the image, then cheap ones, then full
+            // ones (bin packing).
             score += match (candidate.has_image, candidate.slow_fetch) {
                 (true, _) => 0.0,
                 (_, false) => 1.0,
                 (_, true) => 4.0,
             };
-            // On-demand machines are expensive: work that may run on spot rather fetches the image.
+            // On-demand machines are expensive: for a job that may run on spot machines, a spot
+            // machine that has to fetch the image scores better than an on-demand machine that has
+            // it, unless the fetch is slow.
             score += if self.allows_spot && !candidate.spot { 2.0 } else { 0.0 };
-            score += if candidate.scarce { 2.5 } else { 0.0 };
+            score += if candidate.wastes_gpus { 2.5 } else { 0.0 };
             score += 0.4 * (1.0 - candidate.used_fraction);
-        } else if self.fits_after_preemption(core, candidate) {
+        } else if self.fits_after_preemption(controller, candidate) {
             score += 3.0 + if candidate.has_image { 0.0 } else { 2.0 };
             score += 0.4 * candidate.queued as f64;
         } else {
@@ -192,21 +200,21 @@
         OrderedFloat(score)
     }
 
-    /// Whether one more task fits once lower priorities are preempted.
-    fn fits_after_preemption(&self, core: &Controller, candidate: &Candidate) -> bool {
+    /// Returns whether one more task fits after preemption of tasks of lower priority.
+    fn fits_after_preemption(&self, controller: &Controller, candidate: &Candidate) -> bool {
         let (Some(job), Some(machine)) =
-            (core.jobs.get(self.job), core.machines.get(candidate.index))
+            (controller.jobs.get(self.job), controller.machines.get(candidate.index))
         else {
             return false;
         };
         let mut attainable = candidate.free;
-        attainable.add(&self.need, -candidate.chosen);
+        attainable.add(&self.need, -candidate.expected_tasks);
         attainable.add(&machine.preemptible_for(job.preemption_priority()), 1.0);
         attainable.fits(&self.need)
     }
 
-    /// Scores all candidates, and counts what each zone offers.
-    fn build_heaps(&mut self, core: &Controller) {
+    /// Scores all candidates, and computes the capacity of each zone.
+    fn build_heaps(&mut self, controller: &Controller) {
         let unknown_zone = self.zones.len() - 1;
         let mut scored: Vec<Vec<Scored>> = vec![Vec::new(); self.zones.len()];
         for position in 0..self.list.len() {
@@ -217,7 +225,7 @@
             capacity.machines += 1;
             capacity.fitting_tasks += fitting;
             capacity.with_image += u32::from(candidate.has_image && fitting > 0);
-            scored[zone].push(Reverse((self.score(core, position), position)));
+            scored[zone].push(Reverse((self.score(controller, position), position)));
         }
         self.heaps = scored.into_iter().map(BinaryHeap::from).collect();
     }
@@ -227,12 +235,12 @@
 struct AllowedType<'a> {
     name: &'a str,
     capacity: Resources,
-    /// Fetching the image would take longer than tasks of the job's class should wait.
+    /// Fetching the image would take longer than the wait objective of the job's class allows.
     slow_fetch: bool,
 }
 
 impl Controller {
-    /// Looks at all machines for a job's tasks.
+    /// Scans all machines and returns those that may take tasks of a job.
     pub(crate) fn candidates_for(&mut self, job_index: JobIndex) -> Candidates {
         let now_ms = self.context.now.steady_ms;
         self.search_budget.spend(now_ms, self.machines.len());
@@ -269,7 +277,7 @@
         candidates
     }
 
-    /// A machine as a candidate for a job, without jitter.
+    /// Builds the candidate for a machine and a job, with `jitter` 0.
     fn candidate(
         &self,
         index: MachineIndex,
@@ -291,16 +299,17 @@
             has_image,
             slow_fetch: !has_image && allowed_type.slow_fetch,
             spot: machine.spot,
-            scarce: capacity.gpus > 0.0 && gpus_scarce,
+            wastes_gpus: capacity.gpus > 0.0 && gpus_scarce,
             used_fraction: machine.used.cpus / capacity.cpus.max(1e-9),
             queued: machine.queue.len(),
-            chosen: 0.0,
+            expected_tasks: 0.0,
             jitter: 0.0,
         }
     }
 
-    /// Resources that are free on a machine now, and what of them is left beside the tasks in its
-    /// queue. What does not fit any more stays so, whatever the rest of the queue asks for.
+    /// Returns the resources that are free on a machine now, and the part of them that the tasks in
+    /// its queue leave. The queue is read only as far as `need` still fits: once it does not fit,
+    /// the remaining queued tasks can't change that.
     pub(super) fn free_and_spare(
         &self,
         index: MachineIndex,
@@ -331,9 +340,9 @@
         (free, spare)
     }
 
-    /// The machine types that a job allows.
+    /// Returns the machine types that a job allows.
     fn allowed_types<'a>(&'a self, spec: &JobSpec) -> Vec<AllowedType<'a>> {
-        let max_wait_s = self.may_wait_s(&spec.class);
+        let max_wait_s = self.wait_objective_s(&spec.class);
         let is_allowed = |name: &String| spec.types.as_ref().is_none_or(|t| t.contains(name));
         let types = self.machine_types.iter().filter(|t| is_allowed(&t.name));
         let allowed = types.map(|t| AllowedType {
@@ -344,8 +353,8 @@
         allowed.collect()
     }
 
-    /// The only zone that a job allows: `None` for any, `Some(None)` for one that the settings
-    /// don't name.
+    /// Returns the only zone that a job allows: `None` if the job allows any zone, `Some(None)` if
+    /// the settings don't name the job's zone.
     fn wanted_zone(&self, spec: &JobSpec) -> Option<Option<u16>> {
         let zones = &self.context.config.platform.params.zones;
         let position = |wanted: &String| zones.iter().position(|zone| zone == wanted);
@@ -353,7 +362,7 @@
     }
 }
 
-/// Whether a task of the job fits a machine beside its services, which never end.
+/// Returns whether a task of the job fits beside the machine's services, which never end.
 fn fits_beside_services(machine: &Machine, capacity: &Resources, job: &Job) -> bool {
     capacity.minus(&machine.used_by_services(job.priority)).fits(&job.resources())
 }
--- a/crates/core/src/placement/demand_ratios.rs
+++ b/crates/core/src/placement/demand_ratios.rs
@@ -1,5 +1,5 @@
-//! Ratios of demand to supply, and what is derived from them each heartbeat round: expected waits,
-//! missed objectives, and whether GPUs are scarce.
+//! Ratios of demand to supply, and values updated with them in each heartbeat round: expected
+//! waits, missed objectives, and whether GPUs are scarce.
 
 use std::collections::BTreeMap;
 
@@ -11,43 +11,44 @@
 use crate::jobs::{Job, JobState, Task, TaskState};
 use crate::placement::wait::expected_wait;
 
-/// Ratios of demand to supply for every constraint, computed each heartbeat round.
+/// Ratio of demand to supply for every constraint, computed in each heartbeat round.
 #[derive(Default)]
 pub(crate) struct DemandRatios {
     by_constraint: BTreeMap<Constraint, f64>,
     max: f64,
-    /// The most of each resource that one task with GPUs needs, while GPUs are scarce.
-    gpu_task: Option<Resources>,
+    /// The maximum of each resource over single tasks of live jobs with GPUs; `None` while GPUs are
+    /// not scarce.
+    largest_gpu_task: Option<Resources>,
 }
 
 impl DemandRatios {
-    /// The highest ratio of all constraints.
+    /// Returns the highest ratio over all constraints.
     pub fn highest(&self) -> f64 {
         self.max
     }
 
-    /// Whether GPUs are kept for tasks that need them.
+    /// Returns whether GPUs are scarce, so that they are reserved for tasks that need them.
     pub fn gpus_scarce(&self) -> bool {
-        self.gpu_task.is_some()
+        self.largest_gpu_task.is_some()
     }
 
-    /// The ratio of each constraint that some job has, by its name in the metrics.
+    /// Returns the ratio of each constraint that some live job has, by the constraint's name in the
+    /// metrics.
     pub fn named(&self) -> Vec<(String, f64)> {
         self.by_constraint.iter().map(|(name, ratio)| (name.to_string(), *ratio)).collect()
     }
 }
 
-/// Something that a job asks of a machine and that may be in short supply.
+/// A requirement of a job on its machines that may be in short supply.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Constraint {
     Cpu,
     Gpu,
     Memory,
-    /// A machine type.
-    Kind(String),
+    MachineType(String),
     Zone(String),
-    /// No spot machines.
-    Ordinary,
+    /// A machine that is not a spot machine.
+    OnDemand,
 }
 
 impl std::fmt::Display for Constraint {
@@ -56,18 +57,19 @@
             Constraint::Cpu => f.write_str("cpu"),
             Constraint::Gpu => f.write_str("gpu"),
             Constraint::Memory => f.write_str("memory"),
-            Constraint::Kind(name) => write!(f, "type.{name}"),
+            Constraint::MachineType(name) => write!(f, "type.{name}"),
             Constraint::Zone(name) => write!(f, "zone.{name}"),
-            Constraint::Ordinary => f.write_str("no_spot"),
+            Constraint::OnDemand => f.write_str("no_spot"),
         }
     }
 }
 
-/// Ratio of demand to supply from which on GPUs are scarce.
+/// GPUs are scarce if their ratio of demand to supply is at least this.
 const SCARCE_GPU_RATIO: f64 = 0.5;
 
 impl Controller {
-    /// Constraints of a job, with the amount that a task asks of each.
+    /// Returns the constraints of a job with the amount that each task asks for; for machine types,
+    /// zones and on-demand machines, the amount is the task's CPUs.
     fn constraints(spec: &JobSpec) -> Vec<(Constraint, f64)> {
         let mut constraints =
             vec![(Constraint::Cpu, spec.cpus), (Constraint::Memory, spec.memory_gb)];
@@ -75,40 +77,41 @@
             constraints.push((Constraint::Gpu, spec.gpus));
         }
         for machine_type in spec.types.iter().flatten() {
-            constraints.push((Constraint::Kind(machine_type.clone()), spec.cpus));
+            constraints.push((Constraint::MachineType(machine_type.clone()), spec.cpus));
         }
         if let Some(zone) = &spec.zone {
             constraints.push((Constraint::Zone(zone.clone()), spec.cpus));
         }
         if !spec.spot {
-            constraints.push((Constraint::Ordinary, spec.cpus));
+            constraints.push((Constraint::OnDemand, spec.cpus));
         }
         constraints
     }
 
-    /// Computes the ratio of demand to supply for each constraint, then what jobs and machines
-    /// derive from them: ratios, missed objectives and expected waits.
+    /// Computes the ratio of demand to supply for each constraint, then updates the values of jobs
+    /// (ratio, missed objectives, deadline at risk) and of machines (expected wait, resources used
+    /// by services).
     pub(crate) fn update_demand_ratios(&mut self) {
         let demand = self.demand();
         let supply = self.supply();
         let by_constraint: BTreeMap<Constraint, f64> = demand
             .into_iter()
-            .map(|(constraint, asked)| {
-                let offered = supply.get(&constraint).copied().unwrap_or(0.0);
-                let ratio = if asked <= 0.0 { 0.0 } else { asked / offered.max(1e-9) };
+            .map(|(constraint, requested)| {
+                let available = supply.get(&constraint).copied().unwrap_or(0.0);
+                let ratio = if requested <= 0.0 { 0.0 } else { requested / available.max(1e-9) };
                 (constraint, ratio)
             })
             .collect();
         let max = by_constraint.values().copied().fold(0.0, f64::max);
         let gpu_ratio = by_constraint.get(&Constraint::Gpu);
-        let scarce = gpu_ratio.is_some_and(|ratio| *ratio >= SCARCE_GPU_RATIO);
-        let gpu_task = self.largest_gpu_task().filter(|_| scarce);
-        self.ratios = DemandRatios { by_constraint, max, gpu_task };
+        let gpus_scarce = gpu_ratio.is_some_and(|ratio| *ratio >= SCARCE_GPU_RATIO);
+        let largest_gpu_task = self.largest_gpu_task().filter(|_| gpus_scarce);
+        self.ratios = DemandRatios { by_constraint, max, largest_gpu_task };
         self.update_job_urgency();
         self.update_machine_waits();
     }
 
-    /// What the tasks of live jobs that are not done ask for.
+    /// Sums what the unfinished tasks of live jobs ask for, by constraint.
     fn demand(&self) -> BTreeMap<Constraint, f64> {
         let mut demand: BTreeMap<Constraint, f64> = BTreeMap::new();
         for (_, job) in self.jobs.iter().filter(|(_, job)| job.state == JobState::Live) {
@@ -120,7 +123,7 @@
         demand
     }
 
-    /// What usable machines offer.
+    /// Sums the capacity of all usable machines, by constraint.
     fn supply(&self) -> BTreeMap<Constraint, f64> {
         let mut supply: BTreeMap<Constraint, f64> = BTreeMap::new();
         let zones = &self.context.config.platform.params.zones;
@@ -130,12 +133,12 @@
             add(Constraint::Cpu, capacity.cpus);
             add(Constraint::Memory, capacity.memory_gb);
             add(Constraint::Gpu, capacity.gpus);
-            add(Constraint::Kind(machine.kind.clone()), capacity.cpus);
+            add(Constraint::MachineType(machine.kind.clone()), capacity.cpus);
             if let Some(zone) = machine.zone {
                 add(Constraint::Zone(zones[zone as usize].clone()), capacity.cpus);
             }
             if !machine.spot {
-                add(Constraint::Ordinary, capacity.cpus);
+                add(Constraint::OnDemand, capacity.cpus);
             }
         }
         supply
@@ -164,40 +167,44 @@
         }
     }
 
-    /// The most of each resource that one task of the live jobs with GPUs needs.
+    /// Returns the maximum of each resource over single tasks of live jobs with GPUs, or `None` if
+    /// there is no such job.
     fn largest_gpu_task(&self) -> Option<Resources> {
         let live = self.jobs.iter().filter(|(_, job)| job.state == JobState::Live);
         let with_gpus = live.filter(|(_, job)| job.spec.gpus > 0.0);
-        with_gpus.map(|(_, job)| job.resources()).reduce(|a, b| Resources {
-            cpus: a.cpus.max(b.cpus),
-            gpus: a.gpus.max(b.gpus),
-            memory_gb: a.memory_gb.max(b.memory_gb),
+        with_gpus.map(|(_, job)| job.resources()).reduce(|max, need| Resources {
+            cpus: max.cpus.max(need.cpus),
+            gpus: max.gpus.max(need.gpus),
+            memory_gb: max.memory_gb.max(need.memory_gb),
         })
     }
 
-    /// Resources that tasks with GPUs need beside a machine's free GPUs while these are scarce.
-    /// Work without GPUs that fits elsewhere does not get them.
-    pub(crate) fn beside_gpus(&self, free: &Resources) -> Resources {
+    /// Returns the resources reserved on a machine, while GPUs are scarce, for the GPU tasks that
+    /// its free GPUs can serve. Tasks without GPUs below production priority don't get them.
+    pub(crate) fn reserved_for_gpu_tasks(&self, free: &Resources) -> Resources {
         let mut reserved = Resources::default();
-        if let Some(task) = self.ratios.gpu_task {
+        if let Some(task) = self.ratios.largest_gpu_task {
             reserved.add(&task, ((free.gpus + 1e-6) / task.gpus).max(0.0).floor());
         }
         reserved
     }
 
-    /// How many of its class's deadline objectives the job can't meet any more, if what it waits
-    /// for takes as long as estimated.
+    /// Counts the deadline objectives of the class of the job's effective deadline that the job can
+    /// no longer meet, if its own tasks and the jobs between it and that deadline take as long as
+    /// estimated.
     fn missed_objectives(&self, job: &Job) -> u8 {
         let Some(deadline) = &job.deadline else { return 0 };
         let age_s = self.context.now.wall_ms.saturating_sub(deadline.at_ms) as f64 / 1000.0;
         let objectives = self.context.config.platform.params.objectives.iter();
-        let of_class = objectives
-            .filter(|o| o.kind == "deadline" && o.class.as_deref() == Some(&deadline.class));
-        let due_s = of_class.map(|o| o.times.unwrap_or(1.0) * deadline.due_s - deadline.tail_s);
-        due_s.filter(|due_s| age_s + job.spec.estimate_s > *due_s).count() as u8
+        let of_class = objectives.filter(|objective| {
+            objective.kind == "deadline" && objective.class.as_deref() == Some(&deadline.class)
+        });
+        let latest_end_s = of_class
+            .map(|objective| objective.times.unwrap_or(1.0) * deadline.due_s - deadline.tail_s);
+        latest_end_s.filter(|end_s| age_s + job.spec.estimate_s > *end_s).count() as u8
     }
 
-    /// The highest ratio of demand to supply among a job's constraints.
+    /// Returns the highest ratio of demand to supply among a job's constraints.
     pub(crate) fn ratio_of(&self, spec: &JobSpec) -> f64 {
         Self::constraints(spec)
             .iter()
@@ -206,7 +213,8 @@
             .fold(0.0, f64::max)
     }
 
-    /// Time that a task still needs by the submitted estimate, in seconds.
+    /// Returns the time that a task still needs according to the submitted estimate, in seconds;
+    /// for a running task at least a tenth of the estimate.
     pub(crate) fn remaining_s(&self, job: &Job, task: &Task) -> f64 {
         let estimate_s = job.spec.estimate_s;
         match task.state {
@@ -214,12 +222,12 @@
                 let running_s = (self.context.now.steady_ms - since_ms) as f64 / 1000.0;
                 (estimate_s - running_s).max(estimate_s * 0.1)
             }
-            // The estimate of a task that failed is doubtful: it counts once more each time.
+            // The estimate of a failed task is doubtful: each failure, up to 8, adds it once more.
             _ => estimate_s * f64::from(1 + task.failures.min(8)),
         }
     }
 
-    /// What services on a machine use, by priority.
+    /// Returns the resources that live services on a machine use, by priority.
     fn services_by_priority(&self, machine_index: MachineIndex) -> [Resources; 4] {
         let mut services_by_priority: [Resources; 4] = Default::default();
         let Some(machine) = self.machines.get(machine_index) else { return services_by_priority };
@@ -231,13 +239,19 @@
         services_by_priority
     }
 
-    /// Whether a machine can ever have enough free for a task, as services never end.
-    pub(crate) fn may_come_free(&self, m: &Machine, priority: Priority, need: &Resources) -> bool {
-        let capacity = self.capacity_of(&m.kind);
-        capacity.is_some_and(|all| all.minus(&m.used_by_services(priority)).fits(need))
+    /// Returns whether a machine can ever have enough free resources for a task of this priority.
+    /// Services never end, so what services of at least this priority use does not become free.
+    pub(crate) fn may_become_free(
+        &self,
+        machine: &Machine,
+        priority: Priority,
+        need: &Resources,
+    ) -> bool {
+        let capacity = self.capacity_of(&machine.kind);
+        capacity.is_some_and(|all| all.minus(&machine.used_by_services(priority)).fits(need))
     }
 
-    /// E\[W\] of a machine's queue.
+    /// Returns the expected wait E\[W\] in a machine's queue, in seconds.
     fn expected_wait_s(&self, machine_index: MachineIndex) -> f64 {
         let Some(machine) = self.machines.get(machine_index) else { return 0.0 };
         let Some(capacity) = self.capacity_of(&machine.kind) else { return 0.0 };
--- a/crates/core/src/placement/dispatch.rs
+++ b/crates/core/src/placement/dispatch.rs
@@ -1,7 +1,8 @@
-//! Late binding: the first probe in the queue of a machine with free capacity binds its task, and
-//! the other probes of the task are dropped.
+//! Late binding: a machine with free capacity binds a task from its queue of probes, and the task
+//! is removed from the queues of all other probed machines.
 //!
-//! Invariant: a task starts only where [`Controller::startable`] proves that it runs nowhere else.
+//! Invariant: a task starts on a machine only if [`Controller::startable`] proves that it runs on
+//! no other machine.
 
 use quartzgate_wire::msg::JobKind;
 
@@ -12,22 +13,22 @@
 use crate::placement::queue::{pick, QueueOrder, QueuedProbe};
 use crate::storage::records::TASKS_PER_CHUNK;
 
-/// The outcome of one look at a machine's queue.
+/// The outcome of one scan of a machine's queue.
 struct QueueChoice {
-    /// The task that is bound, if one may be.
+    /// The task to bind, if any may be bound.
     chosen: Option<TaskKey>,
-    /// Tasks that arrived before it and were passed over.
+    /// Tasks of the same queue class that arrived earlier than the chosen one and were passed over.
     passed: Vec<TaskKey>,
-    /// Other machines to which tasks of the queue were left, since the image is there.
-    elsewhere: Vec<MachineIndex>,
+    /// Other machines that are left to bind tasks of this queue, because they have the image.
+    better_machines: Vec<MachineIndex>,
 }
 
 impl Controller {
-    /// Binds tasks on the machines where something has changed, and on those that this affects; the
-    /// number of looks is bounded, so that one event does not take too long.
+    /// Binds tasks on the machines that are due for dispatch, and on the machines that become due
+    /// meanwhile. The number of machines is bounded, so that one event does not take too long.
     pub(crate) fn dispatch_touched(&mut self) {
-        let rounds = 3 * self.machines_to_dispatch.len().max(8);
-        for _ in 0..rounds {
+        let max_dispatches = 3 * self.machines_to_dispatch.len().max(8);
+        for _ in 0..max_dispatches {
             let Some(machine_index) = self.machines_to_dispatch.pop_first() else { break };
             self.dispatch(machine_index);
         }
@@ -43,8 +44,9 @@
             return;
         }
         while let Some(choice) = self.choose_from_queue(machine_index) {
-            let elsewhere = choice.elsewhere.into_iter().filter(|other| *other != machine_index);
-            self.machines_to_dispatch.extend(elsewhere);
+            let better_machines =
+                choice.better_machines.into_iter().filter(|other| *other != machine_index);
+            self.machines_to_dispatch.extend(better_machines);
             let Some(chosen) = choice.chosen else { return };
             for passed in choice.passed {
                 if let Some(task) = self.jobs.task_mut(passed) {
@@ -55,7 +57,8 @@
         }
     }
 
-    /// Chooses the next task that a machine binds; `None` if nothing in its queue fits.
+    /// Chooses the next task for a machine to bind. Returns `None` if the machine takes no work now
+    /// or no task in its queue fits.
     fn choose_from_queue(&self, machine_index: MachineIndex) -> Option<QueueChoice> {
         let machine = self.machines.get(machine_index)?;
         if machine.queue.is_empty() || !machine.takes_work(self.context.now.steady_ms) {
@@ -75,17 +78,17 @@
         }
         let mut keys: Vec<TaskKey> = Vec::with_capacity(machine.queue.len());
         let mut probes: Vec<QueuedProbe> = Vec::with_capacity(machine.queue.len());
-        let mut elsewhere: Vec<MachineIndex> = Vec::new();
+        let mut better_machines: Vec<MachineIndex> = Vec::new();
         for key in &machine.queue {
             let Some(job) = self.jobs.get(key.job) else { continue };
             let Some(task) = job.task(key.task) else { continue };
-            // The tasks of a gang start together or not at all.
-            let gang = job.spec.shape == JobKind::Gang;
-            if gang || !self.startable(job, *key, task, machine_index) {
+            // The tasks of a gang start together or not at all: `tick_gangs` starts them.
+            let is_gang = job.spec.shape == JobKind::Gang;
+            if is_gang || !self.startable(job, *key, task, machine_index) {
                 continue;
             }
-            if let Some(better) = self.image_elsewhere(job, task, machine_index) {
-                elsewhere.push(better);
+            if let Some(better) = self.better_machine_with_image(job, task, machine_index) {
+                better_machines.push(better);
                 continue;
             }
             keys.push(*key);
@@ -97,7 +100,7 @@
         let chosen = picked.as_ref().map(|picked| keys[picked.chosen]);
         let passed = picked.map_or(Vec::new(), |picked| picked.passed);
         let passed = passed.into_iter().map(|at| keys[at]).collect();
-        Some(QueueChoice { chosen, passed, elsewhere })
+        Some(QueueChoice { chosen, passed, better_machines })
     }
 
     fn queue_order(&self, machine: &Machine) -> QueueOrder {
@@ -117,7 +120,7 @@
             priority: job.priority,
             guaranteed: team.cpus > 0.0 && placed.cpus + job.spec.cpus <= team.cpus + 1e-6,
             missed_objectives: job.missed_objectives,
-            // The estimate of a task that failed is doubtful: it counts once more each time.
+            // The estimate of a failed task is doubtful: each failure, up to 8, adds it once more.
             remaining_s: match job.failing_everywhere() {
                 true => f64::INFINITY,
                 false => job.remaining_s() * f64::from(1 + task.failures.min(8)),
@@ -128,9 +131,9 @@
         }
     }
 
-    /// Whether a task may start on a machine. The invariant behind it, that a task never runs
-    /// twice: the stored record names this machine for the task, and no other machine that the
-    /// task was ever probed to can hold it.
+    /// Returns whether a task may start on a machine. This upholds the invariant that a task never
+    /// runs twice at the same time: the stored record names this machine for the task, and no other
+    /// machine that ever had a probe of the task can be running it.
     pub(crate) fn startable(
         &self,
         job: &Job,
@@ -144,20 +147,20 @@
             && task.state == TaskState::Waiting
             && task.not_before_ms <= self.context.now.steady_ms
             && job.may_start_now(self.context.now.steady_ms)
-            && self.may_start(job.team, &job.resources())
+            && self.may_start_within_quota(job.team, &job.resources())
             && task.probes.iter().all(|probe| !probe.unproven)
-            && task
-                .probes
-                .iter()
-                .any(|p| p.machine == machine_index && p.version <= chunk.stored_version)
+            && task.probes.iter().any(|probe| {
+                probe.machine == machine_index && probe.version <= chunk.stored_version
+            })
             && self.machines.get(machine_index).is_some_and(|machine| {
                 (task.zone.is_none() || task.zone == machine.zone)
                     && self.allows(&job.spec, &machine.kind, machine.zone, machine.spot)
             })
     }
 
-    /// Another machine of the task's probes with free capacity and, unlike this one, the image.
-    fn image_elsewhere(
+    /// Returns another probed machine of the task that has free capacity and, unlike this one, the
+    /// image.
+    fn better_machine_with_image(
         &self,
         job: &Job,
         task: &Task,
@@ -178,11 +181,17 @@
 
     fn bind(&mut self, key: TaskKey, machine_index: MachineIndex) {
         let attempt = self.next_attempt();
-        self.bind_as(key, machine_index, attempt);
+        self.bind_with_attempt(key, machine_index, attempt);
     }
 
-    /// Binds a task to a machine under an attempt number, and drops its probes elsewhere.
-    pub(crate) fn bind_as(&mut self, key: TaskKey, machine_index: MachineIndex, attempt: u64) {
+    /// Binds a task to a machine under an attempt number, and removes the task from the queues of
+    /// all its probed machines.
+    pub(crate) fn bind_with_attempt(
+        &mut self,
+        key: TaskKey,
+        machine_index: MachineIndex,
+        attempt: u64,
+    ) {
         if let Some(job) = self.jobs.get_mut(key.job).filter(|job| job.failing_everywhere()) {
             job.trials += 1;
         }
--- a/crates/core/src/placement/drain.rs
+++ b/crates/core/src/placement/drain.rs
@@ -1,5 +1,5 @@
-//! Draining: evicting tasks from machines that will be interrupted or are faulty, with time to save
-//! their checkpoints.
+//! Draining: evicts tasks from machines that will be interrupted or are faulty, with time to save
+//! checkpoints.
 
 use quartzgate_wire::msg::TaskStatus;
 
@@ -7,11 +7,12 @@
 use crate::ids::TaskKey;
 use crate::jobs::TaskState;
 
-/// Milliseconds allowed for saving a checkpoint, for each second that it should take.
+/// Milliseconds reserved for saving a checkpoint per second of its expected cost: a margin of 50%.
 const SAVE_MS_PER_COST_S: f64 = 1500.0;
 
 impl Controller {
-    /// Evicts tasks from machines that will be interrupted, or that are to be released as faulty.
+    /// Evicts tasks from machines that will be interrupted and from faulty machines that are due to
+    /// be released.
     pub(crate) fn drain(&mut self) {
         let now_ms = self.context.now.steady_ms;
         let mut to_stop: Vec<TaskKey> = Vec::new();
@@ -28,9 +29,10 @@
         }
     }
 
-    /// Whether a task has to stop now on a machine that has so long left; `None` if the machine is
-    /// faulty. A task with checkpoints runs until just before it must save one, and one without
-    /// may finish.
+    /// Returns whether a task has to stop now on a machine that will be interrupted in `left_ms`
+    /// milliseconds, or that is faulty (`left_ms` is `None`). Before an interruption, a running
+    /// task with checkpoints runs until just before it must save one, and a running task without
+    /// checkpoints is not stopped, since it may still finish.
     fn is_eviction_due(&self, key: TaskKey, left_ms: Option<u64>) -> bool {
         let Some(job) = self.jobs.get(key.job) else { return false };
         let Some(task) = job.task(key.task) else { return false };
--- a/crates/core/src/placement/free_capacity.rs
+++ b/crates/core/src/placement/free_capacity.rs
@@ -1,4 +1,4 @@
-//! Spare resources of the whole fleet, for a quick test whether another machine could serve a job.
+//! Spare resources of the whole fleet, for a cheap test whether another machine could serve a job.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::fleet::machines::{Machine, Resources};
 use crate::ids::{JobIndex, MachineIndex};
 
-/// Machines with spare resources, grouped by what jobs ask of a machine.
+/// Machines with spare resources, grouped by the properties that a job can constrain.
 #[derive(Default)]
 pub(crate) struct FreeCapacity {
     groups: BTreeMap<MachineGroup, GroupCapacity>,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Machines of one type and zone, all of them spot or none.
+/// Key of a group: machines of one type and zone that are all spot or all on-demand.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct MachineGroup {
     kind: String,
@@ -35,7 +35,7 @@
     spot: bool,
 }
 
-/// The machines of a group, and the most of each resource that one of them has spare.
+/// The machines of a group, and the maximum of each spare resource over single machines.
 #[derive(Default)]
 struct GroupCapacity {
     max: Resources,
@@ -46,15 +46,16 @@
 struct SpareCapacity {
     machine: MachineIndex,
     spare: Resources,
-    /// What is left of them beside what scarce GPUs need.
-    beside_gpus: Resources,
+    /// The part of `spare` that is not reserved for GPU tasks.
+    not_reserved_for_gpu_tasks: Resources,
 }
 
 impl Controller {
-    /// Spare resources of all machines, for a quick test whether one could serve a job.
+    /// Computes the spare resources of all usable machines.
     pub(crate) fn free_capacity(&mut self) -> FreeCapacity {
         let now_ms = self.context.now.steady_ms;
-        // Less is looked at than for candidates.
+        // This scan examines less of each machine than the scan for candidates does, so it costs
+        // less.
         self.search_budget.spend(now_ms, self.machines.len() / 4);
         let minimum = Resources { cpus: 1e-3, gpus: 0.0, memory_gb: 0.0 };
         let mut free_capacity = FreeCapacity::default();
@@ -64,16 +65,17 @@
             if !spare.fits(&minimum) {
                 continue;
             }
-            let mut beside_gpus = spare;
+            let mut not_reserved_for_gpu_tasks = spare;
             if spare.gpus > 0.0 {
-                beside_gpus = spare.minus(&self.beside_gpus(&spare));
+                not_reserved_for_gpu_tasks = spare.minus(&self.reserved_for_gpu_tasks(&spare));
             }
-            free_capacity.add(machine, SpareCapacity { machine: index, spare, beside_gpus });
+            free_capacity
+                .add(machine, SpareCapacity { machine: index, spare, not_reserved_for_gpu_tasks });
         }
         free_capacity
     }
 
-    /// At most `count` machines with spare resources for a task of the job.
+    /// Returns at most `count` machines with spare resources for a task of the job.
     pub(crate) fn machines_with_spare(
         &mut self,
         free_capacity: &FreeCapacity,
@@ -82,17 +84,22 @@
     ) -> Vec<MachineIndex> {
         let Some(job) = self.jobs.get(job_index) else { return Vec::new() };
         let need = job.resources();
-        let (mut looked, mut found) = (free_capacity.groups.len(), Vec::new());
-        // What scarce GPUs need beside them is not for work without GPUs.
-        let leaves_gpus = need.gpus <= 0.0 && job.priority < Priority::Production;
+        let (mut examined, mut found) = (free_capacity.groups.len(), Vec::new());
+        // Resources reserved for GPU tasks are not available to jobs without GPUs below production
+        // priority.
+        let respects_gpu_reserve = need.gpus <= 0.0 && job.priority < Priority::Production;
         for (group, members) in &free_capacity.groups {
             let is_allowed = self.allows(&job.spec, &group.kind, group.zone, group.spot);
             if !members.max.fits(&need) || !is_allowed {
                 continue;
             }
             for member in &members.machines {
-                looked += 1;
-                let usable = if leaves_gpus { &member.beside_gpus } else { &member.spare };
+                examined += 1;
+                let usable = if respects_gpu_reserve {
+                    &member.not_reserved_for_gpu_tasks
+                } else {
+                    &member.spare
+                };
                 if usable.fits(&need) {
                     found.push(member.machine);
                 }
@@ -102,7 +109,7 @@
             }
         }
         found.truncate(count);
-        self.search_budget.spend(self.context.now.steady_ms, looked / 8);
+        self.search_budget.spend(self.context.now.steady_ms, examined / 8);
         found
     }
 }
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -1,8 +1,9 @@
 //! Gang scheduling: all tasks of a gang are placed at once, recorded at once, started under one
-//! attempt number once each of them has its resources, and stopped together.
+//! attempt number once resources are free for every task, and stopped together.
 //!
-//! Invariants: no two gangs are planned on the same resources, and an older gang of the same priority
-//! gets held resources before a younger one, so that no two gangs hold what the other lacks.
+//! Invariants: no two gangs are planned on the same resources. Among gangs of the same priority,
+//! the older one gets held resources first, so that no two gangs each hold what the other one
+//! lacks.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -19,53 +20,53 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum GangState {
     /// Every task is provably on no machine.
-    Idle,
-    /// Every task is on a machine or about to be.
-    Together,
+    Unbound,
+    /// Every task that is not done is on a machine or being started on one.
+    Bound,
     /// Some tasks may be on machines that have not reported them.
     Unproven,
-    /// Some tasks are on machines and some provably are not: those have to be stopped.
-    Broken,
+    /// Some tasks are on machines and some provably are not: the former have to be stopped.
+    PartlyBound,
 }
 
 impl GangState {
     fn of(job: &Job) -> GangState {
-        let (mut idle, mut on_machine, mut unproven) = (job.chunks.is_empty(), false, false);
+        let (mut unbound, mut on_machine, mut unproven) = (job.chunks.is_empty(), false, false);
         for (_, task) in job.tasks() {
             match task.state {
-                TaskState::Unplaced | TaskState::Waiting => idle = true,
+                TaskState::Unplaced | TaskState::Waiting => unbound = true,
                 TaskState::Unproven => unproven = true,
                 TaskState::Done { .. } | TaskState::Dropped => {}
                 _ => on_machine = true,
             }
         }
-        match (idle, on_machine, unproven) {
+        match (unbound, on_machine, unproven) {
             (_, _, true) => GangState::Unproven,
-            (true, true, _) => GangState::Broken,
-            (true, false, _) => GangState::Idle,
-            (false, _, _) => GangState::Together,
+            (true, true, _) => GangState::PartlyBound,
+            (true, false, _) => GangState::Unbound,
+            (false, _, _) => GangState::Bound,
         }
     }
 }
 
 /// The outcome of planning a gang.
-enum Plan {
-    /// All tasks have a machine.
-    Made,
+enum GangPlan {
+    /// Every task was given a machine.
+    Complete,
     /// Only some tasks would fit, on these machines.
-    Short(Vec<MachineIndex>),
-    /// The gang can't be planned now, whatever is free.
-    Later,
+    Incomplete(Vec<MachineIndex>),
+    /// The gang can't be planned now, whatever resources are free.
+    Deferred,
 }
 
-/// A machine that a gang may use, and how many of its tasks fit there.
+/// A machine that a gang may use, and how many of the gang's tasks fit on it.
 struct GangCandidate {
     machine: MachineIndex,
     zone: Option<u16>,
     fitting_tasks: u32,
 }
 
-/// Where one task of a gang is placed.
+/// The machine and the zone of one task of a gang.
 #[derive(Clone, Copy)]
 struct GangPlace {
     machine: MachineIndex,
@@ -75,9 +76,9 @@
 /// Resources of a machine that are held for gangs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GangHold {
-    /// What is held.
+    /// Sum of the resources held for all gangs on the machine.
     pub resources: Resources,
-    /// The highest priority of the gangs: nothing of this priority or below gets the resources.
+    /// The highest priority of these gangs: no job of this priority or below gets the resources.
     pub priority: Priority,
 }
 
@@ -98,46 +99,48 @@
     }
 }
 
-/// A gang holds resources after this part (one in so many) of the longest wait of its class.
-const HOLD_AFTER_PART: u64 = 4;
+/// If too few resources are free for a gang, the free ones are held for it once it has waited for
+/// the longest wait of its class divided by this.
+const HOLD_AFTER_DIVISOR: u64 = 4;
 
 impl Controller {
-    /// Plans and starts gangs as far as possible: higher priority first, then the older. What a gang
-    /// is to start on is held for it from the plan until its start. Resources that are too few for
-    /// a gang that has waited for long are held as well, so that smaller jobs that come later do
-    /// not starve it.
+    /// Plans and starts gangs as far as possible, higher priority first, then older first. The
+    /// resources on which a gang is planned are held for it until it starts. If too few resources
+    /// are free for a gang that has waited long, those that are free are held as well, so that
+    /// smaller jobs that arrive later don't starve the gang.
     pub(crate) fn tick_gangs(&mut self) {
         let mut holds = GangHolds::new();
         let mut unplanned = Vec::new();
-        for (priority, job_index) in self.gangs_by_urgency() {
+        for (priority, job_index) in self.gangs_by_priority() {
             let Some(job) = self.jobs.get(job_index) else { continue };
             match GangState::of(job) {
-                GangState::Idle if self.start_gang(job_index) => {
+                GangState::Unbound if self.start_gang(job_index) => {
                     self.hold_planned(job_index, priority, &mut holds)
                 }
-                GangState::Idle => unplanned.push((priority, job_index)),
-                GangState::Broken => self.break_gang(job_index),
-                GangState::Together | GangState::Unproven => {}
+                GangState::Unbound => unplanned.push((priority, job_index)),
+                GangState::PartlyBound => self.stop_partly_bound_gang(job_index),
+                GangState::Bound | GangState::Unproven => {}
             }
         }
         for (priority, job_index) in unplanned {
             match self.plan_gang(job_index, priority, &holds) {
-                Plan::Made => self.hold_planned(job_index, priority, &mut holds),
-                Plan::Short(machines) if self.may_hold_partially(job_index) => {
+                GangPlan::Complete => self.hold_planned(job_index, priority, &mut holds),
+                GangPlan::Incomplete(machines) if self.may_hold_partially(job_index) => {
                     let Some(job) = self.jobs.get(job_index) else { continue };
                     let need = job.resources();
                     for machine in machines {
                         GangHold::add(&mut holds, machine, priority, &need);
                     }
                 }
-                Plan::Short(_) | Plan::Later => {}
+                GangPlan::Incomplete(_) | GangPlan::Deferred => {}
             }
         }
         self.gang_holds = holds;
     }
 
-    /// Live gangs whose records are not in flight.
-    fn gangs_by_urgency(&self) -> Vec<(Priority, JobIndex)> {
+    /// Returns the live gangs without a write or read of the job's own record in flight, higher
+    /// priority first, then older first.
+    fn gangs_by_priority(&self) -> Vec<(Priority, JobIndex)> {
         let is_ready =
             |job: &Job| job.spec.shape == JobKind::Gang && job.state == JobState::Live && !job.busy;
         let ready = self.jobs.iter().filter(|(_, job)| is_ready(job));
@@ -147,7 +150,7 @@
         gangs.into_iter().map(|(Reverse(priority), _, index)| (priority, index)).collect()
     }
 
-    /// Holds what a gang was planned to start on.
+    /// Holds the resources on which the waiting tasks of a gang are planned to start.
     fn hold_planned(&self, job_index: JobIndex, priority: Priority, holds: &mut GangHolds) {
         let Some(job) = self.jobs.get(job_index) else { return };
         let need = job.resources();
@@ -158,40 +161,47 @@
         }
     }
 
-    /// Whether resources are held for a gang that found too few. After a part of the longest wait of
-    /// its class they are held, and released, in turn, each time for as long as a gang waits for
-    /// its members: what the gang lacks must not keep the rest idle for ever.
+    /// Returns whether resources are held now for a gang for which too few are free. Once the gang
+    /// has waited a fraction of its class's longest wait ([`HOLD_AFTER_DIVISOR`]), they are
+    /// alternately held and released, each time for as long as a started gang waits for its
+    /// members: the resources that are free must not stay idle for ever because others are missing.
     fn may_hold_partially(&self, job_index: JobIndex) -> bool {
         let Some(job) = self.jobs.get(job_index) else { return false };
         let gang_ms = (self.context.config.platform.params.workers.gang_wait_s * 1000.0) as u64;
-        let max_wait_s = self.may_wait_s(&job.spec.class);
+        let max_wait_s = self.wait_objective_s(&job.spec.class);
         let max_wait_ms = max_wait_s.map_or(gang_ms, |wait_s| (wait_s * 1000.0) as u64);
         let waited_ms = self.context.now.wall_ms.saturating_sub(job.ready_ms);
-        let hold_after_ms = max_wait_ms / HOLD_AFTER_PART;
+        let hold_after_ms = max_wait_ms / HOLD_AFTER_DIVISOR;
         waited_ms >= hold_after_ms
             && ((waited_ms - hold_after_ms) / gang_ms.max(1)).is_multiple_of(2)
     }
 
-    /// Places all tasks of a gang, or none.
-    fn plan_gang(&mut self, job_index: JobIndex, priority: Priority, holds: &GangHolds) -> Plan {
-        let Some(job) = self.jobs.get(job_index) else { return Plan::Later };
+    /// Places all tasks of a gang, or none of them.
+    fn plan_gang(
+        &mut self,
+        job_index: JobIndex,
+        priority: Priority,
+        holds: &GangHolds,
+    ) -> GangPlan {
+        let Some(job) = self.jobs.get(job_index) else { return GangPlan::Deferred };
         if !self.may_plan_gang(job) {
-            return Plan::Later;
+            return GangPlan::Deferred;
         }
         let candidates = self.gang_candidates(job, priority, holds);
-        let Some(candidates) = self.in_one_zone_if_together(job, candidates) else {
-            return Plan::Short(Vec::new());
+        let Some(candidates) = self.restrict_to_one_zone(job, candidates) else {
+            return GangPlan::Incomplete(Vec::new());
         };
         let places = gang_places(job, candidates);
         if (places.len() as u32) < job.spec.tasks {
-            return Plan::Short(places.into_iter().map(|place| place.machine).collect());
+            return GangPlan::Incomplete(places.into_iter().map(|place| place.machine).collect());
         }
         self.place_gang(job_index, places);
-        Plan::Made
+        GangPlan::Complete
     }
 
-    /// Whether nothing but free resources is missing: no record is in flight, no task backs off,
-    /// and the whole gang is within the team's quota.
+    /// Returns whether free resources are all that the plan of a gang still needs: no placement
+    /// record is dirty or in flight, no task is backing off, and the whole gang is within the
+    /// team's quota.
     fn may_plan_gang(&self, job: &Job) -> bool {
         let now_ms = self.context.now.steady_ms;
         if job.chunks.values().any(|chunk| chunk.busy || chunk.dirty)
@@ -205,8 +215,8 @@
         self.within_quota(job.team, &additional)
     }
 
-    /// Machines for a gang, those where most of its tasks fit first. What is held for gangs of at
-    /// least its priority is not free for it.
+    /// Returns the machines for a gang, sorted by how many of its tasks fit, most first. Resources
+    /// held for gangs of at least its priority don't count as free.
     fn gang_candidates(
         &self,
         job: &Job,
@@ -236,8 +246,9 @@
         candidates
     }
 
-    /// The candidates of the best zone for a gang that has to run in one; `None` if none suffices.
-    fn in_one_zone_if_together(
+    /// Keeps the candidates of the zone in which most tasks fit, if the gang has to run in one
+    /// zone; keeps all of them otherwise. Returns `None` if no zone has room for the whole gang.
+    fn restrict_to_one_zone(
         &self,
         job: &Job,
         mut candidates: Vec<GangCandidate>,
@@ -257,7 +268,7 @@
         Some(candidates)
     }
 
-    /// Gives all tasks of a gang their probes.
+    /// Gives each task of a gang one probe, on its planned machine.
     fn place_gang(&mut self, job_index: JobIndex, places: Vec<GangPlace>) {
         let Some(job) = self.jobs.get(job_index) else { return };
         let (together, spread) = (job.spec.together, job.spec.spread);
@@ -282,8 +293,8 @@
         }
     }
 
-    /// Starts a gang whose placement is recorded and still free. Returns false if it has to be
-    /// placed anew.
+    /// Starts a gang if its placement is recorded and its planned resources are still free. Returns
+    /// false if the gang has to be placed anew.
     fn start_gang(&mut self, job_index: JobIndex) -> bool {
         if !self.may_command_workers() {
             return true;
@@ -299,19 +310,20 @@
         if !self.gang_fits(job, &places) || places.len() as u32 != job.spec.tasks {
             return false;
         }
-        let mut all = Resources::default();
-        all.add(&job.resources(), places.len() as f64);
-        if job.must_reread_record || !self.may_start(job.team, &all) {
+        let mut gang_resources = Resources::default();
+        gang_resources.add(&job.resources(), places.len() as f64);
+        if job.must_reread_record || !self.may_start_within_quota(job.team, &gang_resources) {
             return true;
         }
         let attempt = self.next_attempt();
         for (key, machine) in places {
-            self.bind_as(key, machine, attempt);
+            self.bind_with_attempt(key, machine, attempt);
         }
         true
     }
 
-    /// For each task of a gang the machine on which it may start; `None` if one may start nowhere.
+    /// Returns the machine on which each task of a gang may start, or `None` if some task may not
+    /// start on any machine.
     fn startable_places(
         &self,
         job_index: JobIndex,
@@ -326,7 +338,7 @@
         job.tasks().map(place).collect()
     }
 
-    /// Whether all tasks of a gang fit the machines on which they are placed.
+    /// Returns whether all tasks of a gang fit on the machines on which they are placed.
     fn gang_fits(&self, job: &Job, places: &[(TaskKey, MachineIndex)]) -> bool {
         let now_ms = self.context.now.steady_ms;
         let need = job.resources();
@@ -340,21 +352,22 @@
         })
     }
 
-    /// A gang has lost a task: tasks that run notice it by themselves, those that wait for the
-    /// others are stopped.
-    fn break_gang(&mut self, job_index: JobIndex) {
+    /// Stops the tasks of a gang that has lost a task, if they fetch the image or wait for the
+    /// other members. Running tasks are not stopped, because they detect the loss by themselves.
+    fn stop_partly_bound_gang(&mut self, job_index: JobIndex) {
         let is_not_running = |status| matches!(status, TaskStatus::Waiting | TaskStatus::Fetching);
         self.stop_members(job_index, false, is_not_running);
     }
 
-    /// Stops all tasks of a gang at once, with time to save a checkpoint if it has any.
+    /// Stops all tasks of a gang at once, with time to save a checkpoint if the job saves
+    /// checkpoints.
     pub(crate) fn stop_gang(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get(job_index) else { return };
         let grace = job.spec.checkpoint_interval_s > 0.0;
         self.stop_members(job_index, grace, |_| true);
     }
 
-    /// Stops the tasks of a gang that were reported with a status as wanted.
+    /// Stops the tasks of a gang whose reported status satisfies `is_wanted`.
     fn stop_members(
         &mut self,
         job_index: JobIndex,
@@ -377,7 +390,7 @@
         }
     }
 
-    /// A task of a gang is done, and so all of them are.
+    /// Marks all tasks of a gang as done, because one of them is done.
     pub(crate) fn gang_done(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get(job_index) else { return };
         let members: Vec<u32> = job.tasks().map(|(number, _)| number).collect();
@@ -387,8 +400,8 @@
     }
 }
 
-/// Distributes the tasks of a gang over its candidates in order; a gang that is spread has at most
-/// half of its tasks in a zone.
+/// Distributes the tasks of a gang over its candidates in order. A gang that is spread over zones
+/// has at most half of its tasks (rounded up) in each zone.
 fn gang_places(job: &Job, candidates: Vec<GangCandidate>) -> Vec<GangPlace> {
     let tasks = job.spec.tasks;
     let max_per_zone = if job.spec.spread { tasks.div_ceil(2) } else { tasks };
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,9 +1,10 @@
-//! Where tasks run.
+//! Placement: decides on which machine each task runs.
 //!
-//! A waiting task is placed by giving it probes on a few candidate machines ([`placer`],
-//! [`candidates`]); once its placement record is stored, the first of these machines with free capacity
-//! binds it ([`dispatch`], [`queue`]). Gangs are placed and started as a whole ([`gangs`]).
-//! Preemption, draining and new probes correct earlier decisions.
+//! The placer gives a task probes on a few candidate machines ([`placer`], [`candidates`]): each
+//! probe is an entry in a machine's queue. Once the task's placement record is stored, the first of
+//! these machines with free capacity binds the task (late binding, [`dispatch`], [`queue`]). A gang
+//! is placed and started as a whole ([`gangs`]). Preemption, draining and re-probing revise earlier
+//! placements.
 
 pub(crate) mod candidates;
 pub(crate) mod demand_ratios;
--- a/crates/core/src/placement/placer.rs
+++ b/crates/core/src/placement/placer.rs
@@ -1,7 +1,7 @@
-//! Placement: which tasks get probes, and on which machines.
+//! Placer: selects the tasks that get probes, and the machines to probe.
 //!
-//! Jobs are served by priority, then by the time at which they became ready, within the quota of
-//! their teams ([`super::quota`]) and the search budget of one pass.
+//! Jobs are placed by priority, then by missed objectives, then by the time at which they became
+//! ready, within the quotas of their teams ([`super::quota`]) and the search budget of one pass.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -16,35 +16,37 @@
 use crate::placement::gangs::GangHold;
 use crate::storage::records::TASKS_PER_CHUNK;
 
-/// Chunks of one job with tasks that are not done, at most.
+/// Maximum number of a job's chunks in memory that have unfinished tasks.
 pub(crate) const MAX_OPEN_CHUNKS: usize = 16;
-/// Size of one probe in a record at most: a machine's name and its positions.
+/// Maximum size of one probe in a placement record: the machine's name and its positions.
 const PROBE_BYTES: f64 = 40.0;
-/// Tasks placed in one pass; the rest follow at the next event.
+/// Maximum number of tasks placed in one pass; the rest are placed at the next event.
 pub(super) const MAX_PLACED_PER_PASS: u32 = 256;
-/// Part of the usable machines' CPUs from which on waiting work is a full backlog.
-const FULL_BACKLOG: f64 = 0.5;
+/// The backlog is full once waiting tasks ask for more than this fraction of the usable machines'
+/// CPUs.
+const FULL_BACKLOG_FRACTION: f64 = 0.5;
 
-/// CPUs of waiting tasks by priority, and of all usable machines.
+/// CPUs that waiting tasks ask for, by priority, and CPUs of all usable machines.
 pub(crate) struct PlacementBacklog {
-    waiting: BTreeMap<Priority, f64>,
-    all: f64,
+    waiting_cpus: BTreeMap<Priority, f64>,
+    usable_cpus: f64,
 }
 
 impl PlacementBacklog {
-    /// Whether so much of this priority and above waits that no more need be placed yet.
+    /// Returns whether so many tasks of this priority and above wait in queues that no more need to
+    /// be placed yet.
     pub fn full(&self, priority: Priority) -> bool {
-        let waiting_cpus: f64 = self.waiting.range(priority..).map(|(_, cpus)| cpus).sum();
-        waiting_cpus > FULL_BACKLOG * self.all
+        let waiting: f64 = self.waiting_cpus.range(priority..).map(|(_, cpus)| cpus).sum();
+        waiting > FULL_BACKLOG_FRACTION * self.usable_cpus
     }
 
     fn add(&mut self, priority: Priority, cpus: f64) {
-        *self.waiting.entry(priority).or_default() += cpus;
+        *self.waiting_cpus.entry(priority).or_default() += cpus;
     }
 }
 
 impl Controller {
-    /// Resources of an empty machine of this type; `None` if the type is unknown.
+    /// Returns the resources of an empty machine of this type, or `None` if the type is unknown.
     pub(crate) fn capacity_of(&self, kind: &str) -> Option<Resources> {
         let machine_type =
             self.machine_types.iter().find(|machine_type| machine_type.name == kind)?;
@@ -55,24 +57,30 @@
         })
     }
 
-    /// Resources of a machine that no bound task uses.
-    pub(crate) fn free_resources(&self, m: &Machine) -> Resources {
-        let capacity = self.capacity_of(&m.kind);
-        capacity.map_or(Resources::default(), |capacity| capacity.minus(&m.used))
+    /// Returns the resources of a machine that no bound task uses.
+    pub(crate) fn free_resources(&self, machine: &Machine) -> Resources {
+        let capacity = self.capacity_of(&machine.kind);
+        capacity.map_or(Resources::default(), |capacity| capacity.minus(&machine.used))
     }
 
-    /// Free resources of a machine that a job may use.
+    /// Returns the free resources of a machine that a job may use.
     pub(crate) fn resources_for(
         &self,
         machine_index: MachineIndex,
-        m: &Machine,
+        machine: &Machine,
         job: &Job,
     ) -> Resources {
-        self.without_gang_holds(self.free_resources(m), self.gang_holds.get(&machine_index), job)
+        self.without_gang_holds(
+            self.free_resources(machine),
+            self.gang_holds.get(&machine_index),
+            job,
+        )
     }
 
-    /// What a job may use of a machine's free resources: what is held for a gang of at least its
-    /// priority is excluded, and so is what scarce GPUs need beside them.
+    /// Returns the part of a machine's free resources that a job may use. Excludes the resources
+    /// held for gangs of at least the job's priority. If nothing is excluded for gangs and the job
+    /// needs no GPUs and is below production priority, excludes the resources reserved for GPU
+    /// tasks.
     pub(crate) fn without_gang_holds(
         &self,
         free: Resources,
@@ -82,13 +90,14 @@
         if let Some(hold) = held.filter(|hold| hold.priority >= job.priority) {
             free.minus(&hold.resources)
         } else if job.spec.gpus <= 0.0 && job.priority < Priority::Production {
-            free.minus(&self.beside_gpus(&free))
+            free.minus(&self.reserved_for_gpu_tasks(&free))
         } else {
             free
         }
     }
 
-    /// Whether a job allows machines of this type and zone, spot or not.
+    /// Returns whether a job may run on a machine of this type and zone, and, if `spot` is set, on
+    /// a spot machine.
     pub(crate) fn allows(&self, spec: &JobSpec, kind: &str, zone: Option<u16>, spot: bool) -> bool {
         let zones = &self.context.config.platform.params.zones;
         let is_wanted_zone =
@@ -98,8 +107,8 @@
             && spec.zone.as_ref().is_none_or(is_wanted_zone)
     }
 
-    /// Places tasks of live jobs, higher priority first, then in the order in which they became
-    /// ready. The search budget bounds one pass; the next one goes on.
+    /// Places tasks of live jobs in the order of [`Controller::jobs_to_place`]. The search budget
+    /// bounds one pass; the next pass places the remaining tasks.
     pub(crate) fn place_all(&mut self) {
         let now_ms = self.context.now.steady_ms;
         let jobs = self.jobs_to_place();
@@ -111,18 +120,19 @@
             if backlog.full(priority) {
                 continue;
             }
-            if !self.search_budget.left(now_ms) {
+            if !self.search_budget.is_available(now_ms) {
                 self.placement_due = true;
                 return;
             }
-            let before = self.waiting_cpus(job_index);
+            let cpus_before = self.waiting_cpus(job_index);
             if self.place_job(job_index) {
-                backlog.add(priority, self.waiting_cpus(job_index) - before);
+                backlog.add(priority, self.waiting_cpus(job_index) - cpus_before);
             }
         }
     }
 
-    /// Jobs with unplaced tasks in the order of placement.
+    /// Returns the jobs with unplaced tasks in the order of placement: by priority, then by missed
+    /// objectives, then by the time at which they became ready.
     fn jobs_to_place(&self) -> Vec<(Priority, JobIndex)> {
         let now_ms = self.context.now.steady_ms;
         let is_open = |job: &Job| {
@@ -139,30 +149,31 @@
         jobs.into_iter().map(|(index, job)| (job.priority, index)).collect()
     }
 
-    /// CPUs that a job's waiting tasks ask for.
+    /// Returns the CPUs that a job's waiting tasks ask for.
     fn waiting_cpus(&self, job_index: JobIndex) -> f64 {
-        let asked = |job: &Job| f64::from(job.asking(job.waiting)) * job.spec.cpus;
-        self.jobs.get(job_index).map_or(0.0, asked)
+        let asked_cpus = |job: &Job| f64::from(job.asking(job.waiting)) * job.spec.cpus;
+        self.jobs.get(job_index).map_or(0.0, asked_cpus)
     }
 
-    /// CPUs of the tasks that wait in queues, against those of all usable machines.
+    /// Computes the CPUs of the tasks that wait in queues, and those of all usable machines.
     pub(crate) fn backlog(&self) -> PlacementBacklog {
-        let mut waiting: BTreeMap<Priority, f64> = BTreeMap::new();
+        let mut waiting_cpus: BTreeMap<Priority, f64> = BTreeMap::new();
         for (_, job) in self.jobs.iter().filter(|(_, job)| job.waiting > 0) {
-            *waiting.entry(job.priority).or_default() +=
+            *waiting_cpus.entry(job.priority).or_default() +=
                 f64::from(job.asking(job.waiting)) * job.spec.cpus;
         }
-        let all = self
+        let usable_cpus = self
             .machines
             .iter()
             .filter(|(_, machine)| machine.usable())
             .filter_map(|(_, machine)| self.capacity_of(&machine.kind))
             .map(|capacity| capacity.cpus)
             .sum();
-        PlacementBacklog { waiting, all }
+        PlacementBacklog { waiting_cpus, usable_cpus }
     }
 
-    /// Time to fetch a job's image on a machine type, in seconds.
+    /// Returns the time that a machine of this type takes to fetch a job's image, in seconds; 0 if
+    /// the type is unknown or has no fetch rate.
     pub(crate) fn fetch_s(&self, spec: &JobSpec, kind: &str) -> f64 {
         let machine_type = self.machine_types.iter().find(|machine_type| machine_type.name == kind);
         let gb_per_s = machine_type.map_or(0.0, |machine_type| machine_type.fetch_gb_per_s);
@@ -173,35 +184,36 @@
         }
     }
 
-    /// Longest wait of a task of this class by the operators' objectives, in seconds.
-    pub(crate) fn may_wait_s(&self, class: &str) -> Option<f64> {
+    /// Returns the longest wait that the operator's objectives allow for tasks of this class, in
+    /// seconds, or `None` if the class has no wait objective.
+    pub(crate) fn wait_objective_s(&self, class: &str) -> Option<f64> {
         let objectives = &self.context.config.platform.params.objectives;
         let waits = objectives.iter().filter(|objective| objective.kind == "wait");
         let mut of_class = waits.filter(|objective| objective.class.as_deref() == Some(class));
         of_class.find_map(|objective| objective.within_s)
     }
 
-    /// Number of probes of each task of this job.
+    /// Returns the number of probes that each task of this job gets.
     pub(super) fn probe_count(&self, spec: &JobSpec) -> usize {
         if spec.estimate_s > self.context.config.operator.long_task_s {
             return 1;
         }
-        // A placement record with all probes of its tasks has to fit one transaction.
+        // A placement record with all probes of its tasks has to fit into one transaction.
         let limits = self.limits();
         let transaction_bytes = limits.value_kb * 1024.0 * (limits.txn_ops - 1) as f64;
         let max_probes = transaction_bytes / (f64::from(TASKS_PER_CHUNK) * PROBE_BYTES);
         self.context.config.operator.probes.min((max_probes as usize).max(1))
     }
 
-    /// Places as many of a job's tasks as quota and limits of one pass allow. Returns whether any
-    /// was placed.
+    /// Places as many of a job's tasks as the team's quota and the limits of one pass allow.
+    /// Returns whether any task was placed.
     pub(crate) fn place_job(&mut self, job_index: JobIndex) -> bool {
         let Some(job) = self.jobs.get(job_index) else { return false };
         if job.spec.shape == JobKind::Gang {
             return false;
         }
         let (team, need, spec) = (job.team, job.resources(), job.spec.clone());
-        if !self.within_quota(team, &need) || !job.may_open() {
+        if !self.within_quota(team, &need) || !job.may_open_chunk() {
             return false;
         }
         let mut candidates = self.candidates_for(job_index);
@@ -228,7 +240,8 @@
         placed > 0 || self.postpone_placement(job_index)
     }
 
-    /// Chooses the zone of a job whose tasks have to run together, unless it has one.
+    /// Chooses the zone of a job whose tasks have to run in the same zone, unless it already has
+    /// one.
     fn choose_job_zone(&mut self, job_index: JobIndex, candidates: &Candidates) {
         let Some(job) = self.jobs.get_mut(job_index) else { return };
         if job.zone.is_none() {
@@ -236,8 +249,8 @@
         }
     }
 
-    /// The next task of a job, past the chunks that are done, in a chunk that is open; `None` if
-    /// there is none or if no chunk may be opened for it.
+    /// Returns the next task of a job that is not in a done chunk, and opens its chunk if needed.
+    /// Returns `None` if no task is left or if no further chunk may be opened.
     fn next_task_to_place(&mut self, job_index: JobIndex) -> Option<u32> {
         loop {
             let job = self.jobs.get_mut(job_index)?;
@@ -251,7 +264,7 @@
             }
             let task = job.next;
             if !job.chunks.contains_key(&chunk) {
-                if !job.may_open() {
+                if !job.may_open_chunk() {
                     return None;
                 }
                 self.open_chunk(job_index, chunk);
@@ -260,7 +273,7 @@
         }
     }
 
-    /// Enters a chunk of unplaced tasks.
+    /// Adds a chunk of unplaced tasks to a job in memory.
     pub(crate) fn open_chunk(&mut self, job_index: JobIndex, chunk: u32) {
         let Some(job) = self.jobs.get(job_index) else { return };
         let len = job.chunk_len(chunk);
@@ -270,18 +283,24 @@
         }
     }
 
-    /// No machine can take a task of the job: it is not tried again at every event.
+    /// Postpones placement of a job for which no machine was found, so that it is not tried again
+    /// at every event. Always returns false.
     fn postpone_placement(&mut self, job_index: JobIndex) -> bool {
-        let later_ms = self.context.now.steady_ms + self.context.config.write_batch_ms();
+        let retry_at_ms = self.context.now.steady_ms + self.context.config.write_batch_ms();
         if let Some(job) = self.jobs.get_mut(job_index) {
-            job.placement_from_ms = later_ms;
+            job.placement_from_ms = retry_at_ms;
         }
         false
     }
 
-    fn place_task(&mut self, key: TaskKey, candidates: &mut Candidates, count: usize) -> bool {
+    fn place_task(
+        &mut self,
+        key: TaskKey,
+        candidates: &mut Candidates,
+        probe_count: usize,
+    ) -> bool {
         let Some(zone) = self.zone_for(key, candidates) else { return false };
-        let machines = candidates.choose(self, zone, count, &[]);
+        let machines = candidates.choose(self, zone, probe_count, &[]);
         if machines.is_empty() {
             return false;
         }
@@ -291,8 +310,8 @@
         true
     }
 
-    /// The zone that placement chooses for a task: `Some(None)` if its job has no zone rule, `None`
-    /// if no zone can take it now.
+    /// Chooses the zone for a task. Returns `Some(None)` if its job has no zone rule, and `None` if
+    /// no zone can take the task now.
     pub(super) fn zone_for(&self, key: TaskKey, candidates: &Candidates) -> Option<Option<u16>> {
         let job = self.jobs.get(key.job)?;
         if job.spec.together {
@@ -305,7 +324,8 @@
         candidates.spread_zone(&self.zone_counts(key), max_per_zone).map(Some)
     }
 
-    /// Tasks of the job other than this one, by the zone in which they are placed.
+    /// Counts the reserved tasks of the job other than this one, by the zone in which they are
+    /// placed.
     fn zone_counts(&self, key: TaskKey) -> Vec<u32> {
         let mut counts = vec![0; self.context.config.platform.params.zones.len()];
         let Some(job) = self.jobs.get(key.job) else { return counts };
@@ -315,7 +335,7 @@
             }
             match task.zone {
                 Some(zone) => counts[zone as usize] += 1,
-                // It may be in any zone, and so counts in each.
+                // A task without a chosen zone may run in any zone, so it counts in each of them.
                 None => counts.iter_mut().for_each(|count| *count += 1),
             }
         }
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption: stopping tasks so that waiting ones of higher priority can start, at the least cost in
-//! lost work.
+//! Preemption: stops running tasks so that waiting tasks of higher priority can start, at the least
+//! cost in lost work.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,13 +11,14 @@
 use crate::ids::{JobIndex, MachineIndex, TaskKey};
 use crate::jobs::{Job, JobState, Task, TaskState};
 
-/// Waiting tasks for which others are preempted in one pass.
+/// Number of waiting tasks from which on no further jobs are searched for preemptors in one pass.
 const MAX_PREEMPTORS: usize = 1_024;
 
-/// Cost of preempting work of each priority beyond the work that is lost, in CPU seconds.
+/// Cost of preempting a running task, by its priority, in CPU seconds; added to the cost of the
+/// lost work.
 const PREEMPTION_BASE_COST: [f64; 4] = [0.0, 1000.0, 2000.0, 3000.0];
 
-/// Weight of the CPU seconds of fetching an image against CPU seconds of lost work.
+/// Weight of a CPU second spent on fetching an image, relative to a CPU second of lost work.
 const FETCH_COST_WEIGHT: f64 = 2.0;
 
 /// A task that may be preempted.
@@ -27,7 +28,7 @@
     resources: Resources,
 }
 
-/// Tasks to preempt so that another fits on a machine.
+/// Tasks to preempt on a machine so that a waiting task fits there.
 struct PreemptionPlan {
     cost: f64,
     machine: MachineIndex,
@@ -35,25 +36,32 @@
 }
 
 impl Controller {
-    /// Makes capacity free for waiting tasks of higher priority by stopping others of lower
-    /// priority, at the least cost.
+    /// Frees capacity for waiting tasks of higher priority by stopping tasks of lower priority, at
+    /// the least cost.
     pub(crate) fn preempt(&mut self) {
-        // Capacity that is being freed for tasks before, by machine.
-        let mut promised: BTreeMap<MachineIndex, Resources> = BTreeMap::new();
+        // Capacity that is assigned to more urgent tasks of this pass, by machine.
+        let mut assigned: BTreeMap<MachineIndex, Resources> = BTreeMap::new();
         for (priority, key) in self.preemptors() {
-            self.preempt_for(key, priority, &mut promised);
+            self.preempt_for(key, priority, &mut assigned);
         }
     }
 
-    /// Waiting tasks that may preempt others, most urgent first, with their priorities.
+    /// Returns the waiting tasks that may preempt others, with their preemption priorities: highest
+    /// priority first, then in the order of arrival.
     fn preemptors(&self) -> Vec<(Priority, TaskKey)> {
         let bound = self.jobs.iter().filter(|(_, job)| job.bound > 0);
-        let Some(lowest) = bound.map(|(_, job)| job.priority).min() else { return Vec::new() };
+        let Some(lowest_bound) = bound.map(|(_, job)| job.priority).min() else {
+            return Vec::new();
+        };
         let mut jobs: Vec<(Priority, u64, JobIndex)> = Vec::new();
         for (job_index, job) in self.jobs.iter() {
-            let gang = job.spec.shape == JobKind::Gang;
-            let idle = job.waiting == 0 || job.failing_everywhere();
-            if job.state != JobState::Live || idle || job.preemption_priority() <= lowest || gang {
+            let is_gang = job.spec.shape == JobKind::Gang;
+            let never_preempts = job.waiting == 0 || job.failing_everywhere();
+            if job.state != JobState::Live
+                || never_preempts
+                || job.preemption_priority() <= lowest_bound
+                || is_gang
+            {
                 continue;
             }
             let is_waiting = |task: &&Task| task.state == TaskState::Waiting;
@@ -74,7 +82,7 @@
                     preemptors.push((priority, key));
                 }
             }
-            // The rest follows in a later pass.
+            // The remaining tasks may preempt in a later pass.
             if preemptors.len() >= MAX_PREEMPTORS {
                 break;
             }
@@ -86,7 +94,7 @@
         &mut self,
         key: TaskKey,
         priority: Priority,
-        promised: &mut BTreeMap<MachineIndex, Resources>,
+        assigned: &mut BTreeMap<MachineIndex, Resources>,
     ) {
         let Some(job) = self.jobs.get(key.job) else { return };
         let Some(task) = job.task(key.task) else { return };
@@ -96,8 +104,9 @@
             if !self.may_preempt_on(job, key, task, priority, probe.machine) {
                 continue;
             }
-            let taken = promised.get(&probe.machine);
-            let Some(plan) = self.plan_preemption(job, priority, probe.machine, taken) else {
+            let assigned_here = assigned.get(&probe.machine);
+            let Some(plan) = self.plan_preemption(job, priority, probe.machine, assigned_here)
+            else {
                 continue;
             };
             if best.as_ref().is_none_or(|best| plan.cost < best.cost) {
@@ -105,11 +114,11 @@
             }
         }
         let Some(plan) = best else { return };
-        promised.entry(plan.machine).or_default().add(&need, 1.0);
+        assigned.entry(plan.machine).or_default().add(&need, 1.0);
         for victim in plan.victims {
-            // Production work does not wait until others have saved a checkpoint.
-            let may_save = priority < Priority::Production;
-            self.stop_task_as(victim, "preempted by higher priority", may_save);
+            // Production tasks don't wait until their victims have saved a checkpoint.
+            let may_checkpoint = priority < Priority::Production;
+            self.stop_task_with(victim, "preempted by higher priority", may_checkpoint);
         }
     }
 
@@ -121,23 +130,25 @@
         priority: Priority,
         machine_index: MachineIndex,
     ) -> bool {
-        let Some(machine) = self.machines.get(machine_index).filter(|m| m.usable()) else {
+        let Some(machine) = self.machines.get(machine_index).filter(|machine| machine.usable())
+        else {
             return false;
         };
-        // Normal priority preempts the lowest alone: a cheap test before the costly one.
+        // Normal priority preempts only the lowest priority: this cheap test saves the costly one.
         let mut attainable = self.free_resources(machine);
         attainable.add(&machine.low(), 1.0);
-        let hopeless = priority == Priority::Normal && !attainable.fits(&job.resources());
-        !hopeless && self.startable(job, key, task, machine_index)
+        let cannot_fit = priority == Priority::Normal && !attainable.fits(&job.resources());
+        !cannot_fit && self.startable(job, key, task, machine_index)
     }
 
-    /// The cheapest victims on a machine that let a task of the job fit; `None` if it can't.
+    /// Plans which tasks to stop on a machine, cheapest first, until a task of the job fits.
+    /// Returns `None` if the task would not fit even then.
     fn plan_preemption(
         &self,
         job: &Job,
         priority: Priority,
         machine_index: MachineIndex,
-        promised: Option<&Resources>,
+        assigned: Option<&Resources>,
     ) -> Option<PreemptionPlan> {
         let machine = self.machines.get(machine_index)?;
         let need = job.resources();
@@ -159,8 +170,8 @@
                 _ => {}
             }
         }
-        if let Some(promised) = promised {
-            free.add(promised, -1.0);
+        if let Some(assigned) = assigned {
+            free.add(assigned, -1.0);
         }
         victims.sort_by(|a, b| a.cost.total_cmp(&b.cost));
         let (mut cost, mut chosen) = (0.0, Vec::new());
@@ -179,13 +190,14 @@
         free.fits(&need).then_some(plan)
     }
 
-    /// What it costs to stop a task, in CPU seconds of work.
+    /// Returns the cost of stopping a task, in CPU seconds; 0 unless the task is running.
     fn preemption_cost(&self, job: &Job, task: &Task) -> f64 {
         let TaskState::On { status: TaskStatus::Running, since_ms, .. } = task.state else {
             return 0.0;
         };
         let running_s = (self.context.now.steady_ms - since_ms) as f64 / 1000.0;
-        // Progress since the last checkpoint, or the time that saving one takes.
+        // The smaller of the progress since the last checkpoint and the time to save a new one; the
+        // whole run if the job saves no checkpoints.
         let lost_s = match job.spec.checkpoint_interval_s {
             interval_s if interval_s > 0.0 => {
                 (running_s % interval_s).min(job.spec.checkpoint_cost_s)
@@ -195,13 +207,15 @@
         PREEMPTION_BASE_COST[job.priority as usize] + job.spec.cpus * lost_s
     }
 
-    /// Stops a task, with time to save a checkpoint if that is worth it.
+    /// Stops a task, with time to save a checkpoint if saving costs less than the progress since
+    /// the last one.
     pub(crate) fn stop_task(&mut self, key: TaskKey, why: &str) {
-        self.stop_task_as(key, why, true)
+        self.stop_task_with(key, why, true)
     }
 
-    /// Stops a task, with time to save a checkpoint if it may and if that is worth it.
-    fn stop_task_as(&mut self, key: TaskKey, why: &str, may_save: bool) {
+    /// Stops a task like [`Controller::stop_task`], but without time to save a checkpoint unless
+    /// `may_checkpoint` is set. A task of a gang stops with its whole gang, whatever is set.
+    fn stop_task_with(&mut self, key: TaskKey, why: &str, may_checkpoint: bool) {
         let Some(job) = self.jobs.get(key.job) else { return };
         if job.spec.shape == JobKind::Gang {
             tracing::debug!(job = %job.id, why, "stopping the gang");
@@ -211,11 +225,11 @@
         let TaskState::On { machine, attempt, status, since_ms } = task.state else { return };
         let running_s = (self.context.now.steady_ms - since_ms) as f64 / 1000.0;
         let interval_s = job.spec.checkpoint_interval_s;
-        let worth_saving = interval_s > 0.0
+        let is_worth_saving = interval_s > 0.0
             && status == TaskStatus::Running
             && running_s % interval_s > job.spec.checkpoint_cost_s;
-        let grace = may_save && worth_saving;
-        tracing::debug!(job = %job.id, task = key.task, why, "stopping");
+        let grace = may_checkpoint && is_worth_saving;
+        tracing::debug!(job = %job.id, task = key.task, why, "stopping the task");
         self.set_task_state(key, TaskState::Stopping { machine, attempt, grace });
         self.machines_to_command.insert(machine);
     }
--- a/crates/core/src/placement/probes.rs
+++ b/crates/core/src/placement/probes.rs
@@ -1,6 +1,7 @@
-//! Probes: the machines that a task may be bound to, and the queues of these machines.
+//! Probes: the machines to which a task may be bound, and the queues of these machines.
 //!
-//! Invariant: a probe where an earlier leader may have started the task remains until it is disproved.
+//! Invariant: a probe on a machine where an earlier leader may have started the task is kept until
+//! the leader has proof that the task is not there.
 
 use crate::controller::Controller;
 use crate::ids::{JobIndex, MachineIndex, TaskKey};
@@ -8,8 +9,8 @@
 use crate::storage::records::TASKS_PER_CHUNK;
 
 impl Controller {
-    /// Gives a task probes on these machines. Probes where an earlier leader may have started it
-    /// remain.
+    /// Replaces a task's probes by probes on these machines. Probes on machines where an earlier
+    /// leader may have started the task are kept.
     pub(crate) fn set_probes(
         &mut self,
         key: TaskKey,
@@ -23,12 +24,12 @@
         let Some(task) = chunk.tasks.get_mut((key.task % TASKS_PER_CHUNK) as usize) else { return };
         let old = std::mem::take(&mut task.probes);
         task.zone = zone;
-        let remaining = old.iter().filter(|p| p.unproven && !machines.contains(&p.machine));
+        let kept = old.iter().filter(|probe| probe.unproven && !machines.contains(&probe.machine));
         let mut probes: Vec<Probe> = Vec::with_capacity(machines.len());
-        probes.extend(remaining.copied());
+        probes.extend(kept.copied());
         for machine in machines {
-            let known = old.iter().find(|probe| probe.machine == machine).copied();
-            probes.push(known.unwrap_or(Probe { machine, version, unproven: false }));
+            let existing = old.iter().find(|probe| probe.machine == machine).copied();
+            probes.push(existing.unwrap_or(Probe { machine, version, unproven: false }));
         }
         for dropped in old.iter().filter(|o| !probes.iter().any(|p| p.machine == o.machine)) {
             if let Some(machine) = self.machines.get_mut(dropped.machine) {
@@ -38,7 +39,8 @@
         task.probes = probes;
     }
 
-    /// Puts a waiting task into the queues of its probes' machines.
+    /// Adds a waiting task to the queues of its usable probed machines. If there is none, marks
+    /// re-probing as due.
     pub(crate) fn enqueue(&mut self, key: TaskKey) {
         let Some(task) = self.jobs.task(key) else { return };
         let mut queued = false;
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Lets the machines of all probes of the job's waiting tasks bind them.
+    /// Schedules a dispatch on all probed machines of the job's waiting tasks.
     pub(crate) fn dispatch_probed_machines(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get(job_index) else { return };
         let waiting = job.tasks().filter(|(_, task)| task.state == TaskState::Waiting);
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -1,23 +1,24 @@
 //! The order of a machine's queue: which of its probes binds next.
 //!
-//! Invariant: among tasks of one priority and guarantee, a task is passed over at most as often as
-//! the slack cap says, whatever the order is.
+//! Invariant: in every queue order, a task is passed over by other tasks of the same priority and
+//! quota guarantee at most as many times as the slack cap allows.
 
 use std::cmp::Ordering;
 
 use quartzgate_wire::msg::Priority;
 
-/// How probes of equal priority and guarantee are ordered.
+/// The order of probes with the same priority and quota guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// The job with the least work left first.
+    /// The probe whose job has the least remaining work binds first.
     ShortestFirst,
-    /// The task with the scarcest constraint first.
+    /// The probe whose task has the scarcest constraint binds first.
     ScarcityFirst,
 }
 
 impl QueueOrder {
-    /// Scarcity goes first only past both thresholds (Phoenix, algorithm 1).
+    /// Chooses the order: by scarcity only if the highest ratio of demand to supply and the
+    /// expected wait of the machine both exceed their limits (Phoenix, algorithm 1).
     pub fn choose(max_ratio: f64, ratio_limit: f64, wait_s: f64, wait_limit_s: f64) -> Self {
         if max_ratio > ratio_limit && wait_s > wait_limit_s {
             QueueOrder::ScarcityFirst
@@ -27,22 +28,23 @@
     }
 }
 
-/// What decides the position of a probe in a queue.
+/// The values that decide the position of a probe in a queue.
 #[derive(Clone, Copy, Debug)]
 pub struct QueuedProbe {
     /// Effective priority of the job.
     pub priority: Priority,
-    /// The task is within its team's guaranteed quota.
+    /// Whether the task is within its team's guaranteed quota.
     pub guaranteed: bool,
-    /// Objectives that the job can't meet any more.
+    /// Number of objectives that the job can no longer meet.
     pub missed_objectives: u8,
-    /// Work that the job has left, in seconds.
+    /// Estimated remaining work of the job in seconds of machine time; increased for a task that
+    /// has failed, and infinite if the job fails everywhere.
     pub remaining_s: f64,
     /// Highest ratio of demand to supply among the task's constraints.
     pub ratio: f64,
-    /// How often the task was passed over.
+    /// How many times the task was passed over.
     pub slack: u32,
-    /// Sequence number of its arrival.
+    /// Sequence number of the task's arrival, over all jobs.
     pub arrived: u64,
 }
 
@@ -51,7 +53,7 @@
         (self.priority, self.guaranteed)
     }
 
-    /// Order of two probes, the one that binds first being less.
+    /// Compares two probes; the one that binds first is less.
     fn compare(&self, other: &QueuedProbe, order: QueueOrder, slack_cap: u32) -> Ordering {
         let is_capped = |probe: &QueuedProbe| probe.slack >= slack_cap;
         let by_class = other.class().cmp(&self.class());
@@ -70,7 +72,7 @@
             QueueOrder::ShortestFirst => shortest,
             QueueOrder::ScarcityFirst => scarcest.then(shortest),
         };
-        // Jobs that can still meet their objectives go before those that miss them anyway.
+        // Jobs that can still meet their objectives go before those that will miss them anyway.
         self.missed_objectives
             .cmp(&other.missed_objectives)
             .then(by_order)
@@ -78,18 +80,18 @@
     }
 }
 
-/// The probe that binds, and those that arrived before it and are passed over, by position.
+/// The probe that binds, and the earlier probes that are passed over, by position in the queue.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Pick {
     /// Position of the probe that binds.
     pub chosen: usize,
-    /// Positions of probes of the same class that arrived earlier.
+    /// Positions of the probes of the same priority and quota guarantee that arrived earlier.
     pub passed: Vec<usize>,
 }
 
-/// Picks the probe that binds next; `fits` says whether the machine has resources for a probe now.
-/// A probe that was passed over `cap` times is not passed by any of its class or a lower one: if it
-/// does not fit, they wait.
+/// Picks the probe that binds next. `fits` returns whether the machine has resources for a probe
+/// now. No probe of the same class (priority and quota guarantee) or of a lower one may pass a
+/// probe that was passed over `cap` times: if that probe does not fit, they wait.
 pub fn pick(
     queue: &[QueuedProbe],
     order: QueueOrder,
@@ -110,7 +112,8 @@
     None
 }
 
-/// Positions of the probes of the same class that arrived before the chosen one, in queue order.
+/// Returns the positions of the probes of the same class that arrived before the chosen one, in the
+/// order of `positions`.
 fn passed_by(queue: &[QueuedProbe], positions: &[usize], chosen: usize) -> Vec<usize> {
     let chosen_probe = &queue[chosen];
     let is_passed = |position: &usize| {
--- a/crates/core/src/placement/quota.rs
+++ b/crates/core/src/placement/quota.rs
@@ -1,7 +1,8 @@
-//! Quotas of teams, and best-effort work.
+//! Quotas of teams, and best-effort jobs.
 //!
-//! Invariant: a task is placed only while its team's reserved resources (placed and not provably
-//! ended) stay within the team's limit, so the limit holds whichever of them start later.
+//! Invariant: a task is placed only if its team's reserved resources (those of tasks that are
+//! placed and not provably ended) stay within the team's limit. The limit therefore holds whichever
+//! of these tasks start later.
 
 use quartzgate_wire::msg::Priority;
 
@@ -9,30 +10,33 @@
 use crate::fleet::machines::Resources;
 use crate::jobs::Job;
 
-/// Allowed rounding error of sums of resources.
+/// Tolerated rounding error in sums of resources.
 const EPSILON: f64 = 1e-6;
 
 impl Controller {
-    /// Whether a job is best-effort: of the lowest priority, and of a team without a quota.
+    /// Returns whether a job is best-effort: it has the lowest priority and its team has no
+    /// guaranteed quota.
     pub(crate) fn is_best_effort(&self, job: &Job) -> bool {
         self.best_effort(job.team, job.priority)
     }
 
-    /// The same for any work of a team at this priority.
+    /// Returns whether jobs of a team at this priority are best-effort.
     pub(crate) fn best_effort(&self, team: usize, priority: Priority) -> bool {
         let team = &self.context.config.platform.params.teams[team];
         priority == Priority::Low && team.cpus <= 0.0 && team.gpus <= 0.0
     }
 
-    /// Whether a task that needs these resources may be placed for the team.
+    /// Returns whether a task that needs these resources may be placed for the team within its
+    /// limit.
     pub(crate) fn within_quota(&self, team: usize, need: &Resources) -> bool {
         self.within_limit(team, self.teams[team].reserved, need)
     }
 
-    /// Whether the team may have one more task on machines, if every unproven task runs. After a
-    /// placement whose write was indeterminate the records can hold more reservations than the
-    /// limit allows, so this is checked again before every start.
-    pub(crate) fn may_start(&self, team: usize, need: &Resources) -> bool {
+    /// Returns whether the team stays within its limit if a task that needs these resources starts
+    /// and every unproven task is running. After a placement whose write was indeterminate, the
+    /// records can hold more reservations than the limit allows, so this is checked again before
+    /// every start.
+    pub(crate) fn may_start_within_quota(&self, team: usize, need: &Resources) -> bool {
         let mut possibly_running = self.teams[team].placed;
         possibly_running.add(&self.teams[team].unproven, 1.0);
         self.within_limit(team, possibly_running, need)
--- a/crates/core/src/placement/wait.rs
+++ b/crates/core/src/placement/wait.rs
@@ -1,11 +1,11 @@
 //! The expected wait in a machine's queue (Phoenix, equation 1).
 
-/// Load is capped here, so that the estimate stays finite.
+/// Upper limit on the load in the formula, so that the estimate stays finite.
 const MAX_LOAD: f64 = 0.98;
 
-/// E\[W\] = ρ/(1−ρ) · E\[S²\]/(2·E\[S\]) after Pollaczek and Khinchine, in seconds.
-/// `load` is the load of the most used resource, `times_s` are the remaining times of running tasks
-/// and the estimates of queued ones.
+/// Returns the expected wait in seconds, E\[W\] = ρ/(1−ρ) · E\[S²\]/(2·E\[S\])
+/// (Pollaczek–Khinchine). `load` (ρ) is the load of the most used resource. `times_s` (samples of
+/// S) are the remaining times of running tasks and the estimated times of queued tasks.
 pub fn expected_wait(load: f64, times_s: impl IntoIterator<Item = f64>) -> f64 {
     let (mut count, mut sum, mut squares) = (0.0, 0.0, 0.0);
     for time_s in times_s {
