--- a/crates/core/src/membership/election.rs
+++ b/crates/core/src/membership/election.rs
@@ -1,9 +1,9 @@
-//! Elections: how this controller asks the store for the leadership of an epoch.
+//! Elections: how this controller campaigns for the leadership of an epoch.
 //!
-//! One transaction sets the leader key, attached to this controller's lease, and the epoch
-//! record, both guarded by the revisions that were seen; so of several candidates one wins at
-//! most, and epochs only grow. While the outcome is unknown this controller decides nothing: it
-//! reads the control keys again.
+//! A single transaction sets the leader key, attached to this controller's lease, and the epoch
+//! record. Both writes are guarded by the revisions last seen, so at most one of several candidates
+//! wins and epochs only increase. While the outcome is indeterminate, this controller decides
+//! nothing and reads the control keys again.
 
 use quartzgate_feature_gates::Feature;
 use quartzgate_wire::msg::{Change, Guard, Transaction, TransactionAnswer};
@@ -16,41 +16,41 @@
 use crate::storage::records::{encode, EpochRecord, LeaderRecord, EPOCH_KEY, LEADER_KEY};
 use crate::Outcome;
 
-/// Times in a row that a restarted controller takes the leadership again from its previous
-/// incarnation. After that another one may lead: a controller that crashes whenever it leads
-/// would otherwise keep all others from it.
+/// Number of consecutive times a restarted controller may retake the leadership from its previous
+/// incarnation before it lets another controller lead. Without this limit, a controller that
+/// crashes whenever it leads would keep all others from leading.
 const MAX_RETAKES: u32 = 2;
 
-/// When this controller may campaign, and the epoch that it has won.
+/// Timing of this controller's campaigns, and the epoch that it has won.
 #[derive(Debug, Default)]
 pub(super) struct Election {
-    /// Earliest moment for the next attempt.
+    /// Earliest time for the next campaign.
     due_ms: u64,
-    /// When the leadership was last asked for.
+    /// When this controller last campaigned.
     sent_ms: u64,
-    /// Epoch in which this controller leads; 0 if it does not.
+    /// Epoch in which this controller leads; 0 if it does not lead.
     epoch: u64,
-    /// The store's revision of that epoch's record.
+    /// Store revision of that epoch's record.
     epoch_revision: u64,
 }
 
 impl Election {
-    /// Epoch in which this controller leads; 0 if it does not.
+    /// Returns the epoch in which this controller leads, or 0 if it does not lead.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The store's revision of that epoch's record.
+    /// Returns the store revision of that epoch's record.
     pub fn epoch_revision(&self) -> u64 {
         self.epoch_revision
     }
 
-    /// No attempt before this moment, nor before any that was set earlier.
+    /// Postpones the next campaign until `due_ms`; never moves it to an earlier time.
     pub fn postpone_until(&mut self, due_ms: u64) {
         self.due_ms = self.due_ms.max(due_ms);
     }
 
-    /// This controller leads no longer.
+    /// Records that this controller no longer leads.
     pub fn clear_epoch(&mut self) {
         self.epoch = 0;
     }
@@ -61,12 +61,12 @@
     }
 }
 
-/// What to ask the store for.
+/// Parameters of a campaign.
 #[derive(Clone, Copy, Debug)]
 struct Candidacy {
-    /// Revision of the leader key that is replaced; 0 if there must be none.
+    /// Revision of the leader key to replace; 0 if the key must not exist.
     leader_revision: u64,
-    /// The epoch that goes on; a new one begins if there is none.
+    /// Epoch to continue; `None` starts a new epoch.
     continued_epoch: Option<u64>,
     retakes: u32,
 }
@@ -75,14 +75,14 @@
 enum ElectionStep {
     Wait,
     Campaign(Candidacy),
-    /// Deletes the leader key of the previous incarnation, so that another may lead.
+    /// Deletes the leader key of the previous incarnation so that another controller can lead.
     YieldLeadership {
         leader_revision: u64,
     },
 }
 
 impl Controller {
-    /// Campaigns if there is no leader and that is due.
+    /// Campaigns, or yields the leadership, if that is due.
     pub(super) fn tick_election(&mut self) {
         let Some(lease_id) = self.controller_lease_id() else { return };
         if self.has_unsupported_format() || !self.membership.epoch_watch.is_read() {
@@ -113,7 +113,8 @@
                 continued_epoch: None,
                 retakes: 0,
             }),
-            // The key vanished with a lease, but nobody has led since: the epoch goes on.
+            // The leader key disappeared with an expired lease, but no other controller has led
+            // since, so the epoch continues.
             (None, Role::Leader | Role::Recovering) => ElectionStep::Campaign(Candidacy {
                 leader_revision: 0,
                 continued_epoch: Some(election.epoch),
@@ -122,8 +123,9 @@
         }
     }
 
-    /// The leader key is of this controller's previous incarnation: there is no need to wait
-    /// until its lease expires. Whether retakes may be counted depends on the record format.
+    /// Decides how to proceed when the leader key belongs to this controller's previous
+    /// incarnation: there is no need to wait for its lease to expire. Whether retakes may be
+    /// counted depends on the record format.
     fn retake_leadership(&self, leader: &Revisioned<LeaderRecord>) -> ElectionStep {
         if !self.knows_format() {
             return ElectionStep::Wait;
@@ -154,7 +156,7 @@
         ];
         self.record_writer.writes.force(now, apply.len() as f64);
         let renewal_ms = self.context.config.lease_renewal_ms();
-        // No second attempt before the outcome of this one is known.
+        // Do not campaign again before the outcome of this campaign is known.
         self.membership.election.due_ms = now + renewal_ms;
         if candidacy.continued_epoch.is_none() {
             self.set_role(Role::Candidate { epoch });
@@ -184,10 +186,10 @@
     }
 
     /// Deletes the leader key of the previous incarnation. This controller campaigns again only
-    /// when nobody else has for a while.
+    /// after the other controllers have had time to do so.
     fn yield_leadership(&mut self, leader_revision: u64) {
         let now = self.context.now.steady_ms;
-        tracing::info!("leadership retaken too often after crashes: yielding it");
+        tracing::info!("leadership retaken too often after restarts; deleting the leader key");
         let config = &self.context.config;
         self.membership.epoch_watch.clear_leader();
         self.membership.election.due_ms = now + config.controller_lease_ttl_ms() / 2;
@@ -200,7 +202,7 @@
         self.membership.write_unconfirmed(&mut self.context, body);
     }
 
-    /// Takes in how the store has answered a candidacy.
+    /// Handles the outcome of a campaign for `epoch`.
     pub(super) fn on_election_outcome(&mut self, epoch: u64, outcome: Outcome) {
         if self.membership.role() != (Role::Candidate { epoch }) {
             return;
@@ -213,14 +215,14 @@
                 }
             }
             Outcome::Answer(response) => {
-                // The store doesn't know the lease.
+                // The store does not know the lease.
                 if response.status == 400 {
                     self.membership.lease.discard();
                 }
                 self.set_role(Role::Follower)
             }
-            // Indeterminate: the keys are read again, and if this controller leads by them, it
-            // begins a new epoch over the one that it may have won.
+            // The outcome is indeterminate, so the control keys are read again. If they name this
+            // controller as leader, it starts a new epoch after the one that it may have won.
             Outcome::NotSent | Outcome::Lost => self.set_role(Role::Follower),
         }
     }
--- a/crates/core/src/membership/epoch_watch.rs
+++ b/crates/core/src/membership/epoch_watch.rs
@@ -1,10 +1,10 @@
-//! The watch of the control keys: the epoch record, the leader key, the claims of lease proxies
-//! and the mailboxes.
+//! Watches the control keys: the epoch record, the leader key, the claims of lease proxies and the
+//! mailboxes.
 //!
-//! All of them share one prefix, so one watch shows every change in the order of its revisions.
-//! The watch proves up to which moment the records are known: a later epoch can't have begun
-//! before `known_ms` without being seen here. An answer proves only what was true when its
-//! request was *sent*, and answers to requests from before a stall are dropped.
+//! All control keys share one prefix, so a single watch delivers every change in revision order.
+//! The watch also proves up to which time the control keys are known: no later epoch can have begun
+//! before `known_ms` without having been seen here. An answer proves only the state at the time its
+//! request was *sent*. Answers to requests sent before a stall are dropped.
 
 use quartzgate_wire::from_cbor;
 use quartzgate_wire::msg::{ChangeEvent, ChangeLog, KeyValueList};
@@ -22,20 +22,21 @@
 };
 use crate::Outcome;
 
-/// Part of a controller lease's time to live by which controllers stagger their elections.
+/// Divisor of a controller lease's time to live that gives the stagger between two controllers'
+/// elections.
 const ELECTION_STAGGER: u64 = 50;
 
-/// Progress of the watch, and the records that it has shown.
+/// Progress of the watch, and the control records seen so far.
 #[derive(Debug, Default)]
 pub(super) struct EpochWatch {
     state: WatchState,
-    /// When the keys are next read or watched.
+    /// Earliest time at which the keys are next read or watched.
     due_ms: u64,
-    /// The store's revision up to which changes have been taken in.
+    /// Store revision up to which changes have been applied.
     revision: u64,
-    /// When the newest read or watch was sent; 0 after a stall.
+    /// When the most recent read or watch was sent; 0 after a stall.
     sent_ms: u64,
-    /// The latest moment up to which the control keys are proven to be known.
+    /// Latest time up to which the control keys are proven to be known.
     known_ms: u64,
     epoch: Option<Revisioned<EpochRecord>>,
     leader: Option<Revisioned<LeaderRecord>>,
@@ -45,66 +46,68 @@
 }
 
 impl EpochWatch {
-    /// The latest moment up to which the control keys are proven to be known, in steady
-    /// milliseconds.
+    /// Returns the latest time, in steady milliseconds, up to which the control keys are proven to
+    /// be known.
     pub fn known_ms(&self) -> u64 {
         self.known_ms
     }
 
-    /// The record of the latest epoch.
+    /// Returns the record of the latest epoch, if one has been seen.
     pub fn epoch(&self) -> Option<&Revisioned<EpochRecord>> {
         self.epoch.as_ref()
     }
 
-    /// The leader key, if it exists.
+    /// Returns the leader key, if it exists.
     pub fn leader(&self) -> Option<&Revisioned<LeaderRecord>> {
         self.leader.as_ref()
     }
 
-    /// When the present leader was first seen to lead, in steady milliseconds.
+    /// Returns when the present leader was first seen to lead, in steady milliseconds.
     pub fn leader_since_ms(&self) -> u64 {
         self.leader_since_ms
     }
 
-    /// The claims of lease proxies.
+    /// Returns the lease proxy claims that are known to exist.
     pub fn claims(&self) -> &ProxyClaims {
         &self.claims
     }
 
-    /// The keys have been read, and every change since then has been or will be seen.
+    /// Returns whether the keys have been read and no change since then can be missed.
     pub fn is_read(&self) -> bool {
         matches!(self.state, WatchState::Idle | WatchState::Watching)
     }
 
-    /// The keys have to be read again.
+    /// Marks the keys as unread, so that they are read again.
     pub fn invalidate(&mut self) {
         self.state = WatchState::Unread;
     }
 
-    /// The same, after a pause.
+    /// Marks the keys as unread and delays the next read until `due_ms`.
     pub fn invalidate_until(&mut self, due_ms: u64) {
         self.invalidate();
         self.due_ms = due_ms;
     }
 
-    /// After a stall: the keys are read at once, and answers to earlier requests prove nothing.
+    /// Restarts after a stall: the keys are read at once, and answers to earlier requests are
+    /// dropped.
     pub fn restart(&mut self, now_ms: u64) {
         self.invalidate_until(now_ms);
         self.sent_ms = 0;
     }
 
-    /// Takes in the records of an election that this controller has won.
+    /// Stores the records of an election that this controller has won.
     pub fn on_elected(&mut self, leader: LeaderRecord, epoch: EpochRecord, revision: u64) {
         self.leader = Some(Revisioned { record: leader, revision });
         self.epoch = Some(Revisioned { record: epoch, revision });
     }
 
-    /// This controller gives up the leader key.
+    /// Forgets the leader key, because this controller deletes it.
     pub fn clear_leader(&mut self) {
         self.leader = None;
     }
 
-    /// The watch can go on from this revision, without a pause.
+    /// Records that changes up to `revision` have been applied; the watch can continue from there
+    /// without delay.
     fn advance(&mut self, revision: u64, sent_ms: u64) {
         self.revision = revision;
         self.known_ms = self.known_ms.max(sent_ms);
@@ -113,13 +116,13 @@
     }
 }
 
-/// A claim of a lease proxy, as the control keys show it.
+/// A lease proxy claim as read from the control keys.
 struct ProxyClaimKey {
     node: String,
     revision: u64,
 }
 
-/// All control keys at one revision.
+/// The control keys as of one store revision.
 #[derive(Default)]
 struct ControlSnapshot {
     epoch: Option<Revisioned<EpochRecord>>,
@@ -128,7 +131,8 @@
 }
 
 impl ControlSnapshot {
-    /// Nothing if the epoch record can't be read: it is then unknown who may lead.
+    /// Parses a list of control keys. Returns `None` if the epoch record cannot be decoded, because
+    /// it is then unknown who may lead.
     fn read(list: &KeyValueList) -> Option<Self> {
         let mut snapshot = ControlSnapshot::default();
         for pair in &list.pairs {
@@ -141,7 +145,7 @@
                 EPOCH_KEY => match decode::<EpochRecord>(&pair.value) {
                     Some(record) => snapshot.epoch = Some(Revisioned { record, revision }),
                     None => {
-                        tracing::error!("epoch record unreadable; not leading");
+                        tracing::error!("cannot decode epoch record; not campaigning for leadership");
                         return None;
                     }
                 },
@@ -161,7 +165,7 @@
 }
 
 impl Membership {
-    /// Reads or watches the control keys when that is due.
+    /// Reads or watches the control keys if that is due.
     pub(super) fn tick_epoch_watch(&mut self, context: &mut Context) {
         if context.now.steady_ms < self.epoch_watch.due_ms {
             return;
@@ -190,7 +194,8 @@
         self.watch_store(context, EPOCH_KEY, self.epoch_watch.revision, call);
     }
 
-    /// Takes in a full read but for its epoch and leader records, which the controller acts on.
+    /// Applies the proxy claims of a full read. The epoch and leader records are returned for the
+    /// controller to apply.
     fn observe_control_keys(
         &mut self,
         context: &Context,
@@ -198,7 +203,7 @@
         outcome: Outcome,
     ) -> Option<ControlSnapshot> {
         let now = context.now.steady_ms;
-        // Another read or watch was sent since, after a stall.
+        // A stall has ended since, after which a new read was sent.
         if self.epoch_watch.sent_ms != sent_ms {
             return None;
         }
@@ -235,7 +240,7 @@
         }
     }
 
-    /// Takes in how a watch ended; gives the changes that it has shown.
+    /// Handles the outcome of a watch and returns the changes that it delivered.
     fn observe_control_changes(
         &mut self,
         context: &Context,
@@ -247,7 +252,7 @@
         if self.epoch_watch.state != WatchState::Watching || superseded {
             return None;
         }
-        // The watch goes on from the revision where it was, so that no change is missed.
+        // The watch resumes from its previous revision, so that no change is missed.
         self.epoch_watch.state = WatchState::Idle;
         self.epoch_watch.due_ms = now.max(sent_ms + context.config.lease_renewal_ms());
         let Outcome::Answer(response) = outcome else { return None };
@@ -290,7 +295,7 @@
     }
 }
 
-/// When a read or watch that failed is tried again.
+/// Returns when to retry a failed read or watch.
 fn retry_ms(config: &Config, now_ms: u64) -> u64 {
     now_ms + config.lease_renewal_ms() / 2
 }
@@ -306,18 +311,18 @@
     left.map(identity) == right.map(identity)
 }
 
-/// How long this controller waits before it campaigns. Controllers are staggered by
-/// the order of their names, so that two of them rarely ask at the same time.
+/// Returns how long this controller waits before it campaigns. Controllers are staggered by the
+/// order of their names, so that two of them rarely campaign at the same time.
 fn election_delay_ms(context: &mut Context) -> u64 {
     let platform = &context.config.platform;
-    let earlier = platform.siblings.iter().filter(|sibling| sibling.node < platform.node);
-    let turn = earlier.count() as u64;
+    let preceding = platform.siblings.iter().filter(|sibling| sibling.node < platform.node);
+    let position = preceding.count() as u64;
     let step_ms = context.config.controller_lease_ttl_ms() / ELECTION_STAGGER;
-    turn * step_ms + context.rng.random_range(0..step_ms.max(1))
+    position * step_ms + context.rng.random_range(0..step_ms.max(1))
 }
 
 impl Controller {
-    /// Takes in a full read of the control keys, and watches them from its revision on.
+    /// Handles a full read of the control keys, and starts a watch from its revision.
     pub(super) fn on_control_keys_read(&mut self, sent_ms: u64, outcome: Outcome) {
         let snapshot = self.membership.observe_control_keys(&self.context, sent_ms, outcome);
         let Some(snapshot) = snapshot else { return };
@@ -327,8 +332,7 @@
         self.membership.watch_control_keys(&mut self.context);
     }
 
-    /// Takes in the changes that a watch has shown, in the order of their revisions, and watches
-    /// on.
+    /// Applies the changes delivered by a watch in revision order, and continues the watch.
     pub(super) fn on_control_keys_changed(&mut self, sent_ms: u64, outcome: Outcome) {
         let changes = self.membership.observe_control_changes(&self.context, sent_ms, outcome);
         let Some(changes) = changes else { return };
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -1,8 +1,9 @@
-//! This controller's own lease at the store.
+//! This controller's own lease in the key-value store.
 //!
-//! The member key, the leader key and the lease proxy's claim are attached to it, and vanish with
-//! it. The lease counts as held until the store says that it expired; how long it is certain
-//! to last follows from when the newest successful renewal was *sent*, never from its answer.
+//! The member key, the leader key and the lease proxy claim are attached to the lease and disappear
+//! with it. The lease counts as held until the store reports its expiry. How long it is certain to
+//! last is computed from when the latest successful renewal was *sent*, never from when its answer
+//! arrived.
 
 use quartzgate_wire::msg::{Change, LeaseAnswer, LeaseRequest, Transaction};
 use quartzgate_wire::{from_cbor, to_cbor};
@@ -25,18 +26,18 @@
     },
 }
 
-/// State of the lease, and when the store is next asked about it.
+/// State of the lease, and when it is next requested or renewed.
 #[derive(Debug, Default)]
 pub(super) struct ControllerLease {
     state: LeaseState,
-    /// When a lease or its renewal is next asked for.
+    /// When the next grant or renewal is requested.
     due_ms: u64,
     renewal_in_flight: bool,
-    /// When the newest renewal that succeeded was sent.
+    /// When the latest grant or renewal that succeeded was sent.
     renewed_ms: u64,
 }
 
-/// What an answer of the store has changed about the lease.
+/// Effect of a store answer on the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LeaseChange {
     Unchanged,
@@ -45,7 +46,7 @@
 }
 
 impl ControllerLease {
-    /// Identifier of the lease while it is held.
+    /// Returns the identifier of the lease while it is held.
     pub fn id(&self) -> Option<u64> {
         match self.state {
             LeaseState::Held { lease_id } => Some(lease_id),
@@ -53,18 +54,19 @@
         }
     }
 
-    /// Whether the lease can't have expired yet, with a tenth of its time to live as a margin.
+    /// Returns whether the lease cannot have expired yet, with a margin of a tenth of its time to
+    /// live.
     pub fn is_certain(&self, config: &Config, now_ms: u64) -> bool {
         now_ms < self.renewed_ms + config.controller_lease_ttl_ms() * 9 / 10
     }
 
-    /// Drops the lease; a new one is asked for at the next tick.
+    /// Drops the lease; a new one is requested at the next tick.
     pub fn discard(&mut self) {
         self.state = LeaseState::None;
         self.due_ms = 0;
     }
 
-    /// After a stall: the lease is renewed at once, whatever was asked before.
+    /// Makes a renewal due at once after a stall, even if an earlier renewal is still in flight.
     pub fn renew_now(&mut self, now_ms: u64) {
         self.renewal_in_flight = false;
         self.due_ms = now_ms;
@@ -77,7 +79,7 @@
 }
 
 impl Membership {
-    /// Asks for a lease, or for its renewal, when that is due.
+    /// Requests a lease, or renews it, if that is due.
     pub(super) fn tick_lease(&mut self, context: &mut Context) {
         let now = context.now.steady_ms;
         if now < self.lease.due_ms || self.lease.renewal_in_flight {
@@ -147,19 +149,20 @@
 }
 
 impl Controller {
-    /// Takes in the answer to the request for a lease.
+    /// Handles the answer to a lease grant.
     pub(super) fn on_lease_granted(&mut self, sent_ms: u64, outcome: Outcome) {
         let change = self.membership.observe_grant(&self.context, sent_ms, outcome);
         self.on_lease_change(change);
     }
 
-    /// Takes in the answer to a renewal.
+    /// Handles the answer to a lease renewal.
     pub(super) fn on_lease_renewed(&mut self, sent_ms: u64, outcome: Outcome) {
         let change = self.membership.observe_renewal(&self.context, sent_ms, outcome);
         self.on_lease_change(change);
     }
 
-    /// A claim of the lease proxy was attached to the lease before: it is gone with it.
+    /// Applies a change of the lease. A lease proxy claim attached to the previous lease has
+    /// disappeared with it.
     fn on_lease_change(&mut self, change: LeaseChange) {
         match change {
             LeaseChange::Unchanged => {}
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Registers this controller as a member for as long as its lease is held.
+    /// Writes this controller's member key, which exists for as long as its lease is held.
     pub(crate) fn write_member_key(&mut self) {
         let Some(lease_id) = self.controller_lease_id() else { return };
         let node = self.context.config.platform.node.clone();
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,14 +1,14 @@
 //! Membership: which controllers are alive, which one leads, and in which epoch.
 //!
-//! Each controller holds a lease at the store ([`lease`]) and watches the control keys
-//! ([`epoch_watch`]). When the leader key vanishes, the controllers ask the store for the
-//! leadership of the next epoch ([`election`]). Heartbeats between controllers ([`peers`]) only
-//! serve redirects and forwarding, and the leader's watch of the handoff queue
-//! ([`handoff_watch`]) shows it what followers record without it.
+//! Each controller holds a lease in the key-value store ([`lease`]) and watches the control keys
+//! ([`epoch_watch`]). When the leader key disappears, the controllers campaign for the leadership
+//! of the next epoch ([`election`]). Heartbeats between controllers ([`peers`]) serve only
+//! redirects and request forwarding. The leader watches the handoff queue ([`handoff_watch`]) for
+//! submissions and aborts that followers recorded without it.
 //!
-//! The invariant that all of it guards: a leader commands workers only within the lease bound
-//! after the latest moment at which it is proven to have known the records
-//! ([`Membership::proven_contact_ms`]), so that a later leader knows when it has stopped.
+//! Safety invariant: a leader commands workers only until the lease bound has elapsed since the
+//! latest time at which it provably knew the records ([`Membership::proven_contact_ms`]). A later
+//! leader can therefore determine when an earlier one has stopped.
 
 mod calls;
 mod election;
@@ -41,7 +41,7 @@
 use lease::ControllerLease;
 use peers::{heartbeat_interval_ms, peer_index, Peers};
 
-/// All that this controller knows about itself and the others as members.
+/// Membership state of this controller and its view of the other controllers.
 pub(crate) struct Membership {
     role: Role,
     lease: ControllerLease,
@@ -50,19 +50,21 @@
     handoff_watch: HandoffWatch,
     peers: Peers,
     held_heartbeats: HeldHeartbeats,
-    /// When the store last answered anything.
+    /// When the store last answered a request, in steady milliseconds; `None` before the first
+    /// answer.
     store_answered_ms: Option<u64>,
-    /// The latest moment whose records this controller, as the leader, is proven to know.
+    /// Latest time, in steady milliseconds, as of which this controller provably knew the records
+    /// while leading.
     proven_contact_ms: u64,
-    /// Limits the reads from the store that may wait; a leader has most of the allowed rate.
+    /// Limits the store reads that can be deferred. The leader gets most of the allowed rate.
     store_reads: ReadBudget,
-    /// Since when the store has been reachable without a break.
+    /// Start of the present uninterrupted period of store reachability; `None` while unreachable.
     store_reachable_since_ms: Option<u64>,
     calls: CallTable<MembershipCall>,
 }
 
 impl Membership {
-    /// A follower that knows nothing yet.
+    /// Creates the state of a follower that has not yet heard from the store or from any peer.
     pub fn new(config: &Config) -> Self {
         let peer_count = config.platform.siblings.len();
         let read_rate = follower_share(config.platform.params.state.rps, peer_count + 1);
@@ -82,54 +84,56 @@
         }
     }
 
-    /// Takes out what a call was for, if membership made it.
+    /// Removes and returns the purpose of a call, or `None` if membership did not make the call.
     pub fn take_call(&mut self, call: CallId) -> Option<MembershipCall> {
         self.calls.take(call)
     }
 
-    /// The store's revision of the epoch record under which this controller leads.
+    /// Returns the store revision of the epoch record under which this controller leads.
     pub fn epoch_revision(&self) -> u64 {
         self.election.epoch_revision()
     }
 
-    /// Limits the reads from the store that may wait.
+    /// Returns the budget for store reads that can be deferred.
     pub fn store_reads(&mut self) -> &mut ReadBudget {
         &mut self.store_reads
     }
 
-    /// Since when the store has been reachable without a break and this process has not stalled.
+    /// Returns since when, in steady milliseconds, the store has been reachable without
+    /// interruption and this process has not stalled.
     pub fn store_reachable_since_ms(&self) -> Option<u64> {
         self.store_reachable_since_ms
     }
 
-    fn follow_store_reachability(&mut self, context: &Context) {
+    fn update_store_reachability(&mut self, context: &Context) {
         self.store_reachable_since_ms = match self.store_reachable(context) {
             true => self.store_reachable_since_ms.or(Some(context.now.steady_ms)),
             false => None,
         };
     }
 
-    /// Whether the claim of any lease proxy is known to exist.
+    /// Returns whether any controller is known to hold a lease proxy claim.
     pub fn has_proxy_claims(&self) -> bool {
         !self.epoch_watch.claims().is_empty()
     }
 
-    /// Whether a controller's claim as a lease proxy is known to exist.
+    /// Returns whether the given controller is known to hold a lease proxy claim.
     pub fn has_proxy_claim(&self, node: &str) -> bool {
         self.epoch_watch.claims().contains(node)
     }
 
-    /// The store's revision of a controller's claim as a lease proxy.
+    /// Returns the store revision of a controller's lease proxy claim, if the claim is known to
+    /// exist.
     pub fn proxy_claim_revision(&self, node: &str) -> Option<u64> {
         self.epoch_watch.claims().revision(node)
     }
 
-    /// The epoch record is proven to be known as it was at this moment or later.
+    /// Returns whether the epoch record is proven to be known as of `moment_ms` or later.
     pub fn epoch_known_since(&self, moment_ms: u64) -> bool {
         self.epoch_watch.known_ms() >= moment_ms
     }
 
-    /// The store has answered something at this moment or later.
+    /// Returns whether the store has answered any request at `moment_ms` or later.
     pub fn store_answered_since(&self, moment_ms: u64) -> bool {
         self.store_answered_ms.is_some_and(|answered_ms| answered_ms >= moment_ms)
     }
@@ -138,15 +142,16 @@
         self.store_answered_ms = Some(now_ms);
     }
 
-    /// Others change the records only through the handoff queue, or after a later epoch has
-    /// begun. Only up to where both are known are the records known.
+    /// Advances the proven contact time to the point up to which both watches are known. Other
+    /// controllers change records only through the handoff queue or after a later epoch has begun,
+    /// so the records are known only as far as both watches are.
     fn advance_proven_contact(&mut self) {
         let proven_ms = self.handoff_watch.known_ms().min(self.epoch_watch.known_ms());
         self.proven_contact_ms = self.proven_contact_ms.max(proven_ms);
     }
 
-    /// After a stall nothing that was asked before proves anything: the lease, the control keys
-    /// and the peers are asked again at once.
+    /// Renews the lease, rereads the control keys and contacts the peers at once after a stall,
+    /// because no request sent before the stall proves anything.
     fn restart_after_stall(&mut self, now_ms: u64) {
         self.store_reachable_since_ms = None;
         self.epoch_watch.restart(now_ms);
@@ -154,7 +159,7 @@
         self.peers.restart_heartbeats();
     }
 
-    /// Number of controllers, this one included.
+    /// Returns the number of controllers, including this one.
     fn controllers(&self) -> usize {
         self.peers.len() + 1
     }
@@ -166,14 +171,15 @@
             .is_some_and(|answered_ms| context.now.steady_ms < answered_ms + window_ms)
     }
 
-    /// The leader of the latest epoch that the control keys or a heartbeat have shown.
+    /// Returns the leader of the latest epoch seen in the control keys or in a peer's heartbeat.
     fn latest_leader(&self) -> Option<&LeaderRecord> {
         let recorded_epoch = self.epoch_watch.epoch().map_or(0, |epoch| epoch.record.epoch);
         let hint = self.peers.leader_hint().filter(|hint| hint.epoch > recorded_epoch);
         hint.or(self.epoch_watch.leader().map(|leader| &leader.record))
     }
 
-    /// When the peer that holds the leader key was last heard, or was first seen to hold it.
+    /// Returns when the peer that holds the leader key was last heard from or was first seen to
+    /// hold the key, whichever is later.
     fn leader_heard_ms(&self, config: &Config) -> Option<u64> {
         let leader = &self.epoch_watch.leader()?.record;
         let peer = peer_index(config, &leader.node)?;
@@ -181,8 +187,8 @@
         Some(heard_ms.max(self.epoch_watch.leader_since_ms()))
     }
 
-    /// Asks the store for the changes under a prefix since a revision. It answers once there is
-    /// one, or when the watch has blocked for long enough.
+    /// Requests the changes under a prefix since a revision. The store answers as soon as there is
+    /// a change, or when the watch has blocked for `watch_block_ms`.
     fn watch_store(
         &mut self,
         context: &mut Context,
@@ -209,32 +215,34 @@
         self.calls.insert(id, call);
     }
 
-    /// Sends a transaction whose outcome is not followed up.
+    /// Sends a transaction whose outcome is ignored.
     fn write_unconfirmed(&mut self, context: &mut Context, body: Vec<u8>) {
         let call = MembershipCall::UnconfirmedWrite;
         self.call_store(context, "POST", "/multi".into(), body, call);
     }
 }
 
-/// What other modules ask of membership.
+/// Membership queries and updates for the other modules.
 impl Controller {
-    /// The epoch that this controller leads; 0 if it does not lead.
+    /// Returns the epoch in which this controller leads, or 0 if it does not lead.
     pub(crate) fn epoch(&self) -> u64 {
         self.membership.election.epoch()
     }
 
-    /// Leads and knows all records.
+    /// Returns whether this controller leads and has loaded all records.
     pub(crate) fn leads(&self) -> bool {
         self.membership.is_leader()
     }
 
-    /// A job that this controller does not know does not exist.
+    /// Returns whether this controller knows every job, so that a job missing from memory does not
+    /// exist.
     pub(crate) fn knows_all_jobs(&self) -> bool {
         self.leads()
     }
 
-    /// May answer heartbeats and send orders: it leads, and has been in contact with the store
-    /// so lately that every lease that it renews expires before a later leader counts on that.
+    /// Returns whether this controller may answer heartbeats and send orders. It must lead, and its
+    /// last proven contact with the store must be recent enough that every worker lease it renews
+    /// expires before a later leader assumes that it has.
     pub(crate) fn may_command_workers(&self) -> bool {
         let bound_ms = self.membership.proven_contact_ms + self.context.config.lease_bound_ms();
         self.membership.role.holds_leadership()
@@ -242,7 +250,7 @@
             && !self.leadership_unverified()
     }
 
-    /// Name of the controller that leads, as far as this one knows.
+    /// Returns the name of the leading controller, as far as this controller knows.
     pub(crate) fn known_leader(&self) -> Option<String> {
         if self.membership.role.holds_leadership() {
             return Some(self.context.config.platform.node.clone());
@@ -250,60 +258,63 @@
         self.membership.latest_leader().map(|leader| leader.node.clone())
     }
 
-    /// The peer that leads.
+    /// Returns the index of the peer that leads, if the leader is a peer.
     pub(crate) fn leader_index(&self) -> Option<usize> {
         let leader = self.membership.latest_leader()?;
         peer_index(&self.context.config, &leader.node)
     }
 
-    /// The peer that leads, if it is alive.
+    /// Returns the index of the peer that leads, if that peer is alive.
     pub(crate) fn live_leader_index(&self) -> Option<usize> {
         self.leader_index().filter(|&peer| self.peer_is_alive(peer))
     }
 
-    /// A peer that has been heard very lately, and that the store answers.
+    /// Returns whether the peer was heard from within two heartbeat intervals and reported that the
+    /// store is reachable.
     pub(crate) fn peer_can_serve(&self, peer: usize) -> bool {
         self.membership.peers.is_serving(peer, &self.context)
     }
 
-    /// A peer that has been heard lately.
+    /// Returns whether the peer was heard from within three heartbeat intervals.
     pub(crate) fn peer_is_alive(&self, peer: usize) -> bool {
         self.membership.peers.is_alive(peer, &self.context)
     }
 
-    /// When the leader was last heard. Time before a stall ended does not count as its silence.
+    /// Returns when the leader was last heard from. Time before the end of a stall does not count
+    /// as silence of the leader.
     fn leader_heard_ms(&self) -> Option<u64> {
         let heard_ms = self.membership.leader_heard_ms(&self.context.config)?;
         Some(heard_ms.max(self.stall.resumed_ms()))
     }
 
-    /// The leader has missed a heartbeat.
+    /// Returns whether the leader has missed a heartbeat.
     pub(crate) fn leader_missed(&self) -> bool {
         let limit_ms = heartbeat_interval_ms(&self.context.config) * 5 / 4;
         self.leader_heard_ms()
             .is_some_and(|heard_ms| self.context.now.steady_ms > heard_ms + limit_ms)
     }
 
-    /// The leader key exists, but the leader has missed several heartbeats: it can't be reached
-    /// from here, or has just crashed.
+    /// Returns whether the leader key exists but nothing was heard from the leader for two
+    /// heartbeat intervals: the leader is unreachable from this controller or has just crashed.
     pub(crate) fn leader_out_of_reach(&self) -> bool {
         let limit_ms = 2 * heartbeat_interval_ms(&self.context.config);
         self.leader_heard_ms()
             .is_some_and(|heard_ms| self.context.now.steady_ms > heard_ms + limit_ms)
     }
 
-    /// A peer that the store answers.
+    /// Returns the first live peer that reports the store as reachable.
     pub(crate) fn peer_with_store(&self) -> Option<usize> {
         self.membership.peers.first_with_store(&self.context)
     }
 
-    /// The store has answered lately.
+    /// Returns whether the store has answered within the last watch period plus two request
+    /// timeouts.
     pub(crate) fn store_reachable(&self) -> bool {
         self.membership.store_reachable(&self.context)
     }
 
-    /// Whether users should be sent here: it can decide, or forward what it can't decide, or
-    /// nobody else can either.
+    /// Returns whether users should be routed to this controller: it can decide requests itself or
+    /// forward them, or no other controller is known to be able to either.
     pub(crate) fn ready(&self) -> bool {
         if self.membership.store_answered_ms.is_none() || self.has_unsupported_format() {
             return false;
@@ -311,15 +322,16 @@
         self.store_reachable() || self.membership.peers.any_alive(&self.context)
     }
 
-    /// The latest moment up to which it is proven that no lease proxy renewed a worker's lease:
-    /// when such a lease's expiry time has passed since, none is left. 0 while there is a claim.
+    /// Returns the latest time up to which provably no lease proxy renewed a worker's lease, or 0
+    /// while a claim exists. Once a lease's expiry time has elapsed since then, no lease renewed by
+    /// a proxy is left.
     pub(crate) fn unproxied_until_ms(&self) -> u64 {
         let watch = &self.membership.epoch_watch;
         watch.claims().unproxied_until_ms(watch.known_ms(), &self.context.config)
     }
 
-    /// The present epoch, if that is proven within the lease bound and this controller's lease
-    /// can't have expired.
+    /// Returns the present epoch if it was proven within the lease bound and this controller's own
+    /// lease cannot have expired.
     pub(crate) fn proven_epoch(&self) -> Option<u64> {
         let now = self.context.now.steady_ms;
         let config = &self.context.config;
@@ -330,34 +342,35 @@
         self.observed_epoch()
     }
 
-    /// Identifier of this controller's lease while it is held.
+    /// Returns the identifier of this controller's lease while the lease is held.
     pub(crate) fn controller_lease_id(&self) -> Option<u64> {
         self.membership.lease.id()
     }
 
-    /// The latest epoch that the control keys have shown.
+    /// Returns the latest epoch seen in the control keys.
     pub(crate) fn observed_epoch(&self) -> Option<u64> {
         self.membership.epoch_watch.epoch().map(|epoch| epoch.record.epoch)
     }
 
-    /// The store's revision of that epoch's record.
+    /// Returns the store revision of the latest epoch record seen in the control keys.
     pub(crate) fn observed_epoch_revision(&self) -> Option<u64> {
         self.membership.epoch_watch.epoch().map(|epoch| epoch.revision)
     }
 
-    /// Notes that the store has answered.
+    /// Records that the store has answered a request now.
     pub(crate) fn note_store_answer(&mut self) {
         self.membership.note_store_answer(self.context.now.steady_ms);
     }
 
-    /// What this controller tells the others about itself.
+    /// Builds the heartbeat that this controller sends to its peers.
     pub(crate) fn mesh_message(&self) -> MeshMessage {
         self.membership.mesh_message(&self.context)
     }
 
-    /// Does what has become due. The order is part of the behaviour: calls are sent in it.
+    /// Runs the periodic work that has become due. The order of the steps determines the order in
+    /// which calls are sent, so it must not change.
     pub(crate) fn tick_membership(&mut self) {
-        self.membership.follow_store_reachability(&self.context);
+        self.membership.update_store_reachability(&self.context);
         self.membership.tick_lease(&mut self.context);
         self.membership.tick_epoch_watch(&mut self.context);
         self.tick_election();
--- a/crates/core/src/membership/role.rs
+++ b/crates/core/src/membership/role.rs
@@ -1,47 +1,49 @@
-//! The role of this controller, and what a change of it entails.
+//! The role of this controller, and the state changes that accompany a change of role.
 
 use super::Membership;
 use crate::controller::{follower_share, leader_share, Controller};
 
-/// Where this controller is between following and leading.
+/// Leadership role of this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
     Follower,
-    /// Has asked the store for the leadership of this epoch.
+    /// Has campaigned for the leadership of this epoch and awaits the outcome.
     Candidate {
         epoch: u64,
     },
-    /// Holds the leadership, and reads the records before it decides anything.
+    /// Holds the leadership but is still reading the records, and decides nothing until that is
+    /// complete.
     Recovering,
     Leader,
 }
 
 impl Role {
-    /// Whether this controller holds the leadership, with or without all records.
+    /// Returns whether this controller holds the leadership, whether or not it has read all
+    /// records.
     pub fn holds_leadership(self) -> bool {
         matches!(self, Role::Recovering | Role::Leader)
     }
 }
 
 impl Membership {
-    /// The role of this controller at present.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Leads and knows all records.
+    /// Returns whether this controller leads and has loaded all records.
     pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
 
-    /// This controller holds the leadership, but a later epoch than its own has begun.
+    /// Returns whether this controller holds the leadership although the later epoch `epoch` has
+    /// begun.
     pub(super) fn is_superseded_by(&self, epoch: u64) -> bool {
         self.role.holds_leadership() && epoch > self.election.epoch()
     }
 }
 
 impl Controller {
-    /// The one function that changes this controller's role.
+    /// Changes this controller's role. No other function does.
     pub(crate) fn set_role(&mut self, role: Role) {
         let old = std::mem::replace(&mut self.membership.role, role);
         if old == role {
