--- a/crates/core/src/membership/calls.rs
+++ b/crates/core/src/membership/calls.rs
@@ -1,19 +1,20 @@
-//! The calls that membership makes, and the routing of their outcomes.
+//! Calls made by the membership module, and the routing of their outcomes.
 
 use crate::controller::Controller;
 use crate::Outcome;
 
-/// What a call of membership was for.
+/// Purpose of a call made by the membership module.
 #[derive(Debug)]
 pub(crate) enum MembershipCall {
-    /// Asks the store for a lease of this controller.
+    /// Requests a lease for this controller.
     GrantLease {
         sent_ms: u64,
     },
     RenewLease {
         sent_ms: u64,
     },
-    /// A write that is not followed up: a watch, or the next attempt, shows whether it took effect.
+    /// A write whose outcome is ignored: a watch, or the next attempt, shows whether it took
+    /// effect.
     UnconfirmedWrite,
     ReadControlKeys {
         sent_ms: u64,
@@ -21,7 +22,7 @@
     WatchControlKeys {
         sent_ms: u64,
     },
-    /// Asks the store for the leadership of an epoch.
+    /// Campaigns for the leadership of an epoch.
     Elect {
         epoch: u64,
     },
@@ -29,7 +30,8 @@
         sent_ms: u64,
         epoch: u64,
     },
-    /// Lists the handoff queue; from the second page on with the revision of the first.
+    /// Lists the handoff queue. From the second page on, the call carries the revision of the first
+    /// page.
     ListHandoffQueue {
         list_revision: Option<u64>,
         epoch: u64,
@@ -40,8 +42,9 @@
 }
 
 impl Controller {
-    /// Routes the outcome of a call of membership. Outcomes for the handoff queue concern the
-    /// leader's memory of the epoch in which they were asked for, and are dropped after it.
+    /// Routes the outcome of a membership call. Outcomes for the handoff queue apply to the
+    /// leader's in-memory state of the epoch in which the call was made, and are dropped in any
+    /// other epoch.
     pub(crate) fn on_membership_outcome(&mut self, call: MembershipCall, outcome: Outcome) {
         let current = self.epoch();
         match call {
--- a/crates/core/src/membership/handoff_watch.rs
+++ b/crates/core/src/membership/handoff_watch.rs
@@ -1,8 +1,9 @@
-//! The leader's watch of the handoff queue: submissions and aborts that followers record in the
-//! store when they can't reach the leader.
+//! The leader's watch of the handoff queue, in which followers record submissions and aborts while
+//! they cannot reach the leader.
 //!
-//! Together with the watch of the control keys it proves how far the leader knows the records:
-//! others change them only through the queue, or after a later epoch has begun.
+//! Together with the watch of the control keys, this watch proves up to which time the leader knows
+//! the records: other controllers change records only through the queue or after a later epoch has
+//! begun.
 
 use quartzgate_wire::from_cbor;
 use quartzgate_wire::msg::{ChangeLog, KeyValueList};
@@ -15,28 +16,30 @@
 use crate::storage::records::HANDOFF_PREFIX;
 use crate::Outcome;
 
-/// Entries that are read at a time when the changes since the last watch are gone.
+/// Maximum number of entries per page when the queue is listed because the changes since the last
+/// watch are no longer available.
 const LIST_PAGE_ENTRIES: usize = 1000;
 
-/// Progress of the watch.
+/// Progress of the watch of the handoff queue.
 #[derive(Debug, Default)]
 pub(super) struct HandoffWatch {
     state: WatchState,
-    /// When the next watch may start.
+    /// Earliest time at which the next watch may start.
     due_ms: u64,
-    /// The store's revision up to which the queue has been taken in.
+    /// Store revision up to which the queue has been applied.
     revision: u64,
-    /// The latest moment up to which the queue is proven to be known.
+    /// Latest time up to which the queue is proven to be known.
     known_ms: u64,
 }
 
 impl HandoffWatch {
-    /// The latest moment up to which the queue is proven to be known, in steady milliseconds.
+    /// Returns the latest time, in steady milliseconds, up to which the queue is proven to be
+    /// known.
     pub fn known_ms(&self) -> u64 {
         self.known_ms
     }
 
-    /// The queue has to be read again, by a recovery.
+    /// Marks the queue as unread; a recovery has to read it again.
     pub fn invalidate(&mut self) {
         self.state = WatchState::Unread;
     }
@@ -45,7 +48,7 @@
         self.state == WatchState::Idle && now_ms >= self.due_ms
     }
 
-    /// The queue has been taken in up to this revision; a watch may go on from there.
+    /// Records that the queue has been applied up to `revision`, from which a watch may continue.
     fn resume_from(&mut self, revision: u64) {
         self.revision = revision;
         self.state = WatchState::Idle;
@@ -53,20 +56,21 @@
 }
 
 impl Membership {
-    /// Starts the watch anew after it has failed.
+    /// Restarts the watch after a failure.
     pub(super) fn tick_handoff_watch(&mut self, context: &mut Context) {
         if self.is_leader() && self.handoff_watch.is_due(context.now.steady_ms) {
             self.watch_handoff_queue(context);
         }
     }
 
-    /// The queue has been read up to a revision; the watch starts there at the next tick.
+    /// Records that the queue has been read up to `revision`; the watch starts there at the next
+    /// tick.
     pub fn watch_handoff_from(&mut self, revision: u64) {
         self.handoff_watch.resume_from(revision);
         self.handoff_watch.due_ms = 0;
     }
 
-    /// Asks the store for what followers record from now on.
+    /// Requests the entries that followers add from now on.
     pub(super) fn watch_handoff_queue(&mut self, context: &mut Context) {
         self.handoff_watch.state = WatchState::Watching;
         let epoch = self.election.epoch();
@@ -74,22 +78,22 @@
         self.watch_store(context, HANDOFF_PREFIX, self.handoff_watch.revision, call);
     }
 
-    /// Lists the queue from after a key on, one page at a time.
+    /// Requests one page of the queue, starting after the given key.
     fn list_handoff_queue(
         &mut self,
         context: &mut Context,
-        after: Option<String>,
+        after_key: Option<String>,
         list_revision: Option<u64>,
     ) {
         self.handoff_watch.state = WatchState::Reading;
-        let since = after.map_or(String::new(), |key| format!("&since={key}"));
+        let since = after_key.map_or(String::new(), |key| format!("&since={key}"));
         let target = format!("/keys?starts={HANDOFF_PREFIX}&most={LIST_PAGE_ENTRIES}{since}");
         let epoch = self.election.epoch();
         let call = MembershipCall::ListHandoffQueue { list_revision, epoch };
         self.call_store(context, "GET", target, Vec::new(), call);
     }
 
-    /// Takes in how a watch ended; gives the changes that it has shown.
+    /// Handles the outcome of a watch and returns the changes that it delivered.
     fn observe_handoff_changes(
         &mut self,
         context: &mut Context,
@@ -120,17 +124,17 @@
 }
 
 impl Controller {
-    /// Starts watching the handoff queue.
+    /// Watches the handoff queue from the revision up to which it has been applied.
     pub(crate) fn watch_handoff_queue(&mut self) {
         self.membership.watch_handoff_queue(&mut self.context);
     }
 
-    /// The handoff queue has been read up to this revision.
+    /// Records that the handoff queue has been read up to `revision`.
     pub(crate) fn watch_handoff_from(&mut self, revision: u64) {
         self.membership.watch_handoff_from(revision);
     }
 
-    /// Takes in what followers have recorded, and watches on.
+    /// Applies the entries that followers have added, and continues the watch.
     pub(super) fn on_handoff_queue_changed(&mut self, sent_ms: u64, outcome: Outcome) {
         let changes = self.membership.observe_handoff_changes(&mut self.context, sent_ms, outcome);
         let Some(changes) = changes else { return };
@@ -142,8 +146,8 @@
         self.watch_handoff_queue();
     }
 
-    /// Takes in a page of the queue. The watch goes on from the revision of the first page, as
-    /// later ones may lack what was added before it.
+    /// Applies one page of the queue. The watch continues from the revision of the first page,
+    /// because later pages may lack entries that were added before their own revision.
     pub(super) fn on_handoff_queue_listed(&mut self, list_revision: Option<u64>, outcome: Outcome) {
         let list = match outcome {
             Outcome::Answer(response) if response.status == 200 => {
@@ -152,19 +156,19 @@
             _ => None,
         };
         let Some(list) = list else {
-            // The next watch gets 410 again, and the list begins anew.
+            // The next watch is answered with 410 again, which restarts the list.
             self.membership.handoff_watch.state = WatchState::Idle;
             return;
         };
         self.note_store_answer();
         let list_revision = list_revision.unwrap_or(list.store_revision);
-        let last = list.pairs.last().map(|pair| pair.path.clone()).filter(|_| list.more);
+        let last_key = list.pairs.last().map(|pair| pair.path.clone()).filter(|_| list.more);
         for pair in list.pairs {
             self.on_handoff_entry(&pair.path, &pair.value, pair.revision);
         }
-        if last.is_some() {
+        if last_key.is_some() {
             let context = &mut self.context;
-            return self.membership.list_handoff_queue(context, last, Some(list_revision));
+            return self.membership.list_handoff_queue(context, last_key, Some(list_revision));
         }
         self.membership.handoff_watch.resume_from(list_revision);
     }
--- a/crates/core/src/membership/held_heartbeats.rs
+++ b/crates/core/src/membership/held_heartbeats.rs
@@ -1,7 +1,8 @@
-//! Workers' heartbeats that can't be answered before more is known: who leads, or what the
-//! records say of the jobs in them.
+//! Workers' heartbeats that cannot be answered until more is known: either which controller leads,
+//! or what the records contain about the jobs in the heartbeats.
 //!
-//! They are bounded in number and in bytes, and none is held for longer than its worker can wait.
+//! The held heartbeats are bounded in number and in bytes, and each is held for less time than its
+//! worker waits for an answer.
 
 use crate::capacity::BoundedList;
 use crate::config::Config;
@@ -9,29 +10,29 @@
 use crate::membership::Role;
 use crate::RequestId;
 
-/// A heartbeat that waits.
+/// A worker's heartbeat whose request has not been answered yet.
 struct HeldHeartbeat {
     request: RequestId,
     body: Vec<u8>,
-    /// The peer that forwarded it, by its place in the settings.
+    /// Index of the peer that forwarded the heartbeat; `None` if the worker sent it directly.
     relayed_by: Option<usize>,
-    /// When its worker has to be redirected at the latest, in steady milliseconds.
+    /// Latest time, in steady milliseconds, at which the worker has to be redirected.
     deadline_ms: u64,
 }
 
-/// The heartbeats that wait, in the order in which they came.
+/// Held heartbeats in order of arrival.
 pub(super) struct HeldHeartbeats {
     held: BoundedList<HeldHeartbeat>,
 }
 
 impl HeldHeartbeats {
-    /// An empty list, with the bounds that follow from the settings.
+    /// Creates an empty list with the limits derived from the settings.
     pub fn new(config: &Config) -> Self {
         let held = BoundedList::new(config.max_held_heartbeats(), config.max_held_bytes());
         HeldHeartbeats { held }
     }
 
-    /// False if it does not fit.
+    /// Adds a heartbeat; returns false if it does not fit.
     fn push(&mut self, heartbeat: HeldHeartbeat) -> bool {
         let bytes = heartbeat.body.len();
         self.held.push(heartbeat, bytes)
@@ -41,7 +42,7 @@
         self.held.take().into_iter().map(|(heartbeat, _)| heartbeat).collect()
     }
 
-    /// Takes out those whose deadline has come.
+    /// Removes the heartbeats whose deadline has passed and returns their requests.
     fn take_expired(&mut self, now_ms: u64) -> Vec<RequestId> {
         let mut expired = Vec::new();
         for heartbeat in self.take() {
@@ -53,16 +54,16 @@
         expired
     }
 
-    /// Sets the deadline of the heartbeat at this place, if there is one.
-    fn restore_deadline(&mut self, place: usize, deadline_ms: u64) {
-        if let Some(heartbeat) = self.held.get_mut(place) {
+    /// Sets the deadline of the heartbeat at `index`, if there is one.
+    fn restore_deadline(&mut self, index: usize, deadline_ms: u64) {
+        if let Some(heartbeat) = self.held.get_mut(index) {
             heartbeat.deadline_ms = deadline_ms;
         }
     }
 }
 
 impl Controller {
-    /// Holds a heartbeat until more is known; redirects its worker if there is no room.
+    /// Holds a heartbeat until it can be answered; redirects its worker if there is no room.
     pub(crate) fn hold_heartbeat(
         &mut self,
         request: RequestId,
@@ -76,8 +77,9 @@
         }
     }
 
-    /// Redirects workers that have waited for too long, while their leases still have time, and
-    /// tries the others again. During a recovery these are tried as it proceeds instead.
+    /// Redirects the workers whose heartbeats have reached their deadline, while their leases still
+    /// have time left, and retries the other held heartbeats. During a recovery, heartbeats are
+    /// instead retried as the recovery proceeds.
     pub(crate) fn tick_held_heartbeats(&mut self) {
         let now = self.context.now.steady_ms;
         for request in self.membership.held_heartbeats.take_expired(now) {
@@ -88,13 +90,13 @@
         }
     }
 
-    /// Answers the held heartbeats that can be answered now. Those that are held once more keep
+    /// Answers the held heartbeats that can be answered now. Heartbeats that are held again keep
     /// their deadlines.
     pub(crate) fn retry_held_heartbeats(&mut self) {
         for heartbeat in self.membership.held_heartbeats.take() {
-            let place = self.membership.held_heartbeats.held.len();
+            let index = self.membership.held_heartbeats.held.len();
             self.on_heartbeat(heartbeat.request, heartbeat.body, heartbeat.relayed_by);
-            self.membership.held_heartbeats.restore_deadline(place, heartbeat.deadline_ms);
+            self.membership.held_heartbeats.restore_deadline(index, heartbeat.deadline_ms);
         }
     }
 }
--- a/crates/core/src/membership/mesh.rs
+++ b/crates/core/src/membership/mesh.rs
@@ -1,7 +1,7 @@
-//! Requests of other controllers, and their routing.
+//! Handles and routes requests from other controllers.
 //!
-//! Each message on the mesh is a heartbeat of its sender, and may carry a forwarded request of a
-//! user or a worker.
+//! Every mesh message is a heartbeat of its sender and may carry a forwarded request of a user or
+//! worker.
 
 use quartzgate_wire::http::{Request, Response};
 use quartzgate_wire::msg::{Forward, MeshMessage};
@@ -14,13 +14,13 @@
 
 const MESH_PATH: &str = "/mesh";
 const METRICS_PATH: &str = "/metrics";
-/// Forwarded heartbeats of workers.
+/// Path of a forwarded worker heartbeat.
 const HEARTBEAT_PATH: &str = "/checkin";
-/// Orders of the leader for a worker that only the receiver can reach.
+/// Path of the leader's orders for a worker that only the receiving controller can reach.
 const ORDERS_PATH: &str = "/orders";
 
 impl Controller {
-    /// Handles a request of another controller.
+    /// Handles a request from another controller.
     pub(crate) fn on_mesh(&mut self, id: RequestId, request: Request) {
         let path = request.target.split('?').next().unwrap_or("");
         match (request.method.as_str(), path) {
--- a/crates/core/src/membership/peers.rs
+++ b/crates/core/src/membership/peers.rs
@@ -1,9 +1,9 @@
 //! Heartbeats between controllers.
 //!
-//! Each controller sends every other one a heartbeat that says whether it leads, and in which
-//! epoch, and whether the store answers it. What comes of them serves redirects and forwarding
-//! alone. Who may lead is decided in the store; a heartbeat can only end a leadership, when it
-//! shows a later epoch.
+//! Each controller sends every other controller a heartbeat that states whether the sender leads,
+//! in which epoch, and whether the store is reachable from it. Heartbeats serve only redirects and
+//! request forwarding. The store alone decides who may lead; a heartbeat can only end a leadership,
+//! by showing a later epoch.
 
 use quartzgate_wire::msg::{MeshMessage, MESH_VERSION};
 use quartzgate_wire::{from_cbor, to_cbor};
@@ -16,76 +16,79 @@
 use crate::storage::records::LeaderRecord;
 use crate::{Outcome, Peer};
 
-/// Heartbeat intervals after which a peer counts as lost.
+/// Number of heartbeat intervals without a heartbeat after which a peer counts as lost.
 const LOST_AFTER_INTERVALS: u64 = 3;
-/// Heartbeat intervals within which a peer must have been heard to be relied on for service.
+/// Number of heartbeat intervals within which a peer must have been heard from for requests to be
+/// sent to it.
 const SERVING_WITHIN_INTERVALS: u64 = 2;
 
-/// What is known of one other controller.
+/// What is known about one other controller.
 #[derive(Clone, Debug, Default)]
 struct PeerState {
     last_heard_ms: Option<u64>,
-    /// When the newest heartbeat to it was sent.
+    /// When the most recent heartbeat to the peer was sent.
     sent_ms: u64,
     heartbeat_in_flight: bool,
-    /// Its newest heartbeat says that the store answers it.
+    /// Whether the peer's most recent heartbeat reported the store as reachable.
     store_reachable: bool,
-    /// It has been refused, and this was logged, as it speaks another mesh version.
+    /// Whether the peer has been refused, and the refusal logged, because it uses another mesh
+    /// version.
     refused: bool,
 }
 
-/// The other controllers, by their places in the settings.
+/// The other controllers, indexed by their position in the settings.
 #[derive(Debug)]
 pub(super) struct Peers {
     states: Vec<PeerState>,
-    /// The leader of the latest epoch that a heartbeat has shown.
+    /// Leader of the latest epoch seen in a heartbeat.
     leader_hint: Option<LeaderRecord>,
 }
 
 impl Peers {
-    /// So many peers, none of which has been heard.
+    /// Creates the state of `count` peers, none of which has been heard from yet.
     pub fn new(count: usize) -> Self {
         Peers { states: vec![PeerState::default(); count], leader_hint: None }
     }
 
-    /// Number of the other controllers.
+    /// Returns the number of other controllers.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// The leader of the latest epoch that a heartbeat has shown.
+    /// Returns the leader of the latest epoch seen in a heartbeat.
     pub fn leader_hint(&self) -> Option<&LeaderRecord> {
         self.leader_hint.as_ref()
     }
 
-    /// When a peer was last heard, in steady milliseconds.
+    /// Returns when a peer was last heard from, in steady milliseconds.
     pub fn last_heard_ms(&self, peer: usize) -> Option<u64> {
         self.states[peer].last_heard_ms
     }
 
-    /// A peer that has been heard lately.
+    /// Returns whether a peer was heard from within [`LOST_AFTER_INTERVALS`].
     pub fn is_alive(&self, peer: usize, context: &Context) -> bool {
         self.heard_within(peer, LOST_AFTER_INTERVALS, context)
     }
 
-    /// A peer that has been heard very lately, and that the store answers.
+    /// Returns whether a peer was heard from within [`SERVING_WITHIN_INTERVALS`] and reported the
+    /// store as reachable.
     pub fn is_serving(&self, peer: usize, context: &Context) -> bool {
         self.states[peer].store_reachable
             && self.heard_within(peer, SERVING_WITHIN_INTERVALS, context)
     }
 
-    /// The first peer that is alive and that the store answers.
+    /// Returns the first live peer that reported the store as reachable.
     pub fn first_with_store(&self, context: &Context) -> Option<usize> {
         (0..self.len())
             .find(|&peer| self.is_alive(peer, context) && self.states[peer].store_reachable)
     }
 
-    /// Whether any peer has been heard lately.
+    /// Returns whether any peer is alive.
     pub fn any_alive(&self, context: &Context) -> bool {
         (0..self.len()).any(|peer| self.is_alive(peer, context))
     }
 
-    /// After a stall: a heartbeat to every peer is due at once.
+    /// Makes a heartbeat to every peer without one in flight due at once, after a stall.
     pub fn restart_heartbeats(&mut self) {
         let idle = self.states.iter_mut().filter(|state| !state.heartbeat_in_flight);
         idle.for_each(|state| state.sent_ms = 0);
@@ -103,12 +106,12 @@
         !state.heartbeat_in_flight && context.now.steady_ms >= due_ms
     }
 
-    fn on_heard(&mut self, peer: usize, store_reachable: bool, now_ms: u64) {
+    fn record_heartbeat(&mut self, peer: usize, store_reachable: bool, now_ms: u64) {
         self.states[peer].last_heard_ms = Some(now_ms);
         self.states[peer].store_reachable = store_reachable;
     }
 
-    /// A peer speaks another mesh version; logged once.
+    /// Marks a peer that uses another mesh version as refused, and logs the refusal once.
     fn on_incompatible(&mut self, peer: usize, message: &MeshMessage) {
         if !std::mem::replace(&mut self.states[peer].refused, true) {
             let (peer, version) = (&message.from, message.version);
@@ -116,7 +119,7 @@
         }
     }
 
-    fn observe_hint(&mut self, message: &MeshMessage) {
+    fn observe_leader_hint(&mut self, message: &MeshMessage) {
         let known_epoch = self.leader_hint.as_ref().map_or(0, |hint| hint.epoch);
         if message.epoch > known_epoch {
             let (epoch, node) = (message.epoch, message.from.clone());
@@ -125,18 +128,17 @@
     }
 }
 
-/// Time between two heartbeats to the same peer, in milliseconds.
+/// Returns the time between two heartbeats to the same peer, in milliseconds.
 pub(super) fn heartbeat_interval_ms(config: &Config) -> u64 {
     config.controller_lease_ttl_ms() / 4
 }
 
-/// The place of a controller among the peers in the settings.
+/// Returns the index of a controller among the peers in the settings.
 pub(super) fn peer_index(config: &Config, node: &str) -> Option<usize> {
     config.platform.siblings.iter().position(|sibling| sibling.node == node)
 }
 
 impl Membership {
-    /// Sends the heartbeats that are due.
     pub(super) fn tick_heartbeats(&mut self, context: &mut Context) {
         for peer in 0..self.peers.len() {
             if self.peers.heartbeat_due(peer, context) {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Sends a heartbeat to every peer now.
+    /// Sends a heartbeat to every peer at once, whether or not it is due.
     pub(super) fn send_heartbeats(&mut self, context: &mut Context) {
         for peer in 0..self.peers.len() {
             self.send_heartbeat(context, peer);
@@ -163,7 +165,7 @@
         self.calls.insert(id, call);
     }
 
-    /// What this controller tells the others about itself.
+    /// Builds the heartbeat that this controller sends to its peers.
     pub(super) fn mesh_message(&self, context: &Context) -> MeshMessage {
         MeshMessage {
             version: MESH_VERSION,
@@ -176,7 +178,7 @@
 }
 
 impl Controller {
-    /// Takes in a peer's own heartbeat in the answer to ours.
+    /// Handles the answer to a heartbeat, which contains the peer's own heartbeat.
     pub(super) fn on_peer_heartbeat_answered(&mut self, peer: usize, outcome: Outcome) {
         self.membership.peers.states[peer].heartbeat_in_flight = false;
         let Outcome::Answer(response) = outcome else { return };
@@ -188,7 +190,8 @@
         }
     }
 
-    /// Takes in what a peer says about itself; false if it is unknown or incompatible.
+    /// Applies a peer's heartbeat; returns false if the peer is unknown or its mesh version
+    /// differs.
     pub(crate) fn observe_peer(&mut self, message: &MeshMessage) -> bool {
         let Some(peer) = peer_index(&self.context.config, &message.from) else { return false };
         let peers = &mut self.membership.peers;
@@ -196,13 +199,13 @@
             peers.on_incompatible(peer, message);
             return false;
         }
-        peers.on_heard(peer, message.store_reachable, self.context.now.steady_ms);
+        peers.record_heartbeat(peer, message.store_reachable, self.context.now.steady_ms);
         if self.membership.is_superseded_by(message.epoch) {
             let (peer, epoch) = (&message.from, message.epoch);
             tracing::info!(%peer, epoch, "superseded: a peer leads a later epoch");
             self.step_down();
         }
-        self.membership.peers.observe_hint(message);
+        self.membership.peers.observe_leader_hint(message);
         true
     }
 }
--- a/crates/core/src/membership/stall.rs
+++ b/crates/core/src/membership/stall.rs
@@ -1,10 +1,11 @@
-//! Process stalls: this process did not run for a while, but its clocks did.
+//! Process stalls: periods in which this process did not run although its clocks advanced.
 //!
-//! Whatever it knew may be out of date: its lease may have expired, another controller may lead,
-//! and what it takes for the silence of others was its own. After a stall a leader is unverified
-//! until the store has answered a request that was sent after the stall; until then it commands
-//! no worker and answers no heartbeat. If the store answers nothing at all, it goes on like any
-//! leader that is cut off from the store: within the lease bound, on which all safety rests.
+//! After a stall, all that this controller knows may be out of date: its lease may have expired,
+//! another controller may lead, and the silence that it seems to observe in others may be its own.
+//! A leader is therefore unverified after a stall until the store has answered a request sent after
+//! the stall. An unverified leader commands no worker and answers no heartbeat. If the store
+//! answers nothing at all, the leader continues like any leader that is partitioned from the store:
+//! within the lease bound, on which all safety rests.
 
 use crate::context::Context;
 use crate::controller::Controller;
@@ -13,11 +14,12 @@
 enum StallState {
     #[default]
     Verified,
-    /// Was the leader at the last stall, and does not know since whether it still is.
+    /// This controller held the leadership at the last stall and does not know whether it still
+    /// does.
     Unverified,
 }
 
-/// The stalls of this process, and whether its leadership has been verified since the last one.
+/// Process stalls, and whether the leadership has been verified since the last one.
 #[derive(Debug, Default)]
 pub(crate) struct ProcessStall {
     state: StallState,
@@ -26,12 +28,13 @@
 }
 
 impl ProcessStall {
-    /// When the process last resumed after a stall, in steady milliseconds; 0 if it never has.
+    /// Returns when the process last resumed after a stall, in steady milliseconds, or 0 if it
+    /// never stalled.
     pub fn resumed_ms(&self) -> u64 {
         self.resumed_ms
     }
 
-    /// Stalls since the process started.
+    /// Returns the number of stalls since the process started.
     pub fn count(&self) -> u64 {
         self.count
     }
@@ -45,14 +48,15 @@
         self.count += 1;
     }
 
-    /// When the store should have answered what was sent after the stall, if it is reachable.
+    /// Returns the time by which the store, if reachable, should have answered a request sent after
+    /// the stall.
     fn answer_due_ms(&self, context: &Context) -> u64 {
         self.resumed_ms + 2 * context.config.store_timeout_ms()
     }
 }
 
 impl Controller {
-    /// The one function that changes whether this controller's leadership is verified.
+    /// Changes whether this controller's leadership counts as verified. No other function does.
     fn set_stall_state(&mut self, state: StallState) {
         if std::mem::replace(&mut self.stall.state, state) == state {
             return;
@@ -63,7 +67,8 @@
         }
     }
 
-    /// More time has passed between two events than ever does while the process runs.
+    /// Handles a stall: more time has passed between two events than ever does while the process
+    /// runs.
     pub(crate) fn on_process_stall(&mut self, gap_ms: u64) {
         let now = self.context.now.steady_ms;
         tracing::info!(gap_ms, "process stall detected");
@@ -75,20 +80,20 @@
         }
     }
 
-    /// Since the last stall it is unknown whether this controller still leads.
+    /// Returns whether it is unknown, since the last stall, if this controller still leads.
     pub(crate) fn leadership_unverified(&self) -> bool {
         self.stall.is_unverified()
     }
 
-    /// Ends the doubt once the store has answered what was sent after the stall, or has answered
-    /// nothing for longer than an answer takes.
+    /// Marks the leadership as verified once the store has answered a request sent after the stall,
+    /// or once it has answered nothing for longer than an answer takes.
     pub(crate) fn verify_leadership(&mut self) {
         let resumed_ms = self.stall.resumed_ms;
         let overdue = self.context.now.steady_ms >= self.stall.answer_due_ms(&self.context);
-        let cut_off = overdue && !self.membership.store_answered_since(resumed_ms);
-        let leads = self.membership.role().holds_leadership();
+        let store_unreachable = overdue && !self.membership.store_answered_since(resumed_ms);
+        let holds_leadership = self.membership.role().holds_leadership();
         if self.leadership_unverified()
-            && (cut_off || !leads || self.membership.epoch_known_since(resumed_ms))
+            && (store_unreachable || !holds_leadership || self.membership.epoch_known_since(resumed_ms))
         {
             self.set_stall_state(StallState::Verified);
         }
--- a/crates/core/src/recovery/calls.rs
+++ b/crates/core/src/recovery/calls.rs
@@ -1,18 +1,18 @@
-//! Calls of recovery, and the routing of their outcomes.
+//! Calls made during recovery, and the routing of their outcomes.
 
 use crate::controller::Controller;
 use crate::ids::{JobIndex, MachineIndex};
 use crate::{Outcome, Peer};
 
-/// What a call is for. All of them concern the leader's memory: their outcomes count only in the
-/// epoch in which they were made.
+/// Purpose of a recovery call. Every call concerns the leader's in-memory state, so its outcome
+/// counts only in the epoch in which the call was made.
 #[derive(Debug)]
 pub(crate) enum RecoveryCall {
-    /// A list of records of the present phase.
+    /// Lists the records of the present recovery phase.
     RecordList { epoch: u64 },
-    /// A request to a machine for a heartbeat.
+    /// Requests a heartbeat from a machine.
     Inspect { machine: MachineIndex, epoch: u64 },
-    /// A read of the placements of a recorded job.
+    /// Reads the placements of a recorded job.
     PlacementsRead { job: JobIndex, epoch: u64 },
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl Controller {
-    /// Sends a GET request; the outcome goes to [`Controller::on_recovery_outcome`].
+    /// Sends a GET request whose outcome is passed to [`Controller::on_recovery_outcome`].
     pub(super) fn get_for_recovery(
         &mut self,
         peer: Peer,
@@ -39,15 +39,15 @@
         self.recovery_calls.insert(id, call);
     }
 
-    /// Routes the outcome of a call, unless the epoch has changed.
+    /// Routes the outcome of a recovery call, unless the epoch has changed since the call was made.
     pub(crate) fn on_recovery_outcome(&mut self, call: RecoveryCall, outcome: Outcome) {
         if call.epoch() != self.epoch() {
             return;
         }
         match call {
             RecoveryCall::RecordList { .. } => self.on_recovery_list(outcome),
-            RecoveryCall::Inspect { machine, .. } => self.on_inspect(machine, outcome),
-            RecoveryCall::PlacementsRead { job, .. } => self.on_adopt(job, outcome),
+            RecoveryCall::Inspect { machine, .. } => self.on_inspect_answered(machine, outcome),
+            RecoveryCall::PlacementsRead { job, .. } => self.on_placements_read(job, outcome),
         }
     }
 }
--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -1,13 +1,13 @@
-//! Recovery: how a new leader rebuilds its memory.
+//! Recovery: how a new leader rebuilds its in-memory state.
 //!
-//! The memory is rebuilt from the records, phase by phase (this file and `placements.rs`), then
-//! reconciled with the machines' heartbeats: a task is unproven until every machine that its
-//! placement names has reported (`reconciliation.rs`). Jobs that other controllers have recorded
-//! are added later (`recorded_jobs.rs`).
+//! The leader first loads the records phase by phase (this file and `placements.rs`), then
+//! reconciles them with the machines' heartbeats: a task is unproven until every machine named in
+//! its placement has reported (`reconciliation.rs`). Jobs recorded by other controllers are added
+//! later (`recorded_jobs.rs`).
 //!
-//! Invariants: nothing is started before the role changes to leader; a record that can't be decoded
-//! stops its own job and no other, and is never overwritten; a task may be on every machine that
-//! its placement names, unless this leader wrote the placement itself.
+//! Invariants: no task is started before the role changes to leader; a record that cannot be
+//! decoded stops only its own job and is never overwritten; a task may be on every machine that its
+//! placement names, unless this leader wrote the placement itself.
 
 mod calls;
 mod placements;
@@ -37,17 +37,17 @@
 use placements::PartialPlacements;
 pub(crate) use recorded_jobs::RecordedJobReads;
 
-/// Keys requested at a time.
+/// Maximum number of keys requested per list.
 const LIST_LIMIT: u32 = 500;
-/// A list of keys may take this many times as long as an ordinary call to the store.
+/// Timeout of a list request, as a multiple of the timeout of an ordinary store call.
 const LIST_TIMEOUT_FACTOR: u64 = 3;
 
-/// The kinds of records, in the order in which they are read.
+/// Recovery phases, one for each kind of record, in the order in which they run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Phase {
     #[default]
     Format,
-    /// Before the jobs' own records, which take precedence.
+    /// Batch records are read before the jobs' own records, which take precedence.
     JobBatches,
     Jobs,
     Placements,
@@ -66,52 +66,52 @@
     }
 }
 
-/// A job's own record, as it was read.
+/// A job's own record together with its store revision.
 struct RecordedJob {
     record: JobRecord,
     revision: u64,
 }
 
-/// A job in a batch record.
+/// A job that was read from a batch record.
 struct BatchedJob {
     batch: u64,
     record: JobRecord,
 }
 
-/// A placement that is part of its job's own record or of a batch record.
+/// A placement stored inside its job's own record or inside a batch record.
 struct InlinePlacement {
     job: String,
     piece: PlacementPiece,
-    /// Revision of the job's own record; 0 if it has none.
+    /// Revision of the job's own record; 0 if the job has no record of its own.
     revision: u64,
-    /// Number of the batch record that contains the placement.
+    /// Number of the batch record that contains the placement; `None` if the job's own record does.
     batch: Option<u64>,
 }
 
-/// What a recovering leader has read so far.
+/// Progress of a recovery, and the records read so far that are not in memory yet.
 #[derive(Default)]
 pub(crate) struct Recovery {
     phase: Phase,
-    /// Last key of the present phase that has been read.
+    /// Last key read in the present phase; the next list continues after it.
     last_key: Option<String>,
-    /// The store's revision when recovery began; later entries of the handoff queue are reported
-    /// by the watch.
+    /// Store revision when recovery began. The watch reports later entries of the handoff queue.
     start_revision: Option<u64>,
     retry_ms: Option<u64>,
-    /// Aborted jobs. They return to memory if a placement says that a task may be on a machine.
+    /// Aborted jobs. Such a job is added to memory if a placement shows that a task of it may be on
+    /// a machine.
     aborted: BTreeMap<String, RecordedJob>,
-    /// Jobs whose own records can't be decoded.
+    /// Identifiers of jobs whose own records cannot be decoded.
     unreadable: BTreeSet<String>,
-    /// Loaded once all jobs have been read.
+    /// Placements to load once all jobs have been read.
     inline_placements: Vec<InlinePlacement>,
-    /// Jobs in batch records of which no record of their own has been read.
+    /// Jobs from batch records for which no record of their own has been read.
     batched_jobs: BTreeMap<String, BatchedJob>,
-    /// Placements some of whose pieces have not been read yet.
+    /// Placements with pieces that have not been read yet.
     partial_placements: BTreeMap<JobIndex, PartialPlacements>,
 }
 
 impl Controller {
-    /// Begins to read all records, and the list of machines.
+    /// Starts reading all records and the list of machines.
     pub(crate) fn start_recovery(&mut self) {
         self.recovery = Recovery::default();
         self.request_recovery_list();
@@ -129,7 +129,7 @@
         self.get_for_recovery(Peer::State, target, timeout_ms, call);
     }
 
-    /// Repeats a read that failed.
+    /// Retries a failed list of records if the retry is due.
     pub(crate) fn tick_recovery(&mut self) {
         let now = self.context.now.steady_ms;
         let retry_due = self.recovery.retry_ms.is_some_and(|retry_ms| now >= retry_ms);
@@ -139,7 +139,7 @@
         }
     }
 
-    /// A list of records has been read: loads them, and requests the next list.
+    /// Loads a list of records and requests the next list.
     fn on_recovery_list(&mut self, outcome: Outcome) {
         if self.membership.role() != Role::Recovering {
             return;
@@ -154,7 +154,7 @@
             return;
         };
         self.note_store_answer();
-        // In this leader's epoch nobody else can change the formats.
+        // No other controller can change the formats in this leader's epoch.
         if self.recovery.phase == Phase::Format {
             self.see_format(&list.pairs);
             if self.has_unsupported_format() {
@@ -177,7 +177,7 @@
         self.request_recovery_list();
     }
 
-    /// Loads records of the present phase.
+    /// Loads records according to the present phase.
     fn load_records(&mut self, pairs: Vec<KeyValue>) {
         match self.recovery.phase {
             Phase::Format => {}
@@ -188,7 +188,8 @@
         }
     }
 
-    /// All records of the present phase have been read. Returns the next phase, if there is one.
+    /// Completes the present phase after all its records have been read. Returns the next phase, if
+    /// any.
     fn complete_recovery_phase(&mut self) -> Option<Phase> {
         match self.recovery.phase {
             Phase::Format if self.is_active(Feature::BatchRecords) => Some(Phase::JobBatches),
@@ -209,7 +210,7 @@
         let Some(number) = batch_number(&pair.path) else { return };
         self.job_batches.restore(number, pair.revision);
         let Some(batch) = decode::<BatchRecord>(&pair.value) else {
-            tracing::error!(number, "a batch record can't be decoded; its jobs are not run");
+            tracing::error!(number, "cannot decode batch record; its jobs will not run");
             return self.job_batches.seal(number, None);
         };
         for id in batch.ids() {
@@ -219,7 +220,7 @@
                     self.recovery.batched_jobs.insert(id.clone(), job);
                 }
                 None => {
-                    tracing::error!(job = %id, number, "a job can't be decoded from its batch record; it is not run");
+                    tracing::error!(job = %id, number, "cannot decode job in batch record; the job will not run");
                     self.job_batches.seal(number, Some(id.clone()));
                 }
             }
@@ -229,14 +230,15 @@
     fn load_job(&mut self, pair: &KeyValue) {
         let id = pair.path.trim_start_matches(JOB_PREFIX).to_string();
         let Some(mut record) = decode::<JobRecord>(&pair.value) else {
-            tracing::error!(job = %id, "the job's record can't be decoded; it is not run");
+            tracing::error!(job = %id, "cannot decode job record; the job will not run");
             self.recovery.unreadable.insert(id);
             return;
         };
         let batched = self.recovery.batched_jobs.remove(&id);
         let revision = pair.revision;
         let own_placement = record.share.take().map(|piece| (piece, None));
-        // An aborted job's record may lack its placement, which the batch record still has.
+        // An aborted job's own record may lack its placement, which the batch record still
+        // contains.
         let batch_placement =
             match record.status == RecordedStatus::Aborted && record.spec.is_some() {
                 true => batched.and_then(|job| Some((job.record.share?, Some(job.batch)))),
@@ -268,8 +270,8 @@
         }
     }
 
-    /// All jobs have been read: adds those of the batch records, links dependencies, since all
-    /// terminal states are known now, and loads the placements that were read with the jobs.
+    /// Completes the jobs phase: adds the jobs of the batch records, adds all jobs to the
+    /// dependency graph, now that all terminal states are known, and loads the inline placements.
     fn complete_jobs(&mut self) {
         self.restore_batched_jobs();
         for ix in self.jobs.indexes() {
@@ -286,7 +288,7 @@
         self.delete_empty_batches();
     }
 
-    /// Jobs that have no record of their own.
+    /// Adds the jobs that have no record of their own.
     fn restore_batched_jobs(&mut self) {
         for (id, job) in std::mem::take(&mut self.recovery.batched_jobs) {
             let BatchedJob { batch, mut record } = job;
@@ -318,18 +320,18 @@
                 continue;
             }
             let Some(ix) = self.job_of_placement(id) else {
-                // Its job has ended: the record only occupies the store.
+                // The job has ended, so the record only takes up space in the store.
                 self.record_writer.remove(pair.path);
                 continue;
             };
             let piece = read_placement(&pair.path, &pair.value, pair.revision);
-            let of_job = placements.entry(ix);
-            if !piece.is_some_and(|piece| of_job.or_default().add(chunk, piece)) {
+            let job_placements = placements.entry(ix);
+            if !piece.is_some_and(|piece| job_placements.or_default().add(chunk, piece)) {
                 self.on_unreadable_placement(ix, &pair.path);
             }
         }
-        for (ix, of_job) in placements {
-            let (complete, partial) = of_job.split_complete();
+        for (ix, job_placements) in placements {
+            let (complete, partial) = job_placements.split_complete();
             self.load_chunks(ix, complete);
             if !partial.is_empty() {
                 self.recovery.partial_placements.insert(ix, partial);
@@ -337,7 +339,7 @@
         }
     }
 
-    /// All placements have been read: pieces that are still missing do not exist.
+    /// Completes the placements phase: pieces that are still missing do not exist.
     fn complete_placements(&mut self) {
         for (ix, placements) in std::mem::take(&mut self.recovery.partial_placements) {
             for chunk in placements.into_chunks() {
@@ -347,16 +349,16 @@
         }
     }
 
-    /// What the handoff queue held when recovery began is covered by the jobs' records. Later
-    /// entries are reported by the watch.
+    /// Schedules the deletion of a handoff entry that already existed when recovery began, because
+    /// the jobs' records cover it. The watch reports later entries.
     fn load_handoff(&mut self, pair: KeyValue) {
         if self.recovery.start_revision.is_some_and(|revision| pair.revision <= revision) {
             self.record_writer.schedule_deletion_at(pair.path, pair.revision);
         }
     }
 
-    /// The job in memory that a placement belongs to. An aborted one returns to memory, because
-    /// the placement says that a task of it may be on a machine.
+    /// Returns the in-memory job that a placement belongs to. Adds an aborted job to memory,
+    /// because its placement shows that a task of it may be on a machine.
     fn job_of_placement(&mut self, id: &str) -> Option<JobIndex> {
         if let Some(ix) = self.jobs.find(id) {
             return Some(ix);
@@ -370,12 +372,12 @@
         Some(ix)
     }
 
-    /// Adds a live job to memory; `None` if its record has no description, or if its team is no
+    /// Adds a live job to memory. Returns `None` if its record has no spec or if its team is no
     /// longer in the settings.
     fn insert_recorded(&mut self, record: JobRecord, revision: u64) -> Option<JobIndex> {
         let spec = record.spec?;
         let Some(team) = self.context.config.team(&spec.team) else {
-            tracing::error!(job = %spec.id, team = %spec.team, "its team is no longer in the settings; it waits");
+            tracing::error!(job = %spec.id, team = %spec.team, "team of recorded job is no longer in the settings; the job waits");
             return None;
         };
         let mut job = self.new_job(spec, team, JobState::Live, revision, record.at_ms);
@@ -390,12 +392,12 @@
         Some(ix)
     }
 
-    /// All records have been read: this controller leads from now on, and reconciles its memory
+    /// Completes the recovery: this controller leads from now on and reconciles its in-memory state
     /// with the machines.
     fn finish_recovery(&mut self) {
         self.watch_handoff_from(self.recovery.start_revision.unwrap_or(0));
         self.set_role(Role::Leader);
-        // Jobs that have no placement yet, and completions that were not recorded.
+        // Includes jobs that have no placement yet and completions that were not recorded.
         for ix in self.jobs.indexes() {
             self.record_writer.mark_job_dirty(ix);
             self.apply_known_terminal_state(ix);
@@ -411,7 +413,7 @@
         self.watch_handoff_queue();
     }
 
-    /// A job's terminal state may have been learnt after its record had been read.
+    /// Applies a terminal state that became known after the job's record was read.
     fn apply_known_terminal_state(&mut self, ix: JobIndex) {
         let Some(job) = self.jobs.get(ix).filter(|job| job.state.is_accepted()) else { return };
         let id = job.id.clone();
--- a/crates/core/src/recovery/placements.rs
+++ b/crates/core/src/recovery/placements.rs
@@ -1,4 +1,4 @@
-//! Loading of placement records into memory.
+//! Loads placement records into memory.
 
 use std::collections::btree_map::{BTreeMap, Entry};
 
@@ -10,15 +10,15 @@
     ProbeSet, TASKS_PER_CHUNK,
 };
 
-/// Placements of one job by chunk, perhaps without some of their pieces.
+/// Placements of one job by chunk, some of which may lack pieces.
 #[derive(Default)]
 pub(super) struct PartialPlacements {
     by_chunk: BTreeMap<u32, AssembledPlacement>,
 }
 
 impl PartialPlacements {
-    /// Adds a piece to what was read of the chunk's placement before; false if they do not belong
-    /// together.
+    /// Adds a piece to the chunk's placement. Returns false if the piece does not belong to the
+    /// pieces read before.
     pub(super) fn add(&mut self, chunk: u32, piece: AssembledPlacement) -> bool {
         match self.by_chunk.entry(chunk) {
             Entry::Vacant(entry) => {
@@ -33,21 +33,21 @@
         self.by_chunk.is_empty()
     }
 
-    /// The placements all of whose pieces have been read, and the others.
+    /// Splits into the placements with all pieces and the placements that still lack pieces.
     pub(super) fn split_complete(self) -> (BTreeMap<u32, AssembledPlacement>, PartialPlacements) {
         let (complete, by_chunk) =
             self.by_chunk.into_iter().partition(|(_, placement)| placement.whole());
         (complete, PartialPlacements { by_chunk })
     }
 
-    /// Numbers of the chunks.
+    /// Returns the chunk numbers.
     pub(super) fn into_chunks(self) -> impl Iterator<Item = u32> {
         self.by_chunk.into_keys()
     }
 }
 
 impl Controller {
-    /// Loads several chunks of a job.
+    /// Loads the placements of several chunks of a job.
     pub(super) fn load_chunks(
         &mut self,
         ix: JobIndex,
@@ -58,33 +58,33 @@
         }
     }
 
-    /// Loads a placement that is part of its job's own record or of a batch record.
+    /// Loads a placement stored inside its job's own record or inside a batch record.
     pub(super) fn load_inline(&mut self, ix: JobIndex, piece: &PlacementPiece, revision: u64) {
         let Some(placement) = open_inline(piece, revision) else {
             let key = self.jobs.get(ix).map(|job| job_key(&job.id));
             return self.on_unreadable_placement(ix, &key.unwrap_or_default());
         };
         self.load_chunk(ix, 0, placement);
-        // The placement of a batched job is in the batch record, not in a record of its own.
+        // The placement of a batched job is in the batch record, not in the job's own record.
         if let Some(job) = self.jobs.get_mut(ix).filter(|job| job.page.is_some()) {
             job.chunks.values_mut().for_each(|chunk| chunk.inline = false);
         }
     }
 
-    /// A placement can't be decoded, or lacks a piece: its job stops, and no other.
+    /// Stops a job, and no other, because a placement of it cannot be decoded or lacks a piece.
     pub(super) fn on_unreadable_placement(&mut self, ix: JobIndex, key: &str) {
-        tracing::error!(key, "a placement record can't be decoded; its job stops");
+        tracing::error!(key, "cannot decode placement record; its job is stopped");
         self.set_job_state(ix, JobState::Unreadable);
     }
 
-    /// Loads a chunk. Every machine that the placement names may have the tasks, unless this
+    /// Loads a chunk. A task may be on every machine that the placement names for it, unless this
     /// leader wrote the placement in its own epoch and so knows what it has started.
     fn load_chunk(&mut self, ix: JobIndex, number: u32, placement: AssembledPlacement) {
         let Some(job) = self.jobs.get(ix) else { return };
         if number >= job.chunk_count() || job.chunks.contains_key(&number) {
             return;
         }
-        // Folded into the job's record already, which counts its tasks.
+        // The chunk has already been folded into the job's record, which counts its tasks.
         if job.in_done_chunk(number * TASKS_PER_CHUNK) {
             let keys: Vec<String> = piece_keys(&job.id, number, placement.piece_count).collect();
             return keys.into_iter().for_each(|key| self.record_writer.remove(key));
@@ -113,7 +113,7 @@
         }
     }
 
-    /// A chunk as recorded, without its tasks' states.
+    /// Creates a chunk with the recorded revision and layout, but without its tasks' states.
     fn recorded_chunk(&mut self, tasks: TaskRange, placement: &AssembledPlacement) -> Chunk {
         let mut chunk = self.new_chunk(tasks.len);
         (chunk.version, chunk.stored_version, chunk.inline) = (0, 0, placement.inline);
@@ -124,7 +124,7 @@
         chunk
     }
 
-    /// Adds a chunk to its job, with the zones that the placement has fixed.
+    /// Adds a chunk to its job, with the zones that the placement has assigned.
     fn insert_recorded_chunk(
         &mut self,
         ix: JobIndex,
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Loads a task that has not completed. It is unproven if an earlier leader may have started it
-    /// on one of the machines.
+    /// Loads a task that has not completed. The task is unproven if an earlier leader may have
+    /// started it on one of the probed machines.
     fn load_probes(&mut self, key: TaskKey, probes: Vec<Probe>, proven: bool) {
         for probe in probes.iter().filter(|probe| probe.unproven) {
             if let Some(machine) = self.machines.get_mut(probe.machine) {
@@ -168,7 +168,7 @@
     }
 }
 
-/// The tasks of a chunk.
+/// Contiguous range of a chunk's task numbers.
 #[derive(Clone, Copy)]
 struct TaskRange {
     first: u32,
@@ -180,14 +180,14 @@
         TaskRange { first: number * TASKS_PER_CHUNK, len }
     }
 
-    /// Tasks `first..=last`, as far as they belong to the chunk.
+    /// Returns the tasks in `first..=last` that belong to the chunk.
     fn intersection(self, first: u32, last: u32) -> std::ops::RangeInclusive<u32> {
         first.max(self.first)..=last.min(self.first + self.len - 1)
     }
 }
 
-/// The probes that a set records for each of its tasks. Indexes of machines that the record does
-/// not name are ignored.
+/// Returns the probes that a probe set records for each of its tasks. Machine indexes that the
+/// record does not define are ignored.
 fn recorded_probes(set: &ProbeSet, machines: &[MachineIndex], proven: bool) -> Vec<Probe> {
     let named = set.machines.iter().filter_map(|index| machines.get(*index as usize));
     named.map(|&machine| Probe { machine, version: 0, unproven: !proven }).collect()
--- a/crates/core/src/recovery/reconciliation.rs
+++ b/crates/core/src/recovery/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation of the leader's memory with machines that have not sent a heartbeat: they are
-//! asked for one.
+//! Reconciles the leader's in-memory state with machines that have not sent a heartbeat, by
+//! requesting one from them.
 
 use quartzgate_wire::from_cbor;
 use quartzgate_wire::msg::Heartbeat;
@@ -11,7 +11,7 @@
 use crate::{Outcome, Peer};
 
 impl Controller {
-    /// Asks a machine whose address is known for a heartbeat.
+    /// Requests a heartbeat from a machine whose address is known.
     pub(crate) fn inspect(&mut self, ix: MachineIndex) {
         let Some(machine) = self.machines.get_mut(ix) else { return };
         let Some(addr) = machine.addr else { return };
@@ -21,14 +21,14 @@
         self.get_for_recovery(Peer::Worker(addr), "/inspect".into(), timeout_ms, call);
     }
 
-    /// The machine has answered. The answer counts only if it is that machine's: addresses are
-    /// reused.
-    pub(super) fn on_inspect(&mut self, ix: MachineIndex, outcome: Outcome) {
+    /// Handles the answer to a heartbeat request. Addresses are reused, so the answer counts only
+    /// if it names the machine that was asked.
+    pub(super) fn on_inspect_answered(&mut self, ix: MachineIndex, outcome: Outcome) {
         let Outcome::Answer(response) = outcome else { return };
         let Some(machine) = self.machines.get(ix) else { return };
         let Ok(heartbeat) = from_cbor::<Heartbeat>(&response.body) else { return };
-        let of_machine = is_plausible(&heartbeat) && heartbeat.machine == machine.name;
-        if response.status == 200 && of_machine {
+        let is_from_machine = is_plausible(&heartbeat) && heartbeat.machine == machine.name;
+        if response.status == 200 && is_from_machine {
             self.observe_reply(ix, heartbeat);
             self.machines_to_command.insert(ix);
         }
--- a/crates/core/src/recovery/recorded_jobs.rs
+++ b/crates/core/src/recovery/recorded_jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs that are recorded and not in the leader's memory: accepted by another controller without
-//! the leader, or by an indeterminate write of the leader itself.
+//! Jobs that are recorded in the store but not in the leader's memory: accepted by another
+//! controller without the leader, or by an indeterminate write of the leader itself.
 
 use std::collections::BTreeMap;
 
@@ -19,19 +19,19 @@
 };
 use crate::{Outcome, Peer};
 
-/// Jobs whose records are to be read because they may have been accepted.
+/// Jobs whose records must be read because the jobs may have been accepted.
 #[derive(Default)]
 pub(crate) struct RecordedJobReads {
-    /// Reads that failed.
+    /// Jobs whose reads failed.
     to_retry: Vec<String>,
-    /// Submissions whose writes are indeterminate, and until when each is looked for, by the
-    /// monotonic clock.
+    /// Submissions with indeterminate writes, and until when, by the monotonic clock, the record of
+    /// each is looked for.
     indeterminate_submissions: BTreeMap<String, u64>,
 }
 
 impl Controller {
-    /// Adds a job to memory that is recorded as live. Its placements are read before any task of
-    /// it starts. Returns `None` if the job has ended or can't be added.
+    /// Adds a job recorded as live to memory. Its placements are read before any of its tasks
+    /// starts. Returns `None` if the job has ended or cannot be added.
     pub(crate) fn add_recorded_job(
         &mut self,
         id: &str,
@@ -44,23 +44,23 @@
         if let Some(ix) = self.jobs.find(id) {
             return Some(ix);
         }
-        // The record may have been read before a terminal state that is known by now.
+        // The record may have been read before a terminal state that has become known since.
         if record.status != RecordedStatus::Live || self.terminal_jobs.get(id).is_some() {
             return None;
         }
-        // Without a record of its own the job is in a batch record, all of whose jobs are in memory
-        // or being recorded.
+        // A job without a record of its own is in a batch record, and all jobs of batch records are
+        // in memory or being recorded.
         if revision == 0 {
             return None;
         }
         let inline_placement = record.share.take();
         let ix = self.insert_recorded(record, revision)?;
-        tracing::info!(job = %id, "a recorded job is added to memory");
+        tracing::info!(job = %id, "added recorded job to memory");
         if let Some(job) = self.jobs.get_mut(ix) {
             (job.state, job.busy) = (JobState::Recording, true);
         }
         self.add_to_dependency_graph(ix);
-        // Placements, if there are any, were written by this leader, which started nothing.
+        // Any placements were written by this leader, which has started none of the tasks.
         if let Some(piece) = inline_placement {
             self.load_inline(ix, &piece, revision);
         }
@@ -76,9 +76,9 @@
         self.get_for_recovery(Peer::State, target, timeout_ms, call);
     }
 
-    /// The placements of an added job have been read. If that failed, the job is forgotten, and
-    /// found again by its next status query or retry.
-    pub(super) fn on_adopt(&mut self, ix: JobIndex, outcome: Outcome) {
+    /// Loads the placements of an added job. If the read failed, the job is dropped from memory
+    /// until its next status query or retry finds it again.
+    pub(super) fn on_placements_read(&mut self, ix: JobIndex, outcome: Outcome) {
         let list = match outcome {
             Outcome::Answer(r) if r.status == 200 => from_cbor::<KeyValueList>(&r.body).ok(),
             _ => None,
@@ -107,8 +107,7 @@
         self.placement_due = true;
     }
 
-    /// The record of a job has been read that may have been accepted without the leader's
-    /// knowledge.
+    /// Handles the read of a job that may have been accepted without the leader's knowledge.
     pub(crate) fn on_handoff_job_read(&mut self, job: String, outcome: Outcome) {
         let Ok(pair) = self.read_outcome(outcome) else {
             return self.recorded_job_reads.to_retry.push(job);
@@ -117,29 +116,29 @@
         match decode::<JobRecord>(&pair.value) {
             Some(record) => drop(self.add_recorded_job(&job, record, pair.revision)),
             None => {
-                tracing::error!(job = %job, "the job's record can't be decoded; it is not run")
+                tracing::error!(job = %job, "cannot decode job record; the job will not run")
             }
         }
     }
 
-    /// The write that accepts a job is indeterminate. If it has been or will be executed, other
-    /// controllers may answer that the job is accepted, and it has to run. So its record is looked
-    /// for until the lease bound has passed.
+    /// Keeps looking for the record of a job whose accepting write is indeterminate, until the
+    /// lease bound has elapsed. If the write has been or will be executed, other controllers may
+    /// answer that the job is accepted, so it has to run.
     pub(crate) fn track_indeterminate_submission(&mut self, job: String) {
-        let until_ms = self.context.now.steady_ms + self.context.config.lease_bound_ms();
+        let look_until_ms = self.context.now.steady_ms + self.context.config.lease_bound_ms();
         let submissions = &mut self.recorded_job_reads.indeterminate_submissions;
         if submissions.len() < self.context.config.max_indeterminate_submissions() {
-            submissions.insert(job, until_ms);
+            submissions.insert(job, look_until_ms);
         }
     }
 
-    /// Reads the records of indeterminate submissions, as far as the rate limit allows.
+    /// Reads the records of indeterminate submissions as far as the rate limit allows.
     fn read_indeterminate_submissions(&mut self) {
         let now = self.context.now.steady_ms;
         let (jobs, terminal_jobs) = (&self.jobs, &self.terminal_jobs);
         let submissions = &mut self.recorded_job_reads.indeterminate_submissions;
-        submissions.retain(|job, until_ms| {
-            now < *until_ms && jobs.find(job).is_none() && terminal_jobs.get(job).is_none()
+        submissions.retain(|job, look_until_ms| {
+            now < *look_until_ms && jobs.find(job).is_none() && terminal_jobs.get(job).is_none()
         });
         for job in submissions.keys().cloned().collect::<Vec<_>>() {
             if !self.may_read(ReadPurpose::IndeterminateSubmission) {
@@ -149,7 +148,7 @@
         }
     }
 
-    /// Periodic work: reads indeterminate submissions, and repeats the reads that failed.
+    /// Reads indeterminate submissions and retries failed reads; called periodically.
     pub(crate) fn read_recorded_jobs(&mut self) {
         self.read_indeterminate_submissions();
         for job in std::mem::take(&mut self.recorded_job_reads.to_retry) {
