--- a/crates/core/src/lease_proxy/claim.rs
+++ b/crates/core/src/lease_proxy/claim.rs
@@ -1,8 +1,8 @@
-//! The claim of this controller as a lease proxy.
+//! This controller's lease proxy claim.
 //!
-//! A claim is a key in the store, attached to this controller's lease and guarded by the epoch
-//! record that it was made under. It exists before this controller renews any worker's lease, so
-//! that a leader that looks for claims knows of every proxy.
+//! A claim is a key in the store, attached to this controller's lease. Its write is guarded by the
+//! epoch record under which it is made. The claim is recorded before this controller renews any
+//! worker's lease, so that a leader that looks for claims knows of every proxy.
 
 use quartzgate_wire::msg::{Change, Guard, Transaction, TransactionAnswer};
 use quartzgate_wire::{from_cbor, to_cbor};
@@ -18,30 +18,30 @@
     #[default]
     None,
     Requested,
-    /// Recorded under the record of this epoch.
+    /// The claim is recorded in the store under the record of this epoch.
     Recorded {
         epoch: u64,
     },
 }
 
-/// State of the claim.
+/// State of the claim, and when it is next written or deleted.
 #[derive(Debug, Default)]
 pub(super) struct ProxyClaim {
     state: ClaimState,
-    /// Earliest moment for the next write or deletion of the claim.
+    /// Earliest time for the next write or deletion of the claim.
     retry_ms: u64,
-    /// When a worker last needed the claim.
+    /// When a worker last needed the claim, in steady milliseconds.
     used_ms: u64,
 }
 
 impl ProxyClaim {
-    /// Whether a claim under this epoch is recorded.
+    /// Returns whether a claim is recorded under `epoch`.
     pub fn is_recorded(&self, epoch: u64) -> bool {
         self.state == ClaimState::Recorded { epoch }
     }
 
-    /// A worker needs the claim.
-    pub fn touch(&mut self, now_ms: u64) {
+    /// Records that a worker needs the claim now.
+    pub fn mark_used(&mut self, now_ms: u64) {
         self.used_ms = now_ms;
     }
 }
@@ -51,8 +51,8 @@
         format!("{LEASE_PROXY_PREFIX}{}", self.context.config.platform.node)
     }
 
-    /// The one function that changes the state of the claim. What was learnt for proxied workers
-    /// ends with a recorded claim.
+    /// Changes the state of the claim. No other function does. The state kept for proxied workers
+    /// is cleared when a recorded claim ends.
     fn set_claim(&mut self, state: ClaimState) {
         let old = std::mem::replace(&mut self.lease_proxy.claim.state, state);
         if old == state {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Records that this controller is a lease proxy under the present epoch.
+    /// Writes a claim that this controller is a lease proxy under the given epoch.
     pub(super) fn request_claim(&mut self, epoch: u64) {
         let now = self.context.now.steady_ms;
         let claim = &self.lease_proxy.claim;
@@ -96,7 +96,7 @@
         self.lease_proxy.write_store(&mut self.context, body, call);
     }
 
-    /// Takes in how the write of the claim ended.
+    /// Handles the outcome of the write of the claim.
     pub(super) fn on_claim_written(&mut self, epoch: u64, lease_id: u64, outcome: Outcome) {
         let written = match outcome {
             Outcome::Answer(response) if response.status == 200 => {
@@ -105,18 +105,18 @@
             }
             _ => false,
         };
-        // A claim vanishes with the lease that it is attached to.
+        // A claim disappears with the lease that it is attached to.
         let recorded = written && self.controller_lease_id() == Some(lease_id);
         self.set_claim(if recorded { ClaimState::Recorded { epoch } } else { ClaimState::None });
     }
 
-    /// The lease that the claim was attached to is gone, and the claim with it.
+    /// Drops the claim, because the lease that it was attached to no longer exists.
     pub(crate) fn release_claim(&mut self) {
         self.set_claim(ClaimState::None);
     }
 
-    /// Ends a claim that no worker has needed for a while, and deletes what is left in the store
-    /// of an earlier one.
+    /// Ends a claim that is no longer needed or valid, and deletes the key of an earlier claim that
+    /// is still in the store.
     pub(super) fn tick_claim(&mut self) {
         self.end_unneeded_claim();
         self.delete_leftover_claim();
@@ -144,7 +144,7 @@
         }
         self.lease_proxy.claim.retry_ms = now + self.context.config.heartbeat_interval_ms();
         let path = self.claim_key();
-        // Guarded, so that a late deletion can't undo a later claim.
+        // The guard keeps a late deletion from removing a later claim.
         let guards = vec![Guard { path: path.clone(), revision }];
         let body = to_cbor(&Transaction { guards, apply: vec![Change::Delete { delete: path }] });
         self.lease_proxy.write_store(&mut self.context, body, LeaseProxyCall::DeleteClaim);
--- a/crates/core/src/lease_proxy/fencing.rs
+++ b/crates/core/src/lease_proxy/fencing.rs
@@ -1,8 +1,8 @@
 //! Fencing tokens of proxied workers.
 //!
-//! A lease proxy raises a worker's token from time to time. Orders that are still on their way,
-//! the leader's or an earlier leader's, then match it no longer when the network lets them
-//! through: the tasks in them may have been cancelled meanwhile.
+//! A lease proxy raises a worker's fencing token periodically. Orders of the present or an earlier
+//! leader that are still in transit then no longer match the token if the network delivers them
+//! late; the tasks in those orders may have been cancelled in the meantime.
 
 use std::collections::BTreeMap;
 
@@ -11,24 +11,24 @@
 use crate::context::Context;
 use crate::ids::{epoch_of, scoped_to_epoch};
 
-/// A lease proxy raises a token by more than the leader does meanwhile.
+/// Amount by which a lease proxy raises a token: more than the leader raises it in the meantime.
 const TOKEN_STEP: u64 = 1 << 8;
-/// How often a token is raised within a lease bound.
+/// Number of times that a token is raised within a lease bound.
 const RAISES_PER_LEASE_BOUND: u64 = 3;
 
-/// When the token of each proxied worker was last raised.
+/// When the fencing token of each proxied worker was last raised.
 #[derive(Debug, Default)]
 pub(super) struct TokenRaises {
     raised_ms: BTreeMap<String, u64>,
 }
 
 impl TokenRaises {
-    /// Forgets all workers.
     pub fn clear(&mut self) {
         self.raised_ms.clear();
     }
 
-    /// The token that a worker's heartbeat is answered with. It never leaves the epoch.
+    /// Returns the token with which to answer a worker's heartbeat, and raises it if that is due. A
+    /// token is never raised beyond its epoch.
     pub fn token_for(&mut self, heartbeat: &Heartbeat, epoch: u64, context: &Context) -> u64 {
         let now = context.now.steady_ms;
         let interval_ms = context.config.lease_bound_ms() / RAISES_PER_LEASE_BOUND;
--- a/crates/core/src/lease_proxy/mailbox/delivery.rs
+++ b/crates/core/src/lease_proxy/mailbox/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery: mailbox records that peers have written for this controller.
+//! Delivery of mailbox records that peers have written for this controller.
 
 use ciborium::value::Value;
 use quartzgate_wire::http::Response;
@@ -14,13 +14,13 @@
 use crate::{Outcome, Peer};
 
 impl Controller {
-    /// Takes in a mailbox record that was written; acts on it if it is for this controller, of
-    /// the present epoch, and not old.
+    /// Processes a mailbox record if it is addressed to this controller, belongs to the present
+    /// epoch and is not outdated.
     pub(crate) fn on_mailbox_record(&mut self, path: &str, value: &Value) {
         let Some(peer) = self.mailbox_sender(path) else { return };
         let Some(record) = decode::<MailboxRecord>(value) else {
             let from = &self.context.config.platform.siblings[peer].node;
-            tracing::error!(from, "mailbox record unreadable: ignored");
+            tracing::error!(from, "cannot decode mailbox record; ignoring it");
             return;
         };
         if self.is_outdated(&record) {
@@ -33,7 +33,8 @@
         }
     }
 
-    /// The peer that wrote a record for this controller.
+    /// Returns the peer that wrote a record, or `None` if the record is not addressed to this
+    /// controller.
     fn mailbox_sender(&self, path: &str) -> Option<usize> {
         let (to, from) = path.strip_prefix(MAILBOX_PREFIX)?.split_once('/')?;
         let platform = &self.context.config.platform;
@@ -42,13 +43,13 @@
     }
 
     fn is_outdated(&self, record: &MailboxRecord) -> bool {
-        // Both controllers' wall clocks may be off, in opposite directions.
+        // The wall clocks of both controllers may be off in opposite directions.
         let clock_skew_ms = (2.0 * self.context.config.platform.params.clock_off_ms) as u64;
         let valid_until_ms = record.written_at_ms + self.mailbox_timeout_ms() + clock_skew_ms;
         self.context.now.wall_ms > valid_until_ms || self.observed_epoch() != Some(record.epoch)
     }
 
-    /// Forwards orders of the leader to the workers; those of anybody else are ignored.
+    /// Forwards the leader's orders to the workers; ignores orders from any other controller.
     fn forward_mailed_orders(&mut self, peer: usize, orders: Vec<Envelope>) {
         if self.leader_index() != Some(peer) {
             return;
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Takes in what a lease proxy has mailed to the leader.
+    /// Applies the heartbeats and replies that a lease proxy has mailed to the leader.
     fn observe_mailed(&mut self, peer: usize, record: MailboxRecord) {
         for heartbeat in record.heartbeats.into_iter().filter(is_plausible) {
             self.observe_mailed_heartbeat(peer, heartbeat);
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Takes in a heartbeat that came to a lease proxy, which answers for the worker's lease.
+    /// Applies a heartbeat received by a lease proxy, which is responsible for the worker's lease.
     fn observe_mailed_heartbeat(&mut self, peer: usize, heartbeat: Heartbeat) {
         let index = self.machine(&heartbeat.machine);
         self.observe_heartbeat(index, heartbeat);
--- a/crates/core/src/lease_proxy/mailbox/mod.rs
+++ b/crates/core/src/lease_proxy/mailbox/mod.rs
@@ -1,12 +1,12 @@
-//! Mailbox: what a leader and a lease proxy exchange through the store while they can't reach
-//! each other. The proxy mails the heartbeats of its workers; the leader mails orders for them,
-//! which the proxy forwards, and whose replies it mails back.
+//! Mailbox: messages that a leader and a lease proxy exchange through the store while they cannot
+//! reach each other. The proxy mails the heartbeats of its workers. The leader mails orders for
+//! those workers; the proxy forwards the orders and mails the replies back.
 //!
-//! A mailbox record is one key for each pair of controllers, replaced by each write, under the
-//! prefix of the control keys, so that the watch of these shows it. Like any message it may be
-//! late or lost: heartbeats are ordered by agent epoch and sequence number, orders match only
-//! with their fencing token and agent epoch, and the outcome of orders without a reply is
-//! indeterminate.
+//! A mailbox record is one key for each ordered pair of controllers, replaced by each write. Its
+//! key has the prefix of the control keys, so the watch of the control keys delivers it. Like any
+//! message, a record may be late or lost. Heartbeats are therefore ordered by agent epoch and
+//! sequence number, orders take effect only if their fencing token and agent epoch match, and the
+//! outcome of orders without a reply is indeterminate.
 
 mod delivery;
 mod outbox;
@@ -24,37 +24,37 @@
 use outbox::{is_newer, Outbox};
 use records::Reply;
 
-/// Orders that were mailed, and wait for their reply.
+/// Mailed orders that wait for their reply.
 struct MailedOrders {
     machine: MachineIndex,
     fencing_token: u64,
     starts: Vec<(TaskKey, u64)>,
-    /// When their outcome counts as indeterminate, in steady milliseconds.
+    /// Time, in steady milliseconds, from which the outcome counts as indeterminate.
     deadline_ms: u64,
 }
 
-/// The heartbeat of a machine that was mailed last, and when.
+/// The last heartbeat of a machine that was mailed, and when.
 struct MailedHeartbeat {
     heartbeat: Heartbeat,
     mailed_ms: u64,
 }
 
-/// What waits to be mailed, and what was mailed.
+/// Outgoing messages, and the mailed messages that are still tracked.
 #[derive(Default)]
 pub(crate) struct Mailbox {
-    /// By the peer's place in the settings.
+    /// Outboxes by the peer's index in the settings.
     outboxes: BTreeMap<usize, Outbox>,
     mailed_orders: BTreeMap<u64, MailedOrders>,
     next_order: u64,
     write_in_flight: bool,
-    /// When the next record may be written.
+    /// Earliest time for the next write of a record.
     due_ms: u64,
     mailed_heartbeats: BTreeMap<String, MailedHeartbeat>,
 }
 
 impl Mailbox {
-    /// Forgets everything, as it belongs to another epoch; but identifiers are never reused, and
-    /// a write that is in flight stays so.
+    /// Discards all messages, because they belong to another epoch. Order identifiers are never
+    /// reused, and a write in flight is still tracked.
     fn clear(&mut self) {
         let (next_order, write_in_flight) = (self.next_order, self.write_in_flight);
         *self = Mailbox { next_order, write_in_flight, ..Default::default() };
@@ -78,14 +78,14 @@
         self.outboxes.entry(peer).or_default().add_orders(Envelope { id, addr, orders });
     }
 
-    /// Takes out orders whose outcome is known now.
+    /// Removes and returns orders whose outcome has become known.
     fn finish_orders(&mut self, id: u64) -> Option<MailedOrders> {
         let mailed = self.mailed_orders.remove(&id)?;
         self.outboxes.values_mut().for_each(|outbox| outbox.remove_orders(id));
         Some(mailed)
     }
 
-    /// Orders for whose replies it has waited long enough.
+    /// Returns the identifiers of orders whose reply deadline has passed.
     fn overdue_orders(&self, now_ms: u64) -> Vec<u64> {
         let overdue = self.mailed_orders.iter().filter(|(_, orders)| now_ms >= orders.deadline_ms);
         overdue.map(|(id, _)| *id).collect()
@@ -95,15 +95,15 @@
         self.outboxes.entry(peer).or_default().add_reply(reply, &context.config);
     }
 
-    /// Adds a heartbeat of a proxied worker if there is anything new in it.
+    /// Adds a proxied worker's heartbeat if it contains anything new.
     fn add_heartbeat(&mut self, peer: usize, heartbeat: &Heartbeat, context: &Context) {
         if !self.has_mailed(heartbeat, context) {
             self.outboxes.entry(peer).or_default().add_heartbeat(heartbeat, &context.config);
         }
     }
 
-    /// Whether there is nothing new in a heartbeat. As a record may be lost, what has not changed
-    /// counts as new after half a lease.
+    /// Returns whether a heartbeat contains nothing new. Because a record may be lost, unchanged
+    /// content counts as new again after half a lease.
     fn has_mailed(&self, heartbeat: &Heartbeat, context: &Context) -> bool {
         let Some(mailed) = self.mailed_heartbeats.get(&heartbeat.machine) else { return false };
         let repeat_ms = context.config.lease_ms() / 2;
@@ -117,19 +117,20 @@
         self.mailed_heartbeats.insert(heartbeat.machine.clone(), mailed);
     }
 
-    /// A record may not have been written: its heartbeats have to be mailed again.
+    /// Forgets which heartbeats were mailed, because a record may not have been written and its
+    /// heartbeats must be mailed again.
     fn forget_mailed_heartbeats(&mut self) {
         self.mailed_heartbeats.clear();
     }
 
-    /// The first peer for which something waits.
+    /// Returns the first peer with a non-empty outbox.
     fn next_peer(&self) -> Option<usize> {
         let waiting = self.outboxes.iter().find(|(_, outbox)| !outbox.is_empty());
         waiting.map(|(peer, _)| *peer)
     }
 }
 
-/// Whether two heartbeats of a machine tell the leader the same.
+/// Returns whether two heartbeats of a machine carry the same information for the leader.
 fn same_content(heartbeat: &Heartbeat, other: &Heartbeat) -> bool {
     let interrupted = heartbeat.interruption_notice_s.is_some();
     heartbeat.agent_epoch == other.agent_epoch
--- a/crates/core/src/lease_proxy/mailbox/outbox.rs
+++ b/crates/core/src/lease_proxy/mailbox/outbox.rs
@@ -1,4 +1,4 @@
-//! What waits to be mailed to one peer.
+//! Messages that wait to be mailed to one peer.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Bound;
@@ -11,7 +11,7 @@
 use crate::config::Config;
 use crate::storage::records::checked_size;
 
-/// What of an outbox goes into one mailbox record.
+/// The entries of an outbox that go into one mailbox record.
 #[derive(Default)]
 pub(super) struct OutboxBatch {
     pub orders: Vec<Envelope>,
@@ -19,37 +19,37 @@
     pub heartbeats: Vec<Heartbeat>,
 }
 
-/// Orders, replies and heartbeats for one peer. Orders are bounded by the machines, replies and
-/// heartbeats in number and in bytes.
+/// Orders, replies and heartbeats for one peer. Orders are bounded by the number of machines;
+/// replies and heartbeats are bounded in number and in bytes.
 #[derive(Default)]
 pub(super) struct Outbox {
     orders: VecDeque<Envelope>,
     replies: VecDeque<Reply>,
-    /// Newest heartbeat of each machine.
+    /// Latest heartbeat of each machine.
     heartbeats: BTreeMap<String, Heartbeat>,
-    /// The machine whose heartbeat was taken last: those after it come next.
+    /// Machine whose heartbeat was taken last; the machines after it are served next.
     last_machine: String,
-    /// What replies and heartbeats take together.
+    /// Approximate memory used by replies and heartbeats together, in bytes.
     held_bytes: usize,
 }
 
 impl Outbox {
-    /// Whether nothing waits to be mailed.
+    /// Returns whether nothing waits to be mailed.
     pub fn is_empty(&self) -> bool {
         self.orders.is_empty() && self.replies.is_empty() && self.heartbeats.is_empty()
     }
 
-    /// Adds orders behind those that wait.
+    /// Appends orders to the queue.
     pub fn add_orders(&mut self, envelope: Envelope) {
         self.orders.push_back(envelope);
     }
 
-    /// Removes orders that are no longer to be mailed.
+    /// Removes orders that must no longer be mailed.
     pub fn remove_orders(&mut self, id: u64) {
         self.orders.retain(|envelope| envelope.id != id);
     }
 
-    /// Adds a reply if there is room for it; without it the orders run into their timeout.
+    /// Adds a reply if there is room for it. Without a reply, the orders time out.
     pub fn add_reply(&mut self, reply: Reply, config: &Config) {
         if self.has_room(self.replies.len(), config) {
             self.held_bytes += reply.bytes();
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Adds a heartbeat in place of an older one of its machine. There is always room for that;
-    /// a heartbeat of a further machine is dropped if there is none.
+    /// Adds a heartbeat, replacing an older one of the same machine. A replacement always fits; the
+    /// first heartbeat of a machine is dropped if there is no room.
     pub fn add_heartbeat(&mut self, heartbeat: &Heartbeat, config: &Config) {
         let waiting = self.heartbeats.get(&heartbeat.machine);
         if waiting.is_some_and(|waiting| !is_newer(heartbeat, waiting)) {
@@ -76,25 +76,26 @@
         entries < config.max_outbox_entries() && self.held_bytes < config.max_held_bytes()
     }
 
-    /// Takes out what fits into a record with this many bytes: orders first, as they expire.
-    pub fn take_batch(&mut self, mut room: usize) -> OutboxBatch {
+    /// Removes and returns the entries that fit into a record of `remaining_bytes` bytes. Orders come first,
+    /// because they expire.
+    pub fn take_batch(&mut self, mut remaining_bytes: usize) -> OutboxBatch {
         let batch = OutboxBatch {
-            orders: take_fitting(&mut self.orders, &mut room),
-            replies: take_fitting(&mut self.replies, &mut room),
-            heartbeats: self.take_heartbeats(&mut room),
+            orders: take_fitting(&mut self.orders, &mut remaining_bytes),
+            replies: take_fitting(&mut self.replies, &mut remaining_bytes),
+            heartbeats: self.take_heartbeats(&mut remaining_bytes),
         };
         self.recount_held_bytes();
         batch
     }
 
-    fn take_heartbeats(&mut self, room: &mut usize) -> Vec<Heartbeat> {
+    fn take_heartbeats(&mut self, remaining_bytes: &mut usize) -> Vec<Heartbeat> {
         let mut taken = Vec::new();
         while let Some((machine, heartbeat)) = self.next_heartbeat() {
             let size = serialized_size(heartbeat);
-            if size > *room {
+            if size > *remaining_bytes {
                 break;
             }
-            *room -= size;
+            *remaining_bytes -= size;
             let machine = machine.clone();
             taken.extend(self.heartbeats.remove(&machine));
             self.last_machine = machine;
@@ -102,30 +103,33 @@
         taken
     }
 
-    /// The next machine in turn, so that none waits for others that send heartbeats again and
-    /// again.
+    /// Returns the next heartbeat in round-robin order, so that no machine is starved by others
+    /// that send heartbeats repeatedly.
     fn next_heartbeat(&self) -> Option<(&String, &Heartbeat)> {
         let after = (Bound::Excluded(&self.last_machine), Bound::Unbounded);
         let next = self.heartbeats.range::<String, _>(after).next();
         next.or(self.heartbeats.first_key_value())
     }
 
-    /// Drops what no record can hold, so that it does not block what comes after it. Orders stay:
-    /// their identifiers are returned.
-    pub fn drop_oversize(&mut self, room: usize) -> Vec<u64> {
-        for reply in self.replies.iter_mut().filter(|reply| serialized_size(*reply) > room) {
-            tracing::debug!(id = reply.id, "worker's reply too large for a mailbox record");
+    /// Drops the contents that are too large for any record, so that they do not block later
+    /// entries. Oversize orders stay in the queue; their identifiers are returned.
+    pub fn drop_oversize(&mut self, max_bytes: usize) -> Vec<u64> {
+        for reply in self.replies.iter_mut().filter(|reply| serialized_size(*reply) > max_bytes) {
+            tracing::debug!(
+                id = reply.id,
+                "worker reply too large for a mailbox record; its heartbeat is dropped"
+            );
             reply.heartbeat = None;
         }
         self.heartbeats.retain(|machine, heartbeat| {
-            let fits = serialized_size(heartbeat) <= room;
+            let fits = serialized_size(heartbeat) <= max_bytes;
             if !fits {
-                tracing::debug!(%machine, "heartbeat too large for a mailbox record");
+                tracing::debug!(%machine, "heartbeat too large for a mailbox record; dropped");
             }
             fits
         });
         self.recount_held_bytes();
-        let oversize = self.orders.iter().filter(|envelope| serialized_size(*envelope) > room);
+        let oversize = self.orders.iter().filter(|envelope| serialized_size(*envelope) > max_bytes);
         oversize.map(|envelope| envelope.id).collect()
     }
 
@@ -135,25 +139,28 @@
     }
 }
 
-/// Whether a heartbeat was sent after another one of the same machine.
+/// Returns whether a heartbeat was sent after another one of the same machine.
 pub(super) fn is_newer(heartbeat: &Heartbeat, other: &Heartbeat) -> bool {
     (heartbeat.agent_epoch, heartbeat.seq) > (other.agent_epoch, other.seq)
 }
 
-/// What an entry takes in a record, with the comma after it.
+/// Returns the size of an entry in a record, including the comma after it.
 fn serialized_size<Entry: Serialize>(entry: &Entry) -> usize {
     checked_size(entry) + 1
 }
 
-/// Takes entries from the front for as long as they fit.
-fn take_fitting<Entry: Serialize>(from: &mut VecDeque<Entry>, room: &mut usize) -> Vec<Entry> {
+/// Removes and returns entries from the front of the queue for as long as they fit.
+fn take_fitting<Entry: Serialize>(
+    from: &mut VecDeque<Entry>,
+    remaining_bytes: &mut usize,
+) -> Vec<Entry> {
     let mut taken = Vec::new();
     while let Some(first) = from.front() {
         let size = serialized_size(first);
-        if size > *room {
+        if size > *remaining_bytes {
             break;
         }
-        *room -= size;
+        *remaining_bytes -= size;
         taken.extend(from.pop_front());
     }
     taken
--- a/crates/core/src/lease_proxy/mailbox/records.rs
+++ b/crates/core/src/lease_proxy/mailbox/records.rs
@@ -1,21 +1,20 @@
-//! What mailbox records contain. The serialized names are part of the storage format.
+//! Contents of mailbox records. The serialized names are part of the storage format.
 
 use quartzgate_wire::msg::{Heartbeat, OrdersRequest};
 use serde::{Deserialize, Serialize};
 
 use crate::capacity::heartbeat_bytes;
 
-/// Orders for one worker.
+/// Orders for one worker, addressed and identified.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Envelope {
-    /// Never used again, neither in a later epoch nor after a restart.
+    /// Unique identifier, reused neither in a later epoch nor after a restart.
     pub id: u64,
-    /// Address of the worker.
     pub addr: String,
     pub orders: OrdersRequest,
 }
 
-/// How orders ended: the worker's heartbeat, or nothing if their outcome is indeterminate.
+/// Result of orders: the worker's heartbeat, or `None` if the outcome is indeterminate.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Reply {
     pub id: u64,
@@ -24,17 +23,17 @@
 }
 
 impl Reply {
-    /// Roughly what it takes in memory.
+    /// Returns the approximate memory used by the reply, in bytes.
     pub fn bytes(&self) -> usize {
         std::mem::size_of::<Reply>() + self.heartbeat.as_ref().map_or(0, heartbeat_bytes)
     }
 }
 
-/// All that one controller has for another. Each write replaces the record before it.
+/// All messages from one controller to another. Each write replaces the previous record.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct MailboxRecord {
     pub epoch: u64,
-    /// Wall-clock time of the write, in milliseconds: an old record is not acted on.
+    /// Wall-clock time of the write, in milliseconds; an outdated record is ignored.
     #[serde(rename = "at_ms")]
     pub written_at_ms: u64,
     #[serde(default)]
--- a/crates/core/src/lease_proxy/mailbox/sending.rs
+++ b/crates/core/src/lease_proxy/mailbox/sending.rs
@@ -1,4 +1,4 @@
-//! Mailing: what goes into the outboxes, and the writes of mailbox records.
+//! Sending: fills the outboxes and writes the mailbox records.
 
 use quartzgate_wire::msg::{Change, Guard, Heartbeat, OrdersRequest, Transaction};
 use quartzgate_wire::to_cbor;
@@ -12,12 +12,12 @@
 use crate::storage::records::{encode, mailbox_key, EPOCH_KEY};
 use crate::Outcome;
 
-/// Part of the largest value that a mailbox record may fill.
+/// Fraction of the largest allowed value that a mailbox record may fill.
 const RECORD_FILL: f64 = 0.9;
-/// Pauses between two writes, in write batches: a little gathers for each record.
+/// Interval between two writes, in write batches, so that several messages gather in each record.
 const BATCHES_PER_WRITE: u64 = 3;
 
-/// Under what a mailbox record is written.
+/// Lease and epoch under which a mailbox record is written.
 struct WriteConditions {
     lease_id: u64,
     epoch: u64,
@@ -25,9 +25,9 @@
 }
 
 impl Mailbox {
-    /// Takes out what fits into the next record for a peer.
-    fn take_batch(&mut self, peer: usize, room: usize, now_ms: u64) -> Option<OutboxBatch> {
-        let batch = self.outboxes.get_mut(&peer)?.take_batch(room);
+    /// Removes and returns the entries that fit into the next record for a peer.
+    fn take_batch(&mut self, peer: usize, max_bytes: usize, now_ms: u64) -> Option<OutboxBatch> {
+        let batch = self.outboxes.get_mut(&peer)?.take_batch(max_bytes);
         for heartbeat in &batch.heartbeats {
             self.note_mailed_heartbeat(heartbeat, now_ms);
         }
@@ -44,12 +44,13 @@
 }
 
 impl Controller {
-    /// How long the mailbox may take to bring orders and their reply.
+    /// Returns how long the mailbox may take to deliver orders and return their reply.
     pub(super) fn mailbox_timeout_ms(&self) -> u64 {
         self.context.config.max_heartbeat_hold_ms()
     }
 
-    /// The lease proxy through which a machine can be commanded, if it can't be reached directly.
+    /// Returns the lease proxy through which a machine can be commanded if the machine cannot be
+    /// reached directly.
     pub(crate) fn mailbox_route(&self, machine: MachineIndex) -> Option<usize> {
         let machine = self.machines.get(machine)?;
         let peer = machine.via.filter(|_| machine.cut)?;
@@ -57,7 +58,7 @@
         self.membership.has_proxy_claim(node).then_some(peer)
     }
 
-    /// Mails orders for a machine to its lease proxy.
+    /// Queues orders for a machine to be mailed to its lease proxy.
     pub(crate) fn mail_orders(
         &mut self,
         peer: usize,
@@ -73,18 +74,18 @@
         self.mailbox.add_orders(peer, id, addr, orders, mailed);
     }
 
-    /// Mails what is new in the heartbeat of a proxied worker to the leader.
+    /// Queues a proxied worker's heartbeat to be mailed to the leader if it contains anything new.
     pub(crate) fn mail_heartbeat(&mut self, heartbeat: &Heartbeat) {
         let Some(leader) = self.leader_index() else { return };
         self.mailbox.add_heartbeat(leader, heartbeat, &self.context);
     }
 
-    /// Empties the mailbox: what is in it belongs to another epoch.
+    /// Empties the mailbox, because its messages belong to another epoch.
     pub(crate) fn clear_mailbox(&mut self) {
         self.mailbox.clear();
     }
 
-    /// Gives up on orders without a reply, and writes the next record when that is due.
+    /// Times out orders without a reply, and writes the next record if that is due.
     pub(crate) fn tick_mailbox(&mut self) {
         let now = self.context.now.steady_ms;
         for id in self.mailbox.overdue_orders(now) {
@@ -110,18 +111,18 @@
 
     fn write_mailbox(&mut self, peer: usize, conditions: WriteConditions) {
         let now = self.context.now;
-        let room = (self.max_value_bytes() as f64 * RECORD_FILL) as usize;
-        self.drop_oversize(peer, room);
-        let Some(batch) = self.mailbox.take_batch(peer, room, now.steady_ms) else { return };
+        let max_bytes = (self.max_value_bytes() as f64 * RECORD_FILL) as usize;
+        self.drop_oversize(peer, max_bytes);
+        let Some(batch) = self.mailbox.take_batch(peer, max_bytes, now.steady_ms) else { return };
         let order_ids = batch.orders.iter().map(|envelope| envelope.id).collect();
-        let current = |envelope: Envelope| Envelope {
+        let drop_terminal_starts = |envelope: Envelope| Envelope {
             orders: self.without_terminal_starts(envelope.orders),
             ..envelope
         };
         let record = MailboxRecord {
             epoch: conditions.epoch,
             written_at_ms: now.wall_ms,
-            orders: batch.orders.into_iter().map(current).collect(),
+            orders: batch.orders.into_iter().map(drop_terminal_starts).collect(),
             replies: batch.replies,
             heartbeats: batch.heartbeats,
         };
@@ -138,16 +139,16 @@
         self.lease_proxy.write_store(&mut self.context, body, call);
     }
 
-    /// Drops what no record can hold; orders among it count as not sent.
-    fn drop_oversize(&mut self, peer: usize, room: usize) {
+    /// Drops the contents that are too large for any record; oversize orders count as not sent.
+    fn drop_oversize(&mut self, peer: usize, max_bytes: usize) {
         let Some(outbox) = self.mailbox.outboxes.get_mut(&peer) else { return };
-        for id in outbox.drop_oversize(room) {
-            tracing::info!(id, "orders too large for a mailbox record: not sent");
+        for id in outbox.drop_oversize(max_bytes) {
+            tracing::info!(id, "orders too large for a mailbox record; not sent");
             self.finish_mailed_orders(id, Outcome::NotSent);
         }
     }
 
-    /// Takes in how the write of a record ended.
+    /// Handles the outcome of the write of a mailbox record.
     pub(in crate::lease_proxy) fn on_mailbox_written(
         &mut self,
         order_ids: Vec<u64>,
@@ -155,20 +156,20 @@
     ) {
         self.mailbox.write_in_flight = false;
         let Outcome::Answer(response) = outcome else {
-            // Indeterminate: replies or the timeout will show what became of the orders.
+            // The write is indeterminate: replies or the timeout decide the outcome of the orders.
             return self.mailbox.forget_mailed_heartbeats();
         };
         if response.status == 200 {
             return self.note_store_answer();
         }
-        // Refused, so that nobody has read it.
+        // The write was refused, so no controller has read the record.
         self.mailbox.forget_mailed_heartbeats();
         for id in order_ids {
             self.finish_mailed_orders(id, Outcome::NotSent);
         }
     }
 
-    /// Mailed orders have ended: the machine's state follows.
+    /// Completes mailed orders, and applies their outcome to the machine.
     pub(super) fn finish_mailed_orders(&mut self, id: u64, outcome: Outcome) {
         if let Some(mailed) = self.mailbox.finish_orders(id) {
             let MailedOrders { machine, fencing_token, starts, .. } = mailed;
--- a/crates/core/src/lease_proxy/mod.rs
+++ b/crates/core/src/lease_proxy/mod.rs
@@ -1,10 +1,11 @@
-//! Lease proxy: a controller that does not lead answers the heartbeats of workers that can't
-//! reach the leader, so that what they run goes on. It starts nothing.
+//! Lease proxy: a controller that does not lead answers the heartbeats of workers that cannot reach
+//! the leader, so that their running tasks continue. A lease proxy starts no tasks.
 //!
-//! Before it renews any worker's lease its claim is recorded in the store ([`claim`]). The leader
-//! takes no silent machine for empty while a claim exists, nor for a lease's time after it has
-//! seen one vanish. Heartbeats are served under the conditions in [`serve`]; the leader and the
-//! proxy exchange heartbeats and orders through the store ([`mailbox`]).
+//! A proxy records a claim in the store before it renews any worker's lease ([`claim`]). The leader
+//! does not assume that a silent machine runs no tasks while a claim exists, nor until a lease's
+//! time has elapsed since it saw a claim disappear. [`serve`] defines the conditions under which
+//! heartbeats are answered. The leader and the proxy exchange heartbeats and orders through the
+//! store ([`mailbox`]).
 
 mod calls;
 mod claim;
@@ -27,7 +28,7 @@
 use proxied_jobs::ProxiedJobs;
 use proxied_workers::ProxiedWorkers;
 
-/// State of this controller as a lease proxy.
+/// Lease proxy state of this controller.
 pub(crate) struct LeaseProxy {
     claim: ProxyClaim,
     jobs: ProxiedJobs,
@@ -38,7 +39,7 @@
 }
 
 impl LeaseProxy {
-    /// A proxy without a claim.
+    /// Creates the state of a proxy without a claim.
     pub fn new(config: &Config) -> Self {
         LeaseProxy {
             claim: ProxyClaim::default(),
@@ -50,12 +51,12 @@
         }
     }
 
-    /// Takes out what a call was for, if this module made it.
+    /// Removes and returns the purpose of a call, or `None` if this module did not make the call.
     pub fn take_call(&mut self, call: CallId) -> Option<LeaseProxyCall> {
         self.calls.take(call)
     }
 
-    /// Posts a request to a worker.
+    /// Sends a POST request to a worker.
     fn call(
         &mut self,
         context: &mut Context,
@@ -77,7 +78,7 @@
 }
 
 impl Controller {
-    /// Tries parked heartbeats again, and keeps the claim in line with its use.
+    /// Retries parked heartbeats, and ends or deletes claims that are no longer needed.
     pub(crate) fn tick_lease_proxy(&mut self) {
         self.retry_parked_heartbeats();
         self.tick_claim();
--- a/crates/core/src/lease_proxy/proxied_jobs.rs
+++ b/crates/core/src/lease_proxy/proxied_jobs.rs
@@ -1,7 +1,7 @@
-//! What reads of the store have shown about the jobs whose tasks proxied workers run.
+//! Status of the jobs whose tasks proxied workers run, as read from the store.
 //!
-//! A lease proxy renews a worker's lease only while it is proven that none of its tasks belongs
-//! to a job that was terminal a lease bound ago.
+//! A lease proxy renews a worker's lease only while it is proven that none of the worker's tasks
+//! belongs to a job that was terminal a lease bound ago.
 
 use std::collections::BTreeMap;
 
@@ -14,16 +14,16 @@
 use crate::storage::records::{decode, JobRecord, RecordedStatus};
 use crate::Outcome;
 
-/// How often a job is read again within a lease bound.
+/// Number of times that a job is read again within a lease bound.
 const READS_PER_LEASE_BOUND: u64 = 3;
 
-/// What is known of one job.
+/// Status of one job and the times of its reads.
 #[derive(Clone, Copy, Debug)]
 struct JobStatus {
     live: bool,
-    /// When the newest read that was answered was sent; 0 if there is none.
+    /// When the latest answered read was sent; 0 if no read has been answered.
     proven_ms: u64,
-    /// When the newest read was sent.
+    /// When the latest read was sent.
     requested_ms: u64,
 }
 
@@ -31,23 +31,23 @@
     const UNREAD: JobStatus = JobStatus { live: true, proven_ms: 0, requested_ms: 0 };
 }
 
-/// What a lease proxy may assume of a job.
+/// What a lease proxy may assume about a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum JobLiveness {
     Live,
     Terminal,
-    /// Not proven within the lease bound.
+    /// The job has not been proven live within the lease bound.
     Unproven,
 }
 
-/// The jobs of proxied workers. Bounded: those that were asked for longest ago are forgotten.
+/// Jobs of proxied workers. The map is bounded: the jobs whose latest read was sent longest ago are
+/// evicted first.
 #[derive(Debug, Default)]
 pub(super) struct ProxiedJobs {
     statuses: BTreeMap<String, JobStatus>,
 }
 
 impl ProxiedJobs {
-    /// Forgets all jobs.
     pub fn clear(&mut self) {
         self.statuses.clear();
     }
@@ -56,7 +56,7 @@
         self.statuses.get(job).copied().unwrap_or(JobStatus::UNREAD)
     }
 
-    /// What is proven of a job now.
+    /// Returns what is proven about a job at the present time.
     pub fn liveness(&self, job: &str, context: &Context) -> JobLiveness {
         let status = self.status(job);
         let bound_ms = context.config.lease_bound_ms();
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether the job has to be read, so that it stays proven.
+    /// Returns whether the job must be read now so that it stays proven.
     pub fn needs_read(&self, job: &str, context: &Context) -> bool {
         let now = context.now.steady_ms;
         let status = self.status(job);
@@ -80,7 +80,7 @@
         status.live && stale && unanswered
     }
 
-    /// Makes room for a job that is not known yet.
+    /// Makes room for a job unless it is already tracked.
     fn reserve(&mut self, job: &str, config: &Config) {
         if !self.statuses.contains_key(job) {
             let max_jobs = config.max_proxied_jobs();
@@ -108,7 +108,7 @@
 }
 
 impl Controller {
-    /// Reads a job for a proxied worker, if the rate of reads allows it.
+    /// Reads a job for a proxied worker if the read budget allows it.
     pub(super) fn read_proxied_job(&mut self, job: String) {
         let now = self.context.now.steady_ms;
         self.lease_proxy.jobs.reserve(&job, &self.context.config);
@@ -120,7 +120,7 @@
         self.look_up(&job, pending);
     }
 
-    /// Takes in the record of a job that was read for a proxied worker.
+    /// Handles the read of a job for a proxied worker.
     pub(crate) fn on_proxied_job_read(&mut self, job: String, sent_ms: u64, outcome: Outcome) {
         let Ok(pair) = self.read_outcome(outcome) else { return };
         let live = match pair {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// An abort of this job is on record: proxied workers that run its tasks must stop them.
+    /// Marks a job as terminal because its abort is recorded; proxied workers must stop its tasks.
     pub(crate) fn on_abort_for_proxy(&mut self, job: &str) {
         self.lease_proxy.jobs.on_aborted(job);
     }
--- a/crates/core/src/lease_proxy/proxied_workers.rs
+++ b/crates/core/src/lease_proxy/proxied_workers.rs
@@ -1,5 +1,5 @@
-//! Workers whose heartbeats come to this controller although it does not lead, and detection of
-//! duplicates among these.
+//! Workers whose heartbeats reach this controller although it does not lead, and detection of
+//! duplicate heartbeats.
 
 use std::collections::BTreeMap;
 
@@ -9,21 +9,22 @@
 use crate::capacity::forget_oldest;
 use crate::context::Context;
 
-/// The newest messages of one worker, and when the last one came.
+/// Duplicate detection for one worker, and when its last heartbeat arrived.
 #[derive(Clone, Copy, Debug, Default)]
 struct WorkerMessages {
     duplicates: DuplicateDetector,
     last_heard_ms: u64,
 }
 
-/// Bounded: workers that were heard longest ago are forgotten.
+/// Workers by machine name. The map is bounded: the workers heard from longest ago are evicted
+/// first.
 #[derive(Debug, Default)]
 pub(super) struct ProxiedWorkers {
     messages: BTreeMap<String, WorkerMessages>,
 }
 
 impl ProxiedWorkers {
-    /// Takes in that a heartbeat has come, and whether it has come before.
+    /// Records the arrival of a heartbeat and returns whether it is new or a duplicate.
     pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, context: &Context) -> Freshness {
         if !self.messages.contains_key(&heartbeat.machine) {
             let max_workers = context.config.max_proxied_workers();
--- a/crates/core/src/lease_proxy/serve.rs
+++ b/crates/core/src/lease_proxy/serve.rs
@@ -1,8 +1,9 @@
-//! Answers to the heartbeats of workers that can't reach the leader.
+//! Answers to the heartbeats of workers that cannot reach the leader.
 //!
-//! A heartbeat is answered, which renews the worker's lease, only while the leader is out of
-//! reach, the present epoch is proven, the claim is recorded under it, and every job whose tasks
-//! the worker runs is proven to be live or is stopped by the answer. Nothing is ever started.
+//! Answering a heartbeat renews the worker's lease. A heartbeat is therefore answered only while
+//! the leader is out of reach, the present epoch is proven, the claim is recorded under that epoch,
+//! and every job whose tasks the worker runs is either proven to be live or stopped by the answer.
+//! No task is ever started.
 
 use quartzgate_reachability::Freshness;
 use quartzgate_wire::http::Response;
@@ -16,32 +17,34 @@
 use crate::membership::Role;
 use crate::RequestId;
 
-/// What became of a heartbeat that reached a controller that does not lead.
+/// Result of handling a heartbeat on a controller that does not lead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ServeOutcome {
-    /// Answered on the leader's behalf.
+    /// The heartbeat was answered on the leader's behalf.
     Answered,
-    /// Can be answered as soon as the store has answered what it was asked.
+    /// The heartbeat cannot be answered yet: the leader has not been silent for long enough, the
+    /// claim is not recorded, or a job has not been proven live.
     Pending,
-    /// The worker has to be redirected.
+    /// The worker must be redirected.
     Refused,
 }
 
-/// What is known of the tasks that a worker runs.
+/// Result of checking the jobs of the tasks that a worker runs.
 #[derive(Default)]
 struct TaskReview {
-    /// Stops the tasks of terminal jobs.
-    stops: Vec<Order>,
+    /// Orders that stop the tasks of terminal jobs.
+    stop_orders: Vec<Order>,
     jobs_to_read: Vec<String>,
-    /// A job is not proven to be live.
+    /// Whether at least one job is neither proven live nor known to be terminal.
     unproven: bool,
 }
 
 impl Controller {
-    /// Takes a worker's heartbeat on the leader's behalf; false if the worker has to be
-    /// redirected.
+    /// Answers or parks a worker's heartbeat on the leader's behalf; returns false if the worker
+    /// must be redirected.
     pub(crate) fn serve_by_proxy(&mut self, id: RequestId, heartbeat: &Heartbeat) -> bool {
-        // A duplicate needs no proxy: nothing is claimed, mailed or raised for it.
+        // A duplicate needs no proxy: no claim is made, no heartbeat mailed and no fencing token
+        // raised for it.
         let freshness = self.lease_proxy.workers.record_heartbeat(heartbeat, &self.context);
         if freshness == Freshness::Duplicate {
             self.duplicates_dropped += 1;
@@ -49,7 +52,7 @@
         }
         match self.try_serve_by_proxy(id, heartbeat) {
             ServeOutcome::Answered => true,
-            // If it were redirected instead, its lease might expire on the way.
+            // If the worker were redirected instead, its lease might expire in the meantime.
             ServeOutcome::Pending => {
                 let hold_ms = self.context.config.max_heartbeat_hold_ms();
                 let deadline_ms = self.context.now.steady_ms + hold_ms;
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Tries again what is parked; redirects what has waited for too long.
+    /// Retries the parked heartbeats; redirects the workers whose deadline has passed.
     pub(super) fn retry_parked_heartbeats(&mut self) {
         let now = self.context.now.steady_ms;
         for parked in self.lease_proxy.parked.take() {
@@ -87,7 +90,7 @@
             self.mail_new_worker(heartbeat, epoch);
             return ServeOutcome::Refused;
         }
-        // Last commanded by a leader whose epoch is not known here yet.
+        // The worker was last commanded by a leader whose epoch is not known here yet.
         if epoch_of(heartbeat.fencing_token) > epoch {
             return ServeOutcome::Refused;
         }
@@ -106,11 +109,12 @@
         if review.unproven || !claimed {
             return ServeOutcome::Pending;
         }
-        self.answer_by_proxy(id, heartbeat, epoch, review.stops);
+        self.answer_by_proxy(id, heartbeat, epoch, review.stop_orders);
         ServeOutcome::Answered
     }
 
-    /// A worker that was never commanded has no lease to renew; but the leader may take it on.
+    /// Mails the heartbeat of a worker that was never commanded. The worker has no lease to renew,
+    /// but the leader may register it.
     fn mail_new_worker(&mut self, heartbeat: &Heartbeat, epoch: u64) {
         if self.lease_proxy.claim.is_recorded(epoch) {
             self.mail_heartbeat(heartbeat);
@@ -122,11 +126,11 @@
         let is_running = |task: &&HeartbeatTask| task.status != TaskStatus::Exited;
         for task in heartbeat.tasks.iter().filter(is_running) {
             let Some((job, _)) = parse_task(&task.task) else { continue };
-            self.review_job(job, &mut review);
+            self.add_job_to_read(job, &mut review);
             match self.lease_proxy.jobs.liveness(job, &self.context) {
                 JobLiveness::Live => {}
                 JobLiveness::Unproven => review.unproven = true,
-                JobLiveness::Terminal => review.stops.push(Order::Stop {
+                JobLiveness::Terminal => review.stop_orders.push(Order::Stop {
                     task: task.task.clone(),
                     attempt: task.attempt,
                     grace_s: 0.0,
@@ -136,9 +140,9 @@
         review
     }
 
-    fn review_job(&self, job: &str, review: &mut TaskReview) {
-        let listed = review.jobs_to_read.iter().any(|listed| listed == job);
-        if !listed && self.lease_proxy.jobs.needs_read(job, &self.context) {
+    fn add_job_to_read(&self, job: &str, review: &mut TaskReview) {
+        let already_listed = review.jobs_to_read.iter().any(|listed| listed == job);
+        if !already_listed && self.lease_proxy.jobs.needs_read(job, &self.context) {
             review.jobs_to_read.push(job.to_string());
         }
     }
--- a/crates/core/src/membership/epoch_watch.rs
+++ b/crates/core/src/membership/epoch_watch.rs
@@ -145,7 +145,9 @@
                 EPOCH_KEY => match decode::<EpochRecord>(&pair.value) {
                     Some(record) => snapshot.epoch = Some(Revisioned { record, revision }),
                     None => {
-                        tracing::error!("cannot decode epoch record; not campaigning for leadership");
+                        tracing::error!(
+                            "cannot decode epoch record; not campaigning for leadership"
+                        );
                         return None;
                     }
                 },
--- a/crates/core/src/membership/stall.rs
+++ b/crates/core/src/membership/stall.rs
@@ -93,7 +93,9 @@
         let store_unreachable = overdue && !self.membership.store_answered_since(resumed_ms);
         let holds_leadership = self.membership.role().holds_leadership();
         if self.leadership_unverified()
-            && (store_unreachable || !holds_leadership || self.membership.epoch_known_since(resumed_ms))
+            && (store_unreachable
+                || !holds_leadership
+                || self.membership.epoch_known_since(resumed_ms))
         {
             self.set_stall_state(StallState::Verified);
         }
