--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -1,8 +1,8 @@
-//! Capacity limits: how many machines, requests and bytes a controller provides for.
+//! Capacity limits: the numbers of machines, requests and bytes that a controller is sized for.
 //!
-//! Every limit on a count of machines, or of what machines and their users do at once,
-//! follows from the platform's settings here. None is ever below [`MIN_FLEET`] machines,
-//! whatever the settings say; what holds message bodies is bounded in bytes as well.
+//! Every limit on the number of machines, or on what machines and their users do concurrently, is
+//! derived from the platform's settings in this module. No limit is below [`MIN_FLEET`] machines,
+//! whatever the settings are. Collections of message bodies are also bounded in bytes.
 
 use std::collections::BTreeMap;
 
@@ -11,24 +11,25 @@
 
 use crate::config::Config;
 
-/// Machines that every limit allows for, at any settings.
+/// Minimum number of machines that every limit allows for, whatever the settings are.
 pub const MIN_FLEET: usize = 4_500;
-/// Memory of the controller for each machine that it provides for.
+/// Memory of the controller, in bytes, for each machine that it is sized for.
 const BYTES_PER_MACHINE: f64 = 16.0 * 1024.0;
-/// A heartbeat of ordinary size: with the names of some ten tasks.
+/// Size in bytes of a typical heartbeat, which contains the names of about ten tasks.
 const HEARTBEAT_BYTES: usize = 1024;
-/// Share of the memory that each kind of held message bodies may take.
+/// Share of the memory that each kind of held message bodies may use.
 const HELD_BODIES_SHARE: f64 = 0.125;
-/// Jobs whose tasks a machine runs at a time, in the mean over a fleet.
+/// Mean number of jobs, over a fleet, whose tasks a machine runs at a time.
 const JOBS_PER_MACHINE: usize = 4;
-/// Calls to a machine that may wait at a time: its commands and a status request.
+/// Maximum number of calls to a machine that wait at a time: its commands and a status request.
 const CALLS_PER_MACHINE: usize = 2;
-/// Heartbeat intervals up to which the index of the batch records is updated.
+/// Maximum age of the index of the batch records, in heartbeat intervals, at which it is updated
+/// instead of rebuilt.
 const INDEX_AGE_IN_HEARTBEATS: u64 = 2;
-/// Share of the memory for known terminal jobs, and what one of them takes.
+/// Share of the memory for known terminal jobs, each of which takes [`TERMINAL_JOB_BYTES`].
 const TERMINAL_JOBS_SHARE: f64 = 0.05;
 const TERMINAL_JOB_BYTES: f64 = 160.0;
-/// Terminal jobs that are remembered for each machine of the smallest fleet.
+/// Number of terminal jobs remembered for each machine of the smallest fleet.
 const MIN_TERMINAL_JOBS_PER_MACHINE: usize = 5;
 
 impl Config {
@@ -36,65 +37,68 @@
         self.platform.params.limits.memory_mb * 1024.0 * 1024.0
     }
 
-    /// Machines that this controller provides for: as many as its memory has room for.
+    /// Returns the number of machines that this controller is sized for, which its memory limits.
     pub fn max_fleet(&self) -> usize {
         ((self.memory_bytes() / BYTES_PER_MACHINE) as usize).max(MIN_FLEET)
     }
 
-    /// Requests that wait for their answers at a time. Each holds a connection, and so the
-    /// sockets run out first.
+    /// Returns how many requests may wait for their answers at a time. Each holds a connection, so
+    /// the sockets run out first.
     pub fn max_open_requests(&self) -> usize {
         self.platform.params.limits.max_sockets.max(MIN_FLEET)
     }
 
-    /// Bytes of message bodies of one kind that are held at a time.
+    /// Returns how many bytes of message bodies of one kind may be held at a time.
     pub fn max_held_bytes(&self) -> usize {
         ((self.memory_bytes() * HELD_BODIES_SHARE) as usize).max(MIN_FLEET * HEARTBEAT_BYTES)
     }
 
-    /// Heartbeats that are held while it is not known who leads or what the records say.
+    /// Returns how many heartbeats may be held while it is unknown who leads or what the records
+    /// contain.
     pub fn max_held_heartbeats(&self) -> usize {
         self.max_open_requests()
     }
 
-    /// Heartbeats that wait for the lease proxy's claim or for a read.
+    /// Returns how many heartbeats may wait for the lease proxy's claim or for a read.
     pub fn max_parked_heartbeats(&self) -> usize {
         self.max_open_requests()
     }
 
-    /// Workers whose newest messages a lease proxy remembers.
+    /// Returns for how many workers a lease proxy remembers the latest messages.
     pub fn max_proxied_workers(&self) -> usize {
         self.max_fleet()
     }
 
-    /// Jobs that a lease proxy reads for the workers that it keeps.
+    /// Returns how many jobs a lease proxy may track for the workers whose leases it renews.
     pub fn max_proxied_jobs(&self) -> usize {
         JOBS_PER_MACHINE * self.max_fleet()
     }
 
-    /// Workers of other zones that a follower remembers.
+    /// Returns how many workers of other zones a follower remembers.
     pub fn max_out_of_zone_workers(&self) -> usize {
         self.max_fleet()
     }
 
-    /// Heartbeats, and replies to commands, that wait for the mailbox to a sibling.
+    /// Returns how many heartbeats, and how many replies to commands, may wait to be mailed to one
+    /// sibling.
     pub fn max_outbox_entries(&self) -> usize {
         self.max_fleet()
     }
 
-    /// Calls that wait for a free connection, over all peers.
+    /// Returns how many calls, over all peers, may wait for a free connection.
     pub fn max_queued_calls(&self) -> usize {
         CALLS_PER_MACHINE * self.max_fleet() + self.max_open_requests()
     }
 
-    /// Age up to which the index of the batch records is updated instead of built anew. The
-    /// changes since then must fit [`Config::max_answer_bytes`].
+    /// Returns the maximum age, in milliseconds, at which the index of the batch records is updated
+    /// instead of rebuilt. The changes since then must fit [`Config::max_answer_bytes`].
     pub fn max_index_update_age_ms(&self) -> u64 {
         INDEX_AGE_IN_HEARTBEATS * self.heartbeat_interval_ms()
     }
 
-    /// Largest answer to a call of ours. A list of changes has no limit of its own: it holds
-    /// what the rate of writes allows between two looks, each value of the largest size.
+    /// Returns the maximum size, in bytes, of an answer to a call that this controller makes. A
+    /// list of changes has no limit of its own: it contains what the write rate allows between two
+    /// reads, each value being of the largest size.
     pub fn max_answer_bytes(&self) -> usize {
         let state = &self.platform.params.state;
         let span_ms = self.max_index_update_age_ms() + 3 * self.store_timeout_ms() + 1_000;
@@ -102,8 +106,9 @@
         (changes as usize).min(self.max_held_bytes()).max(MIN_ANSWER_LIMIT)
     }
 
-    /// Submissions whose outcome is unknown. Each took a write of its own and is looked
-    /// for no longer than a lease bound, so the rate of writes bounds them.
+    /// Returns how many submissions with an unknown outcome may be tracked. Each took a write of
+    /// its own and is looked for no longer than the lease bound, so the write rate limits their
+    /// number.
     pub fn max_indeterminate_submissions(&self) -> usize {
         let state = &self.platform.params.state;
         let next = state.next.and_then(|n| n.write_rps).unwrap_or(0.0);
@@ -111,61 +116,62 @@
         ((state.write_rps.max(next) * span_s) as usize).max(MIN_FLEET)
     }
 
-    /// Status queries that wait for a shared read.
+    /// Returns how many status queries may wait for a shared read.
     pub fn max_waiting_status_queries(&self) -> usize {
         self.max_open_requests()
     }
 
-    /// Requests of users that are timed at a time.
+    /// Returns for how many user requests the latency may be measured at a time.
     pub fn max_timed_requests(&self) -> usize {
         self.max_open_requests()
     }
 
-    /// Lookups that wait for a read of all job batches: users' and a lease proxy's.
+    /// Returns how many lookups, by users and by a lease proxy, may wait for a read of all job
+    /// batches.
     pub fn max_batch_lookups(&self) -> usize {
         self.max_open_requests() + self.max_fleet()
     }
 
-    /// Requests at a time that read their jobs' dependencies.
+    /// Returns how many requests may read the dependencies of their jobs at a time.
     pub fn max_dependency_walks(&self) -> usize {
         self.max_open_requests()
     }
 
-    /// Terminal jobs that are remembered; older ones are read again.
+    /// Returns how many terminal jobs are remembered; older ones are read from the store again.
     pub fn max_terminal_jobs(&self) -> usize {
         let room = self.memory_bytes() * TERMINAL_JOBS_SHARE / TERMINAL_JOB_BYTES;
         (room as usize).max(MIN_TERMINAL_JOBS_PER_MACHINE * MIN_FLEET)
     }
 }
 
-/// Roughly what a heartbeat takes in memory.
+/// Returns the approximate memory used by a heartbeat, in bytes.
 pub(crate) fn heartbeat_bytes(heartbeat: &Heartbeat) -> usize {
-    let texts = [&heartbeat.machine, &heartbeat.addr, &heartbeat.kind, &heartbeat.zone];
+    let strings = [&heartbeat.machine, &heartbeat.addr, &heartbeat.kind, &heartbeat.zone];
     let tasks = heartbeat.tasks.iter();
     std::mem::size_of::<Heartbeat>()
-        + texts.iter().map(|text| text.len()).sum::<usize>()
+        + strings.iter().map(|string| string.len()).sum::<usize>()
         + tasks.map(|t| std::mem::size_of_val(t) + t.task.len()).sum::<usize>()
 }
 
-/// Makes room for one more entry if there are `most`: the eighth that is oldest goes, so
-/// that a full map is not searched for each new entry.
+/// Makes room for one more entry if the map holds `max_entries`. The oldest eighth of the entries
+/// is evicted at once, so that a full map is not searched for each new entry.
 pub(crate) fn forget_oldest<V>(
     map: &mut BTreeMap<String, V>,
-    most: usize,
+    max_entries: usize,
     age: impl Fn(&V) -> u64,
 ) {
-    if map.len() < most {
+    if map.len() < max_entries {
         return;
     }
     let mut by_age: Vec<(u64, String)> = map.iter().map(|(k, v)| (age(v), k.clone())).collect();
     by_age.sort_unstable();
-    let excess = map.len() - most;
-    for (_, key) in by_age.into_iter().take(excess + (most / 8).max(1)) {
+    let excess = map.len() - max_entries;
+    for (_, key) in by_age.into_iter().take(excess + (max_entries / 8).max(1)) {
         map.remove(&key);
     }
 }
 
-/// A list bounded by a count and by the bytes of what it holds.
+/// A list bounded in the number and the total bytes of its entries.
 #[derive(Debug)]
 pub(crate) struct BoundedList<T> {
     entries: Vec<(T, usize)>,
@@ -187,7 +193,8 @@
         self.entries.get_mut(at).map(|(entry, _)| entry)
     }
 
-    /// Adds an entry of so many bytes; false if it does not fit. A single entry always fits.
+    /// Adds an entry that takes `bytes`; returns false if it does not fit. A single entry always
+    /// fits.
     pub fn push(&mut self, entry: T, bytes: usize) -> bool {
         let over = self.entries.len() >= self.max_count || self.bytes + bytes > self.max_bytes;
         if over && !self.entries.is_empty() {
@@ -198,7 +205,7 @@
         true
     }
 
-    /// Empties the list; each entry comes with its bytes.
+    /// Removes and returns all entries, each with its size in bytes.
     pub fn take(&mut self) -> Vec<(T, usize)> {
         self.bytes = 0;
         std::mem::take(&mut self.entries)
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,5 +1,6 @@
-//! Settings of the core: the platform's, the operators', and the times that follow from them.
-//! Every time is a ratio to a setting, so that it holds for any deployment.
+//! Settings of the core: the platform's settings, the operators' settings, and the durations
+//! derived from them. Every duration is a ratio to a setting, so that it is valid for any
+//! deployment.
 
 use std::collections::BTreeSet;
 
@@ -7,30 +8,33 @@
 use quartzgate_wire::settings::{Platform, SettingsError, StateLimits};
 use serde::Deserialize;
 
-/// Operators' own settings, read from YAML. Every key may be left out.
+/// Operators' settings, read from YAML. Every key is optional.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
-    /// Probes of each short task.
+    /// Number of probes placed for each short task.
     pub probes: usize,
-    /// Tasks estimated to run longer than this, in seconds, get a single probe at the best machine.
+    /// Tasks with an estimated run time above this, in seconds, get a single probe at the best
+    /// machine.
     pub long_task_s: f64,
-    /// Demand/supply ratio above which scarce constraints may go first.
+    /// Demand/supply ratio above which tasks with scarce constraints may be started first.
     pub ratio_threshold: f64,
-    /// E\[W\], in seconds, above which scarce constraints go first.
+    /// Expected wait E\[W\], in seconds, above which tasks with scarce constraints are started
+    /// first.
     pub wait_threshold_s: f64,
-    /// How often a queued task may be passed by others.
+    /// Maximum number of times that a queued task may be overtaken by other tasks.
     pub slack_cap: u32,
-    /// Idle time after which a machine is released, in multiples of the larger of
-    /// its boot time and the minute that is charged at least.
+    /// Idle time after which a machine is released, as a multiple of its boot time or of the
+    /// minimum charge of one minute, whichever is larger.
     pub idle_ratio: f64,
-    /// Resources of ordinary machines kept free for production starts, as a share of what
-    /// production uses.
+    /// Resources of ordinary machines that are kept free for starts of production jobs, as a share
+    /// of the resources that production uses.
     pub warm_share: f64,
-    /// Whether this controller agrees to format 2 of the records, and so to any later one.
-    /// Once all do, the first version cannot be put back.
+    /// Whether this controller agrees to activate format 2 of the records, and thereby any later
+    /// one. Once all controllers agree, the first version can no longer be restored.
     pub new_format: bool,
-    /// Accepted jobs share batch records while less than this part of a second's writes is left.
+    /// Accepted jobs share batch records while less than this fraction of a second's write budget
+    /// is left.
     pub share_pages_below: f64,
     /// Names of formats and features that this controller does not agree to activate.
     pub withhold: Vec<String>,
@@ -54,9 +58,10 @@
 }
 
 impl Operator {
-    /// Checks that every value is in range and every step is known; the error names the key.
+    /// Checks that every value is in range and that every withheld step is known. The error names
+    /// the setting.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let range = |field: &str, value: f64, low: f64, high: f64| {
+        let check_range = |field: &str, value: f64, low: f64, high: f64| {
             if (low..=high).contains(&value) {
                 return Ok(());
             }
@@ -65,21 +70,22 @@
                 problem: format!("must be from {low} to {high}"),
             })
         };
-        range("probes", self.probes as f64, 1.0, 16.0)?;
-        range("long_task_s", self.long_task_s, 1.0, 1e6)?;
-        range("ratio_threshold", self.ratio_threshold, 0.0, 1e6)?;
-        range("wait_threshold_s", self.wait_threshold_s, 0.0, 1e6)?;
-        range("slack_cap", self.slack_cap as f64, 0.0, 1e6)?;
-        range("idle_ratio", self.idle_ratio, 0.0, 1e4)?;
-        range("warm_share", self.warm_share, 0.0, 10.0)?;
-        range("share_pages_below", self.share_pages_below, 0.0, 1.0)?;
+        check_range("probes", self.probes as f64, 1.0, 16.0)?;
+        check_range("long_task_s", self.long_task_s, 1.0, 1e6)?;
+        check_range("ratio_threshold", self.ratio_threshold, 0.0, 1e6)?;
+        check_range("wait_threshold_s", self.wait_threshold_s, 0.0, 1e6)?;
+        check_range("slack_cap", self.slack_cap as f64, 0.0, 1e6)?;
+        check_range("idle_ratio", self.idle_ratio, 0.0, 1e4)?;
+        check_range("warm_share", self.warm_share, 0.0, 10.0)?;
+        check_range("share_pages_below", self.share_pages_below, 0.0, 1.0)?;
         GATES.check_step_names(&self.withhold).map_err(|unknown| SettingsError {
             field: "withhold".into(),
             problem: unknown.to_string(),
         })
     }
 
-    /// Formats and features that this controller does not agree to activate.
+    /// Returns the names of the formats and features that this controller does not agree to
+    /// activate.
     pub fn withheld(&self) -> BTreeSet<String> {
         let first = GATES.formats.first().filter(|_| !self.new_format);
         let named = self.withhold.iter().cloned();
@@ -90,139 +96,142 @@
 /// All settings of one controller.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The platform's settings.
+    /// Settings supplied by the platform.
     pub platform: Platform,
-    /// The operators' settings.
+    /// Settings supplied by the operators.
     pub operator: Operator,
-    /// Limits of the key-value store that hold now and after they have fallen.
+    /// Limits of the key-value store that hold both now and after an announced reduction.
     pub lowest: StateLimits,
-    /// The formats and features that this build knows.
+    /// Formats and features that this build supports.
     pub table: &'static GateTable,
 }
 
-/// Time after which a worker ignores the answer to its heartbeat, by the protocol.
-const ANSWER_DROP_MS: u64 = 4_000;
-/// Monotonic clocks drift apart by up to 0.05%; counted twice, for both ends.
-const DRIFT: f64 = 0.001;
+/// Time, defined by the protocol, after which a worker ignores the answer to its heartbeat.
+const ANSWER_IGNORED_AFTER_MS: u64 = 4_000;
+/// Allowance for clock drift. Monotonic clocks drift apart by up to 0.05%, which is counted twice,
+/// once for each end.
+const DRIFT_ALLOWANCE: f64 = 0.001;
 
-fn ms(seconds: f64) -> u64 {
+fn seconds_to_ms(seconds: f64) -> u64 {
     (seconds * 1000.0).ceil() as u64
 }
 
 impl Config {
-    /// Settings with the feature gates that this build knows.
+    /// Creates the settings of a controller with the feature gates that this build supports.
     pub fn new(platform: Platform, operator: Operator) -> Self {
         let lowest = platform.params.state.lowest();
         Config { platform, operator, lowest, table: &GATES }
     }
 
-    /// Time between two heartbeats of a worker.
+    /// Returns the time between two heartbeats of a worker.
     pub fn heartbeat_interval_ms(&self) -> u64 {
-        ms(self.platform.params.workers.report_s)
+        seconds_to_ms(self.platform.params.workers.report_s)
     }
 
-    /// Length of a worker's lease, from when it sent the heartbeat that was answered.
+    /// Returns the duration of a worker's lease, measured from when the worker sent the heartbeat
+    /// that was answered.
     pub fn lease_ms(&self) -> u64 {
-        ms(self.platform.params.workers.lease_s)
+        seconds_to_ms(self.platform.params.workers.lease_s)
     }
 
-    /// Time within which the tasks of a cancelled job must be gone.
+    /// Returns the time within which the tasks of a cancelled job must have stopped.
     fn cancel_ms(&self) -> u64 {
-        ms(self.platform.params.workers.cancel_s)
+        seconds_to_ms(self.platform.params.workers.cancel_s)
     }
 
-    /// Margin for drift over the longest span that is measured, and for two late timers.
+    /// Returns the margin for clock drift over the longest measured span and for two late timers.
     fn margin_ms(&self) -> u64 {
-        ms(self.platform.params.workers.cancel_s * DRIFT) + 250
+        seconds_to_ms(self.platform.params.workers.cancel_s * DRIFT_ALLOWANCE) + 250
     }
 
-    /// The lease bound: how long after its last proven contact with the key-value store a
-    /// controller may go on answering heartbeats, so that all that it keeps alive is gone in time
-    /// for a cancellation that it did not see. A worker's lease counts from when it sent the
-    /// heartbeat, so the time after which it ignores an answer needs no place here.
+    /// Returns the lease bound: how long after its last proven contact with the key-value store a
+    /// controller may continue to answer heartbeats. Within this bound, every task that it keeps
+    /// alive stops in time for a cancellation that the controller did not see. A worker's lease is
+    /// measured from when the worker sent the heartbeat, so the time after which it ignores an
+    /// answer does not enter the calculation.
     pub fn lease_bound_ms(&self) -> u64 {
         self.cancel_ms().saturating_sub(self.lease_ms() + 2 * self.margin_ms())
     }
 
-    /// How long after this leader's last answer a worker that accepts only its fencing token must
-    /// have given up all its tasks.
+    /// Returns how long after this leader's last answer a worker that accepts only this leader's
+    /// fencing token must have stopped all its tasks.
     pub fn lease_expiry_ms(&self) -> u64 {
         self.lease_ms() + self.margin_ms()
     }
 
-    /// How long after an epoch began a worker that never saw its fencing token must have given up
-    /// all its tasks: the earlier leader has stopped answering by its lease bound, and the lease
-    /// that it last renewed has expired.
+    /// Returns how long after the start of an epoch a worker that never received the epoch's
+    /// fencing token must have stopped all its tasks. By then, the earlier leader has stopped
+    /// answering because of its lease bound, and the lease that it last renewed has expired.
     pub fn inherited_lease_expiry_ms(&self) -> u64 {
         self.lease_bound_ms() + self.lease_ms() + 2 * self.margin_ms()
     }
 
-    /// Time to live of a controller's lease at the key-value store.
+    /// Returns the time to live of a controller's lease in the key-value store.
     pub fn controller_lease_ttl_ms(&self) -> u64 {
         (self.lease_ms() / 4).max(1000)
     }
 
-    /// Time between two renewals of a controller's lease.
+    /// Returns the time between two renewals of a controller's lease.
     pub fn lease_renewal_ms(&self) -> u64 {
         self.controller_lease_ttl_ms() / 4
     }
 
-    /// How long a watch at the key-value store waits for a change.
+    /// Returns how long a watch blocks at the key-value store while there is no change.
     pub fn watch_block_ms(&self) -> u64 {
-        // Contact must be proven several times within the lease bound.
+        // Contact with the store must be proven several times within the lease bound.
         self.heartbeat_interval_ms().clamp(1000, 3000).min((self.lease_bound_ms() / 4).max(100))
     }
 
-    /// Time between two events above which the process must have stalled: ticks come far more
-    /// often, and a lease outlasts it.
+    /// Returns the time between two events above which the process must have stalled. Ticks come
+    /// far more often than this, and a lease lasts longer.
     pub fn stall_threshold_ms(&self) -> u64 {
         self.controller_lease_ttl_ms() / 3
     }
 
-    /// Timeout of an ordinary call to the key-value store.
+    /// Returns the timeout of an ordinary call to the key-value store.
     pub fn store_timeout_ms(&self) -> u64 {
         (self.controller_lease_ttl_ms() / 3).clamp(400, 1000)
     }
 
-    /// Timeout of a call to a worker.
+    /// Returns the timeout of a call to a worker.
     pub fn worker_timeout_ms(&self) -> u64 {
-        self.heartbeat_interval_ms().clamp(800, ANSWER_DROP_MS / 2)
+        self.heartbeat_interval_ms().clamp(800, ANSWER_IGNORED_AFTER_MS / 2)
     }
 
-    /// How long a worker waits for the answer to its heartbeat.
+    /// Returns how long a worker waits for the answer to its heartbeat.
     pub fn worker_patience_ms(&self) -> u64 {
-        ANSWER_DROP_MS
+        ANSWER_IGNORED_AFTER_MS
     }
 
-    /// How long a worker's heartbeat may be held before it is answered: well within the time
-    /// after which the worker turns to another controller.
+    /// Returns how long a worker's heartbeat may be held before it is answered: well within the
+    /// time after which the worker turns to another controller.
     pub fn max_heartbeat_hold_ms(&self) -> u64 {
-        ANSWER_DROP_MS * 3 / 4
+        ANSWER_IGNORED_AFTER_MS * 3 / 4
     }
 
-    /// Timeout of a call to another controller: well within the two seconds that a user waits for
-    /// the answer to a status query.
+    /// Returns the timeout of a call to another controller: well within the two seconds that a user
+    /// waits for the answer to a status query.
     pub fn mesh_timeout_ms(&self) -> u64 {
         1_000
     }
 
-    /// Timeout of a user's request that is forwarded: what is left must do to decide it here by
-    /// the records.
+    /// Returns the timeout of a forwarded user request. The remaining time must suffice to decide
+    /// the request on this controller from the records.
     pub fn forward_timeout_ms(&self) -> u64 {
         self.mesh_timeout_ms() * 2 / 5
     }
 
-    /// Longest time for which changes are gathered into one write.
+    /// Returns the longest time for which changes are collected into one write.
     pub fn write_batch_ms(&self) -> u64 {
         self.heartbeat_interval_ms() / 10
     }
 
-    /// Longest time for which a write that nothing waits for is delayed by others.
+    /// Returns the longest time for which other writes may delay a write that nothing waits for.
     pub fn max_write_delay_ms(&self) -> u64 {
         self.lease_ms() / 2
     }
 
-    /// Index of a team in the settings.
+    /// Returns the index of a team in the settings, if the team exists.
     pub fn team(&self, name: &str) -> Option<usize> {
         self.platform.params.teams.iter().position(|t| t.name == name)
     }
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -1,9 +1,9 @@
-//! What every module of the core may use: settings, the present time, random numbers, and the
-//! way out for answers and calls.
+//! Facilities shared by all modules of the core: settings, the present time, random numbers, and
+//! the output of answers and calls.
 //!
-//! A module that owns its state takes a `&mut Context` beside its arguments instead of the whole
-//! controller. Calls that it makes are noted in its own [`CallTable`]; the controller routes each
-//! outcome to the module whose table has the call.
+//! A module that owns its state takes a `&mut Context` in addition to its arguments instead of the
+//! whole controller. It records the calls that it makes in its own [`CallTable`], and the
+//! controller routes each outcome to the module whose table contains the call.
 
 use std::collections::HashMap;
 
@@ -17,10 +17,10 @@
 use crate::latency::Latencies;
 use crate::{Action, Call, CallId, Now, Peer, RequestId};
 
-/// Settings, clocks and effects, shared by all modules of one controller.
+/// Settings, clocks and pending actions, shared by all modules of one controller.
 pub(crate) struct Context {
     pub config: Config,
-    /// The time of the event that is being handled.
+    /// Time of the event that is being handled.
     pub now: Now,
     pub rng: SmallRng,
     pub latencies: Latencies,
@@ -43,12 +43,13 @@
         }
     }
 
-    /// The actions that came of the event, in the order in which they were asked for.
+    /// Removes and returns the actions that the event caused, in the order in which they were
+    /// requested.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Asks for a call; its outcome comes back under the identifier returned.
+    /// Requests a call and returns the identifier under which its outcome is reported.
     pub fn call(
         &mut self,
         peer: Peer,
@@ -63,25 +64,25 @@
         id
     }
 
-    /// A call to the key-value store with the timeout for ordinary answers.
+    /// Requests a call to the key-value store with the timeout for ordinary answers.
     pub fn call_store(&mut self, method: &'static str, target: String, body: Vec<u8>) -> CallId {
         let timeout_ms = self.config.store_timeout_ms();
         self.call(Peer::State, method, target, body, timeout_ms)
     }
 
-    /// Answers a request, and ends the measurement of its latency.
+    /// Answers a request and ends the measurement of its latency.
     pub fn answer(&mut self, id: RequestId, response: Response) {
         self.latencies.end(id, self.now.steady_ms);
         self.actions.push(Action::Answer { id, response });
     }
 
-    /// Answers a request with an error status and its reason.
+    /// Answers a request with an error status and an error text.
     pub fn answer_error(&mut self, id: RequestId, status: u16, error: &str) {
         let body = to_cbor(&ErrorAnswer { error: error.to_string() });
         self.answer(id, Response::new(status, body));
     }
 
-    /// Answers at once that the request can't be decided now, and when to retry it.
+    /// Answers at once that the request cannot be decided now, and when to retry it.
     pub fn answer_busy(&mut self, id: RequestId, reason: RefusalReason) {
         self.refusals.count(id, reason, self.now.steady_ms);
         let body = to_cbor(&ErrorAnswer { error: "can't decide at present".into() });
@@ -91,7 +92,7 @@
     }
 }
 
-/// Calls of one module whose outcomes have not come yet, and what each was for.
+/// Calls of one module whose outcomes are not known yet, and the purpose of each.
 pub(crate) struct CallTable<Purpose> {
     in_flight: HashMap<CallId, Purpose>,
 }
@@ -103,12 +104,12 @@
 }
 
 impl<Purpose> CallTable<Purpose> {
-    /// Notes what a call is for.
+    /// Records the purpose of a call.
     pub fn insert(&mut self, call: CallId, purpose: Purpose) {
         self.in_flight.insert(call, purpose);
     }
 
-    /// Takes out what a call was for, if this module made it.
+    /// Removes and returns the purpose of a call, or `None` if this module did not make the call.
     pub fn take(&mut self, call: CallId) -> Option<Purpose> {
         self.in_flight.remove(&call)
     }
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -1,4 +1,4 @@
-//! The controller: takes events, routes them to the modules, and returns actions.
+//! The controller: receives events, routes them to the modules, and returns the resulting actions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,21 +37,23 @@
 use crate::terminal_jobs::TerminalJobs;
 use crate::{Action, Event, LoadState, Now, Outcome, Peer, RequestId};
 
-/// Resources that a team uses.
+/// Resources used by a team.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TeamUsage {
-    /// Placed and not proven to have ended: what the quota is held against.
+    /// Resources of placed tasks that are not proven to have ended; compared with the quota.
     pub reserved: Resources,
-    /// On machines.
+    /// Resources of tasks on machines.
     pub placed: Resources,
-    /// Perhaps on machines: not proven to be gone yet.
+    /// Resources of tasks that may still be on machines because they are not proven to be gone.
     pub unproven: Resources,
 }
 
-/// One controller: routes each event to the modules that own the state, and their actions out.
+/// A controller: routes each event to the modules that own the affected state, and collects their
+/// actions.
 ///
-/// The modules up to `types` hold what every controller knows; those after it are the leader's
-/// memory, which is rebuilt from the records when it is elected and cleared when it steps down.
+/// Every controller uses the fields up to `machine_types_requested_ms`; the fields after it serve
+/// the leader. The leader's in-memory state is rebuilt from the records when it is elected and
+/// cleared when it steps down.
 pub struct Controller {
     pub(crate) context: Context,
     calls: CallTable<InFlight>,
@@ -74,7 +76,7 @@
     pub(crate) machine_types: Vec<MachineType>,
     pub(crate) machine_types_at_ms: Option<u64>,
     pub(crate) machine_types_requested_ms: u64,
-    // The leader's memory.
+    // Fields that serve the leader.
     pub(crate) jobs: Jobs,
     pub(crate) machines: Machines,
     pub(crate) teams: Vec<TeamUsage>,
@@ -84,7 +86,7 @@
     pub(crate) ratios: DemandRatios,
     pub(crate) search_budget: SearchBudget,
     pub(crate) load: LoadState,
-    /// Metrics of requests that waited, from the event loop.
+    /// Metrics of requests that had to wait, reported by the event loop.
     pub(crate) intake: Vec<(String, f64)>,
     pub(crate) admission: AdmissionControl,
     pub(crate) epoch_began_ms: u64,
@@ -96,23 +98,24 @@
     pub(crate) reprobe_due: bool,
     pub(crate) drain_due: bool,
     pub(crate) preempt_due: bool,
-    placed_at_ms: u64,
-    reprobed_ms: u64,
-    preempted_ms: u64,
+    last_placement_ms: u64,
+    last_reprobe_ms: u64,
+    last_preemption_ms: u64,
     pub(crate) supply_changed: bool,
-    pub(crate) round_at_ms: u64,
-    pub(crate) second_at_ms: u64,
+    pub(crate) next_round_ms: u64,
+    pub(crate) next_second_ms: u64,
     pub(crate) recorded_job_reads: RecordedJobReads,
-    /// Heartbeats that were answered with a redirect.
+    /// Number of heartbeats answered with a redirect.
     pub(crate) redirected_workers: u64,
-    /// Resources that are held for gangs, by machine.
+    /// Resources reserved for gangs, by machine.
     pub(crate) gang_holds: BTreeMap<MachineIndex, GangHold>,
-    /// Duplicates of heartbeats that were dropped.
+    /// Number of duplicate heartbeats that were dropped.
     pub(crate) duplicates_dropped: u64,
 }
 
 impl Controller {
-    /// A controller that has just been started, with its settings and its random numbers.
+    /// Creates a controller in its initial state, with its settings and its random number
+    /// generator.
     pub fn new(cfg: Config, rng: SmallRng) -> Self {
         let teams = vec![TeamUsage::default(); cfg.platform.params.teams.len()];
         let record_writer = RecordWriter::new(&cfg.platform.params.state);
@@ -168,12 +171,12 @@
             reprobe_due: false,
             drain_due: false,
             preempt_due: false,
-            placed_at_ms: 0,
-            reprobed_ms: 0,
-            preempted_ms: 0,
+            last_placement_ms: 0,
+            last_reprobe_ms: 0,
+            last_preemption_ms: 0,
             supply_changed: false,
-            round_at_ms: 0,
-            second_at_ms: 0,
+            next_round_ms: 0,
+            next_second_ms: 0,
             recorded_job_reads: RecordedJobReads::default(),
             redirected_workers: 0,
             gang_holds: BTreeMap::new(),
@@ -181,11 +184,11 @@
         }
     }
 
-    /// Takes in what has happened; returns what is to be done, in this order.
+    /// Handles an event and returns the resulting actions, to be carried out in this order.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
-        let before_ms = std::mem::replace(&mut self.context.now, now).steady_ms;
-        let gap_ms = now.steady_ms.saturating_sub(before_ms);
-        if before_ms > 0 && gap_ms > self.context.config.stall_threshold_ms() {
+        let previous_ms = std::mem::replace(&mut self.context.now, now).steady_ms;
+        let gap_ms = now.steady_ms.saturating_sub(previous_ms);
+        if previous_ms > 0 && gap_ms > self.context.config.stall_threshold_ms() {
             self.on_process_stall(gap_ms);
         }
         match event {
@@ -212,7 +215,7 @@
                 }
             }
         }
-        self.follow_up();
+        self.run_due_work();
         self.context.take_actions()
     }
 
@@ -233,8 +236,8 @@
             return;
         }
         let now = self.context.now.steady_ms;
-        if now >= self.second_at_ms {
-            self.second_at_ms = now + 1000.min(self.context.config.heartbeat_interval_ms());
+        if now >= self.next_second_ms {
+            self.next_second_ms = now + 1000.min(self.context.config.heartbeat_interval_ms());
             self.expire_silent_leases();
             self.inspect_silent_machines();
             self.release_silent_machines();
@@ -248,18 +251,18 @@
             self.retry_batch_reads();
             self.placement_due = true;
             self.dispatch_waiting_machines();
-            self.log_pulse();
+            self.log_metrics();
             self.preempt_due = true;
         }
-        if now >= self.round_at_ms {
-            self.round_at_ms = now + self.context.config.heartbeat_interval_ms();
+        if now >= self.next_round_ms {
+            self.next_round_ms = now + self.context.config.heartbeat_interval_ms();
             self.update_demand_ratios();
             self.reprobe_due = true;
         }
     }
 
-    /// Follows up on whatever the event has made possible.
-    fn follow_up(&mut self) {
+    /// Runs the scheduling work that the event has made due or possible.
+    fn run_due_work(&mut self) {
         if !self.leads() {
             return;
         }
@@ -268,21 +271,24 @@
         if std::mem::take(&mut self.drain_due) {
             self.drain();
         }
-        let (now, pause) = (self.context.now.steady_ms, self.context.config.write_batch_ms());
-        // What has become possible within a moment is placed in one pass.
-        if self.placement_due && now >= self.placed_at_ms + pause / 10 {
-            (self.placement_due, self.placed_at_ms) = (false, now);
+        let (now, batch_interval_ms) =
+            (self.context.now.steady_ms, self.context.config.write_batch_ms());
+        // Placements that become possible within a tenth of a write batch interval are made in one
+        // pass.
+        if self.placement_due && now >= self.last_placement_ms + batch_interval_ms / 10 {
+            (self.placement_due, self.last_placement_ms) = (false, now);
             self.place_all();
             self.tick_gangs();
         }
-        // These two look at all that waits: once in a while is enough.
-        if self.reprobe_due && now >= self.reprobed_ms + pause {
-            self.reprobed_ms = now;
+        // Reprobing and preemption examine everything that waits, so each runs at most once per
+        // write batch interval.
+        if self.reprobe_due && now >= self.last_reprobe_ms + batch_interval_ms {
+            self.last_reprobe_ms = now;
             self.reprobe();
         }
         self.dispatch_touched();
-        if self.preempt_due && now >= self.preempted_ms + pause {
-            self.preempted_ms = now;
+        if self.preempt_due && now >= self.last_preemption_ms + batch_interval_ms {
+            self.last_preemption_ms = now;
             self.preempt_due = false;
             self.preempt();
         }
@@ -293,7 +299,7 @@
     }
 
     pub(crate) fn on_outcome(&mut self, pending: InFlight, outcome: Outcome) {
-        let current = self.epoch();
+        let current_epoch = self.epoch();
         match pending {
             InFlight::AbortNotice => {}
             InFlight::ProxiedJobRead { job, sent_ms } => {
@@ -324,22 +330,23 @@
             }
             InFlight::Types => self.on_machine_types(outcome),
             InFlight::Accept { request, job, placed, epoch } => {
-                if epoch == current {
+                if epoch == current_epoch {
                     self.on_accept(request, job, placed, outcome)
                 } else {
                     self.answer_busy(request, RefusalReason::EpochChanged)
                 }
             }
             InFlight::AbortWrite { request, job, placed, epoch } => {
-                if epoch == current {
+                if epoch == current_epoch {
                     self.on_abort_write(request, job, placed, outcome)
                 } else if let Some(request) = request {
                     self.answer_busy(request, RefusalReason::EpochChanged)
                 }
             }
-            // These concern the leader's memory, which is gone if the epoch has changed.
+            // These outcomes concern the leader's in-memory state, which no longer exists if the
+            // epoch has changed.
             InFlight::HandoffJobRead { epoch, .. } | InFlight::DependencyRead { epoch, .. }
-                if epoch != current => {}
+                if epoch != current_epoch => {}
             InFlight::DependencyRead { job, .. } => self.on_dependency_read(job, outcome),
             InFlight::HandoffJobRead { job, .. } => self.on_handoff_job_read(job, outcome),
         }
@@ -368,13 +375,14 @@
         self.context.answer_error(id, status, error);
     }
 
-    /// Can't be decided now: says so at once, and when to come back.
+    /// Answers at once that the request cannot be decided now, and when to retry it.
     pub(crate) fn answer_busy(&mut self, id: RequestId, reason: RefusalReason) {
         self.track_answer(id, 503, Some(reason));
         self.context.answer_busy(id, reason);
     }
 
-    /// The invariant of all answers: without a fault no job is refused for longer than the limit.
+    /// Tracks an answer and reports a violation of the invariant that, without a fault, no job is
+    /// refused for longer than the limit.
     fn track_answer(&mut self, id: RequestId, status: u16, reason: Option<RefusalReason>) {
         let now_ms = self.context.now.steady_ms;
         let healthy_since_ms = self.membership.store_reachable_since_ms();
@@ -391,7 +399,8 @@
         crate::ids::scoped_to_epoch(self.epoch(), self.attempts)
     }
 
-    /// Another controller has taken over: everything that the leader kept goes.
+    /// Returns to the follower role because another controller has taken over, and drops the
+    /// leader's in-memory state.
     pub(crate) fn step_down(&mut self) {
         if !matches!(self.membership.role(), Role::Follower) {
             tracing::info!(epoch = self.epoch(), "no longer leading");
@@ -423,7 +432,8 @@
         self.machines_to_dispatch.extend(self.machines.indexes());
     }
 
-    /// Machines whose queues hold something that may have become due.
+    /// Schedules a dispatch for all machines with queued tasks, because some of these may have
+    /// become due.
     fn dispatch_waiting_machines(&mut self) {
         let waiting: Vec<MachineIndex> =
             self.machines.iter().filter(|(_, m)| !m.queue.is_empty()).map(|(ix, _)| ix).collect();
@@ -441,30 +451,31 @@
         self.calls.insert(id, pending);
     }
 
-    /// Whether a read may be made now; if so, it is charged.
+    /// Charges a read to the budget if it may be made now; returns whether it may.
     pub(crate) fn may_read(&mut self, purpose: ReadPurpose) -> bool {
         self.membership.store_reads().take(self.context.now.steady_ms, purpose)
     }
 
-    /// Charges a read that is made in any case.
+    /// Charges a read that is made regardless of the budget.
     pub(crate) fn force_read(&mut self, purpose: ReadPurpose) {
         self.membership.store_reads().force(self.context.now.steady_ms, purpose)
     }
 
-    /// The state service asked for a pause.
+    /// Pauses writes, and on status 429 also reads, after the key-value store has asked for a
+    /// pause.
     pub(crate) fn on_store_throttled(&mut self, status: u16) {
         use rand::Rng;
-        let pause = self.context.rng.random_range(100..300);
+        let pause_ms = self.context.rng.random_range(100..300);
         let now = self.context.now.steady_ms;
         if status == 429 {
-            self.membership.store_reads().close(now, pause);
+            self.membership.store_reads().close(now, pause_ms);
         }
-        self.record_writer.writes.close(now, pause);
+        self.record_writer.writes.close(now, pause_ms);
     }
 }
 
 impl Controller {
-    /// Sets the budgets by the limits that are to be kept now.
+    /// Sets the read and write budgets from the limits that currently apply.
     pub(crate) fn fit_rate_limits(&mut self) {
         let limits = self.limits().clone();
         let controllers = self.context.config.platform.siblings.len() + 1;
@@ -478,13 +489,13 @@
     }
 }
 
-/// Shares of the state service's limits that the leader may use; the rest is for
-/// the other controllers.
+/// Returns the share of a key-value store limit that the leader may use; the rest is for the other
+/// controllers.
 pub(crate) fn leader_share(limit: f64) -> f64 {
     limit * 0.7
 }
 
-/// Share of a limit for one controller that does not lead.
+/// Returns the share of a key-value store limit for one controller that does not lead.
 pub(crate) fn follower_share(limit: f64, controllers: usize) -> f64 {
     (limit * 0.3 / (controllers.max(2) - 1) as f64).max(2.0)
 }
--- a/crates/core/src/in_flight.rs
+++ b/crates/core/src/in_flight.rs
@@ -1,7 +1,8 @@
-//! Calls in flight of the modules that have no table of their own: what each was for.
+//! Calls in flight made by the modules that have no call table of their own, and the purpose of
+//! each.
 //!
-//! Calls that concern the leader's memory carry the epoch in which they were made, since that
-//! memory is gone when the epoch has changed.
+//! Calls that concern the leader's in-memory state carry the epoch in which they were made, because
+//! that state no longer exists once the epoch has changed.
 
 use quartzgate_wire::msg::JobSpec;
 
@@ -13,38 +14,39 @@
 use crate::storage::placement_records::RecordLocation;
 use crate::RequestId;
 
-/// What a call was for, of the modules that have no [`crate::context::CallTable`] of their own yet.
+/// Purpose of a call made by a module that has no [`crate::context::CallTable`] of its own yet.
 #[derive(Debug)]
 pub(crate) enum InFlight {
-    /// A lease proxy's read of a job whose task a worker holds.
+    /// A lease proxy's read of a job whose task a worker runs.
     ProxiedJobRead { job: String, sent_ms: u64 },
-    /// A read of a job that was recorded without the leader, or whose submission got no answer.
+    /// A read of a job that was recorded without the leader, or whose submission received no
+    /// answer.
     HandoffJobRead { job: String, epoch: u64 },
     /// The write that accepts a job.
     Accept { request: RequestId, job: JobIndex, placed: RecordLocation, epoch: u64 },
-    /// The write that accepts a job by the store alone.
+    /// The write that accepts a job in the store without the leader.
     AcceptWithoutLeader { request: RequestId, id: String, cancelled: bool },
     /// The write that aborts a job.
     AbortWrite { request: Option<RequestId>, job: JobIndex, placed: RecordLocation, epoch: u64 },
-    /// A read of a job that is to be aborted by the store alone.
+    /// A read of a job that is to be aborted in the store without the leader.
     AbortRead { request: RequestId, id: String },
-    /// The write that aborts a job by the store alone.
+    /// The write that aborts a job in the store without the leader.
     AbortWithoutLeader { request: RequestId, id: String },
     /// A read of a submitted job, to answer a repeated submission or to refuse it.
     Known { request: RequestId, job: String, refusal: Option<Refusal> },
-    /// A read of a job that others depend on and that memory does not know.
+    /// A read of a job that other jobs depend on and that is not in memory.
     DependencyRead { job: String, epoch: u64 },
-    /// A read along the dependencies of a job.
+    /// A read of a job while following the dependencies of a submitted job.
     WalkRead { request: RequestId, job: String },
     /// A read for status queries of one job.
     Poll { requests: Vec<RequestId>, id: String },
     /// A comparison that answers status queries of live jobs.
     CompareLive(LiveComparison),
-    /// A read of a job that is to be accepted by the store alone.
+    /// A read of a job that is to be accepted in the store without the leader.
     LookupBeforeSubmission { request: RequestId, spec: Box<JobSpec>, cancelled: bool },
     /// Reads and writes of job batches.
     Batch(BatchCall),
-    /// A read that validates status answers from memory.
+    /// A read that validates status answers given from memory.
     Compare { compared: ValidatedRead, epoch: u64 },
     /// A user's request that was forwarded to another controller.
     Forward { request: RequestId, sibling: usize, work: Box<UserRequest> },
--- a/crates/core/src/latency.rs
+++ b/crates/core/src/latency.rs
@@ -1,4 +1,4 @@
-//! Latencies for operators: histograms in the metrics.
+//! Latency histograms for operators, exported in the metrics.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 
 use crate::RequestId;
 
-/// What is measured.
+/// Interval whose duration is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LatencySpan {
     /// From a user's submission to its answer.
@@ -15,15 +15,16 @@
     Poll,
     /// From an abort to its answer.
     Abort,
-    /// From when a task's job could run until the task is on a machine, again or not.
+    /// From when a task's job became runnable until the task is on a machine, whether or not the
+    /// task was started before.
     Start,
-    /// The same for the first task of a job with dependencies.
+    /// As [`LatencySpan::Start`], but only for the first task of a job with dependencies.
     ChainStart,
     /// From sending a write of records to its answer.
     Write,
 }
 
-/// Spans with their names in the metrics.
+/// All spans with their names in the metrics.
 const SPANS: [(LatencySpan, &str); 6] = [
     (LatencySpan::Submit, "submit"),
     (LatencySpan::Poll, "poll"),
@@ -32,51 +33,52 @@
     (LatencySpan::ChainStart, "chain_start"),
     (LatencySpan::Write, "write"),
 ];
-/// Longest latency that is told apart from longer ones: an hour.
+/// Largest latency that the histograms distinguish from larger ones: one hour.
 const MAX_LATENCY_MS: u64 = 3_600_000;
 
-/// Histograms of all spans, and the requests that are being measured.
+/// Histograms of all spans, and the start times of requests that are being measured.
 pub(crate) struct Latencies {
     spans: Vec<Histogram<u32>>,
-    open: HashMap<RequestId, (LatencySpan, u64)>,
+    in_progress: HashMap<RequestId, (LatencySpan, u64)>,
     max_timed_requests: usize,
 }
 
 impl Latencies {
     pub fn new(max_timed_requests: usize) -> Self {
-        let one = || {
+        let new_histogram = || {
             Histogram::new_with_max(MAX_LATENCY_MS, 1).expect("an hour and one digit are in range")
         };
-        let spans = SPANS.iter().map(|_| one()).collect();
-        Latencies { spans, open: HashMap::new(), max_timed_requests }
+        let spans = SPANS.iter().map(|_| new_histogram()).collect();
+        Latencies { spans, in_progress: HashMap::new(), max_timed_requests }
     }
 
-    /// Adds a measurement, in milliseconds.
+    /// Records a latency in milliseconds.
     pub fn note(&mut self, span: LatencySpan, ms: u64) {
         self.spans[span as usize].saturating_record(ms);
     }
 
-    /// Begins to measure a request; beyond the limit it is not measured.
+    /// Starts measuring a request, unless too many requests are being measured already.
     pub fn begin(&mut self, id: RequestId, span: LatencySpan, now_ms: u64) {
-        if self.open.len() < self.max_timed_requests {
-            self.open.entry(id).or_insert((span, now_ms));
+        if self.in_progress.len() < self.max_timed_requests {
+            self.in_progress.entry(id).or_insert((span, now_ms));
         }
     }
 
-    /// How long the oldest request of a user has waited for its answer.
-    pub fn oldest_ms(&self, now_ms: u64) -> u64 {
-        let oldest = self.open.values().map(|(_, since)| *since).min();
-        oldest.map_or(0, |since| now_ms.saturating_sub(since))
+    /// Returns how long the oldest unanswered user request has waited, in milliseconds.
+    pub fn oldest_wait_ms(&self, now_ms: u64) -> u64 {
+        let oldest = self.in_progress.values().map(|(_, started_ms)| *started_ms).min();
+        oldest.map_or(0, |started_ms| now_ms.saturating_sub(started_ms))
     }
 
-    /// Ends the measurement of a request that is answered.
+    /// Records the latency of a request that has been answered, if it was being measured.
     pub fn end(&mut self, id: RequestId, now_ms: u64) {
-        if let Some((span, since)) = self.open.remove(&id) {
-            self.note(span, now_ms.saturating_sub(since));
+        if let Some((span, started_ms)) = self.in_progress.remove(&id) {
+            self.note(span, now_ms.saturating_sub(started_ms));
         }
     }
 
-    /// Quantiles, maximum and number of each span by metric name, in milliseconds.
+    /// Returns the quantiles, in milliseconds, and the maximum and count of each span, by metric
+    /// name.
     pub fn metrics(&self) -> Vec<(String, f64)> {
         let mut metrics = Vec::new();
         for (span, name) in SPANS {
--- a/crates/core/src/lease_proxy/mailbox/mod.rs
+++ b/crates/core/src/lease_proxy/mailbox/mod.rs
@@ -97,14 +97,14 @@
 
     /// Adds a proxied worker's heartbeat if it contains anything new.
     fn add_heartbeat(&mut self, peer: usize, heartbeat: &Heartbeat, context: &Context) {
-        if !self.has_mailed(heartbeat, context) {
+        if !self.already_mailed(heartbeat, context) {
             self.outboxes.entry(peer).or_default().add_heartbeat(heartbeat, &context.config);
         }
     }
 
     /// Returns whether a heartbeat contains nothing new. Because a record may be lost, unchanged
     /// content counts as new again after half a lease.
-    fn has_mailed(&self, heartbeat: &Heartbeat, context: &Context) -> bool {
+    fn already_mailed(&self, heartbeat: &Heartbeat, context: &Context) -> bool {
         let Some(mailed) = self.mailed_heartbeats.get(&heartbeat.machine) else { return false };
         let repeat_ms = context.config.lease_ms() / 2;
         let recent = mailed.mailed_ms > context.now.steady_ms.saturating_sub(repeat_ms);
--- a/crates/core/src/lease_proxy/mailbox/outbox.rs
+++ b/crates/core/src/lease_proxy/mailbox/outbox.rs
@@ -76,8 +76,8 @@
         entries < config.max_outbox_entries() && self.held_bytes < config.max_held_bytes()
     }
 
-    /// Removes and returns the entries that fit into a record of `remaining_bytes` bytes. Orders come first,
-    /// because they expire.
+    /// Removes and returns the entries that fit into a record of `remaining_bytes` bytes. Orders
+    /// come first, because they expire.
     pub fn take_batch(&mut self, mut remaining_bytes: usize) -> OutboxBatch {
         let batch = OutboxBatch {
             orders: take_fitting(&mut self.orders, &mut remaining_bytes),
--- a/crates/core/src/lease_proxy/mailbox/sending.rs
+++ b/crates/core/src/lease_proxy/mailbox/sending.rs
@@ -13,9 +13,9 @@
 use crate::Outcome;
 
 /// Fraction of the largest allowed value that a mailbox record may fill.
-const RECORD_FILL: f64 = 0.9;
+const RECORD_FILL_FRACTION: f64 = 0.9;
 /// Interval between two writes, in write batches, so that several messages gather in each record.
-const BATCHES_PER_WRITE: u64 = 3;
+const BATCH_INTERVALS_PER_WRITE: u64 = 3;
 
 /// Lease and epoch under which a mailbox record is written.
 struct WriteConditions {
@@ -111,7 +111,7 @@
 
     fn write_mailbox(&mut self, peer: usize, conditions: WriteConditions) {
         let now = self.context.now;
-        let max_bytes = (self.max_value_bytes() as f64 * RECORD_FILL) as usize;
+        let max_bytes = (self.max_value_bytes() as f64 * RECORD_FILL_FRACTION) as usize;
         self.drop_oversize(peer, max_bytes);
         let Some(batch) = self.mailbox.take_batch(peer, max_bytes, now.steady_ms) else { return };
         let order_ids = batch.orders.iter().map(|envelope| envelope.id).collect();
@@ -133,7 +133,7 @@
             guards: vec![Guard { path: EPOCH_KEY.into(), revision: conditions.epoch_revision }],
             apply: vec![Change::Set { set: key, value: encode(&record), lease_id }],
         });
-        let pause_ms = BATCHES_PER_WRITE * self.context.config.write_batch_ms();
+        let pause_ms = BATCH_INTERVALS_PER_WRITE * self.context.config.write_batch_ms();
         self.mailbox.on_write_sent(now.steady_ms + pause_ms);
         let call = LeaseProxyCall::WriteMailbox { order_ids };
         self.lease_proxy.write_store(&mut self.context, body, call);
--- a/crates/core/src/lease_proxy/serve.rs
+++ b/crates/core/src/lease_proxy/serve.rs
@@ -87,7 +87,7 @@
         }
         let Some(epoch) = self.proven_epoch() else { return ServeOutcome::Refused };
         if heartbeat.fencing_token == 0 {
-            self.mail_new_worker(heartbeat, epoch);
+            self.mail_uncommanded_worker(heartbeat, epoch);
             return ServeOutcome::Refused;
         }
         // The worker was last commanded by a leader whose epoch is not known here yet.
@@ -115,7 +115,7 @@
 
     /// Mails the heartbeat of a worker that was never commanded. The worker has no lease to renew,
     /// but the leader may register it.
-    fn mail_new_worker(&mut self, heartbeat: &Heartbeat, epoch: u64) {
+    fn mail_uncommanded_worker(&mut self, heartbeat: &Heartbeat, epoch: u64) {
         if self.lease_proxy.claim.is_recorded(epoch) {
             self.mail_heartbeat(heartbeat);
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,9 +1,9 @@
-//! The scheduling core of quartzgate: decides everything, does no input or output.
+//! The scheduling core of quartzgate. It makes all scheduling decisions and performs no input or
+//! output.
 //!
-//! The daemon feeds [`Event`]s together with the present time and carries out the
-//! [`Action`]s that come back. Nothing here reads a clock, a socket or a file, and
-//! random numbers come from a generator that is passed in, so that a simulation repeats
-//! by its seed.
+//! The daemon passes in [`Event`]s together with the present time and carries out the [`Action`]s
+//! that are returned. The core reads no clock, socket or file, and random numbers come from a
+//! generator that is passed in, so a simulation is reproducible from its seed.
 
 #![warn(missing_docs)]
 
@@ -33,99 +33,99 @@
 pub use quartzgate_overload::LoadState;
 use quartzgate_wire::http::{Request, Response};
 
-/// Identifies a request that came in and waits for its answer.
+/// Identifies a received request until it is answered.
 pub type RequestId = u64;
-/// Identifies a call to a peer that waits for its outcome.
+/// Identifies a call to a peer until its outcome is known.
 pub type CallId = u64;
 
-/// The present time by the clocks of the process.
+/// The present time according to the clocks of the process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
-    /// Monotonic clock: milliseconds since some fixed moment.
+    /// Monotonic clock: milliseconds since an arbitrary fixed time.
     pub steady_ms: u64,
     /// Wall clock: milliseconds since the Unix epoch.
     pub wall_ms: u64,
 }
 
-/// What has happened.
+/// An input to the core.
 #[derive(Debug)]
 pub enum Event {
-    /// Time has passed.
+    /// Periodic timer event: only the time has advanced.
     Tick,
-    /// A request on the address for users, workers and health checks.
+    /// A request received on the address for users, workers and health checks.
     Client {
         /// Identifies the request in its answer.
         id: RequestId,
-        /// The request.
+        /// The request as received.
         request: Request,
     },
-    /// A request on the address for other controllers.
+    /// A request received on the address for other controllers.
     Mesh {
         /// Identifies the request in its answer.
         id: RequestId,
-        /// The request.
+        /// The request as received.
         request: Request,
     },
-    /// How loaded this process is, and its metrics of requests that waited.
+    /// Load state of this process, and its metrics of requests that had to wait.
     Load {
-        /// State of load from now on.
+        /// Load state that applies from now on.
         state: LoadState,
-        /// Metrics by name.
+        /// Values of the metrics, by metric name.
         figures: Vec<(String, f64)>,
     },
-    /// How a call ended.
+    /// The outcome of a call.
     Outcome {
-        /// The call.
+        /// The identifier of the call, from [`Call::id`].
         call: CallId,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
     },
 }
 
-/// How a call ended.
+/// The outcome of a call to a peer.
 #[derive(Debug)]
 pub enum Outcome {
-    /// The peer answered, with whatever status.
+    /// The peer answered with any status.
     Answer(Response),
-    /// Nothing of the request left this process: it cannot have any effect.
+    /// No part of the request left this process, so it cannot have any effect.
     NotSent,
-    /// No answer; the request may have been executed, or may be executed later.
+    /// No answer was received. The request may have been executed, or may be executed later.
     Lost,
 }
 
-/// Whom a call goes to.
+/// The receiver of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Peer {
     /// The key-value store.
     State,
-    /// The cloud.
+    /// The cloud provider's API.
     Cloud,
-    /// A worker, by the address that its heartbeat names.
+    /// A worker, identified by the address in its heartbeat.
     Worker(std::net::SocketAddr),
-    /// Another controller, by its index in the settings.
+    /// Another controller, identified by its index in the settings.
     Sibling(usize),
 }
 
-/// What the caller of [`Controller::handle`] is to do.
+/// An instruction to the caller of [`Controller::handle`].
 #[derive(Debug)]
 pub enum Action {
-    /// Answer a request that came in.
+    /// Answer a received request.
     Answer {
-        /// The request.
+        /// Identifies the request.
         id: RequestId,
-        /// Its answer.
+        /// The answer to send.
         response: Response,
     },
     /// Call a peer.
     Call(Call),
 }
 
-/// A call to a peer. Its outcome comes back as [`Event::Outcome`].
+/// A call to a peer. Its outcome is reported as [`Event::Outcome`].
 #[derive(Debug)]
 pub struct Call {
     /// Identifies the call in its outcome.
     pub id: CallId,
-    /// Whom it goes to.
+    /// The receiver of the call.
     pub peer: Peer,
     /// HTTP method.
     pub method: &'static str,
@@ -133,6 +133,6 @@
     pub target: String,
     /// CBOR body.
     pub body: Vec<u8>,
-    /// Time after which the outcome is [`Outcome::Lost`], in milliseconds.
+    /// Timeout in milliseconds, after which the outcome is [`Outcome::Lost`].
     pub timeout_ms: u64,
 }
--- a/crates/core/src/membership/epoch_watch.rs
+++ b/crates/core/src/membership/epoch_watch.rs
@@ -133,7 +133,7 @@
 impl ControlSnapshot {
     /// Parses a list of control keys. Returns `None` if the epoch record cannot be decoded, because
     /// it is then unknown who may lead.
-    fn read(list: &KeyValueList) -> Option<Self> {
+    fn parse(list: &KeyValueList) -> Option<Self> {
         let mut snapshot = ControlSnapshot::default();
         for pair in &list.pairs {
             let revision = pair.revision;
@@ -216,7 +216,7 @@
         }
         let list = from_cbor::<KeyValueList>(&response.body).ok()?;
         self.note_store_answer(now);
-        let snapshot = ControlSnapshot::read(&list)?;
+        let snapshot = ControlSnapshot::parse(&list)?;
         self.replace_proxy_claims(&snapshot, now);
         self.epoch_watch.advance(list.store_revision, sent_ms);
         Some(snapshot)
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -56,7 +56,7 @@
 
     /// Returns whether the lease cannot have expired yet, with a margin of a tenth of its time to
     /// live.
-    pub fn is_certain(&self, config: &Config, now_ms: u64) -> bool {
+    pub fn is_certainly_held(&self, config: &Config, now_ms: u64) -> bool {
         now_ms < self.renewed_ms + config.controller_lease_ttl_ms() * 9 / 10
     }
 
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -336,7 +336,7 @@
         let now = self.context.now.steady_ms;
         let config = &self.context.config;
         let known_until_ms = self.membership.epoch_watch.known_ms() + config.lease_bound_ms();
-        if !self.membership.lease.is_certain(config, now) || now >= known_until_ms {
+        if !self.membership.lease.is_certainly_held(config, now) || now >= known_until_ms {
             return None;
         }
         self.observed_epoch()
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -1,5 +1,6 @@
-//! Metrics for operators: `GET /metrics` on the address for other controllers, and a line a second
-//! in the debug log. The names are part of the service's interface and never change.
+//! Metrics for operators, served as `GET /metrics` on the address for other controllers and written
+//! to the debug log once a second. The metric names are part of the service's interface and never
+//! change.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +13,7 @@
 use crate::jobs::JobState;
 use crate::storage::record_writer::WritePurpose;
 
-/// Values by name.
+/// Metric values by metric name.
 #[derive(Default)]
 struct Metrics {
     values: BTreeMap<String, f64>,
@@ -23,7 +24,7 @@
         self.values.insert(name.into(), value.into());
     }
 
-    /// A count, which may exceed 32 bits.
+    /// Sets a count, which may exceed 32 bits.
     fn set_count(&mut self, name: impl Into<String>, count: u64) {
         self.set(name, count as f64);
     }
@@ -32,31 +33,32 @@
         self.set(name, u8::from(flag));
     }
 
-    /// A duration in seconds.
+    /// Sets a duration, given in milliseconds, in seconds.
     fn set_seconds(&mut self, name: impl Into<String>, ms: u64) {
         self.set(name, ms as f64 / 1000.0);
     }
 }
 
 impl Controller {
-    /// All metrics by name, as CBOR.
+    /// Returns all metrics by name, encoded as CBOR.
     pub(crate) fn metrics(&mut self) -> Vec<u8> {
         to_cbor(&self.collect_metrics().values)
     }
 
-    /// Writes all metrics that are not 0 to the debug log.
-    pub(crate) fn log_pulse(&mut self) {
+    /// Writes the metrics with nonzero values to the debug log, except ratios, latencies and
+    /// `leads`.
+    pub(crate) fn log_metrics(&mut self) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
         let metrics = self.collect_metrics();
-        let shown = metrics.values.iter().filter(|(name, value)| {
+        let logged = metrics.values.iter().filter(|(name, value)| {
             **value != 0.0
                 && !name.starts_with("ratio.")
                 && !name.starts_with("latency")
                 && *name != "leads"
         });
-        let line: Vec<String> = shown.map(|(name, value)| format!("{name}={value:.1}")).collect();
+        let line: Vec<String> = logged.map(|(name, value)| format!("{name}={value:.1}")).collect();
         tracing::debug!("pulse {}", line.join(" "));
     }
 
@@ -120,7 +122,7 @@
         metrics.set_count("pages_jobs", self.job_batches.members() as u64);
     }
 
-    /// Age of the oldest job of each class that could run and of which nothing has begun.
+    /// Sets, for each class, the age of the oldest runnable job of which no task has started.
     fn job_age_metrics(&self, metrics: &mut Metrics) {
         let mut oldest_ms: BTreeMap<&str, u64> = BTreeMap::new();
         let live = self.jobs.iter().filter(|(_, job)| job.state == JobState::Live);
@@ -190,7 +192,7 @@
         let now_ms = self.context.now.steady_ms;
         metrics.set_count("turned_away", self.admission.rejections());
         metrics.set_count("unanswered_overdue", self.query_tracker.overdue());
-        metrics.set_seconds("question_oldest_s", self.context.latencies.oldest_ms(now_ms));
+        metrics.set_seconds("question_oldest_s", self.context.latencies.oldest_wait_ms(now_ms));
         metrics.values.extend(self.context.latencies.metrics());
         metrics.values.extend(self.context.refusals.metrics());
         metrics.values.extend(self.forward_failures.metrics());
--- a/crates/core/src/recovery/placements.rs
+++ b/crates/core/src/recovery/placements.rs
@@ -101,11 +101,11 @@
                 self.set_task_state(key, TaskState::Done { version: 0 });
             }
         }
-        let proven = record.epoch == self.epoch();
+        let written_this_epoch = record.epoch == self.epoch();
         for set in &record.sets {
             for task in tasks.intersection(set.from, set.to) {
-                let probes = recorded_probes(set, &machines, proven);
-                self.load_probes(TaskKey { job: ix, task }, probes, proven);
+                let probes = recorded_probes(set, &machines, written_this_epoch);
+                self.load_probes(TaskKey { job: ix, task }, probes, written_this_epoch);
             }
         }
         if let Some(job) = self.jobs.get_mut(ix) {
@@ -148,18 +148,18 @@
 
     /// Loads a task that has not completed. The task is unproven if an earlier leader may have
     /// started it on one of the probed machines.
-    fn load_probes(&mut self, key: TaskKey, probes: Vec<Probe>, proven: bool) {
+    fn load_probes(&mut self, key: TaskKey, probes: Vec<Probe>, written_this_epoch: bool) {
         for probe in probes.iter().filter(|probe| probe.unproven) {
             if let Some(machine) = self.machines.get_mut(probe.machine) {
                 machine.unproven.push(key);
             }
         }
-        let waits = proven || probes.is_empty();
+        let is_waiting = written_this_epoch || probes.is_empty();
         if let Some(task) = self.jobs.task_mut(key) {
             task.probes = probes;
         }
         let aborted = self.jobs.get(key.job).is_some_and(|job| job.state == JobState::Aborted);
-        let state = match waits {
+        let state = match is_waiting {
             true if aborted => TaskState::Dropped,
             true => TaskState::Waiting,
             false => TaskState::Unproven,
@@ -188,7 +188,11 @@
 
 /// Returns the probes that a probe set records for each of its tasks. Machine indexes that the
 /// record does not define are ignored.
-fn recorded_probes(set: &ProbeSet, machines: &[MachineIndex], proven: bool) -> Vec<Probe> {
+fn recorded_probes(
+    set: &ProbeSet,
+    machines: &[MachineIndex],
+    written_this_epoch: bool,
+) -> Vec<Probe> {
     let named = set.machines.iter().filter_map(|index| machines.get(*index as usize));
-    named.map(|&machine| Probe { machine, version: 0, unproven: !proven }).collect()
+    named.map(|&machine| Probe { machine, version: 0, unproven: !written_this_epoch }).collect()
 }
--- a/crates/core/src/start_latency.rs
+++ b/crates/core/src/start_latency.rs
@@ -1,11 +1,13 @@
-//! How long jobs wait from when they could run until a task of theirs is on a machine.
+//! Measures how long jobs wait from when they become runnable until one of their tasks is on a
+//! machine.
 
 use crate::controller::Controller;
 use crate::ids::TaskKey;
 use crate::latency::LatencySpan;
 
 impl Controller {
-    /// A task was seen on the machine on which it was started.
+    /// Records the start latency of a task that was reported by the machine on which it was
+    /// started.
     pub(crate) fn note_start(&mut self, key: TaskKey) {
         let Some(job) = self.jobs.get(key.job) else { return };
         let waited_ms = self.context.now.wall_ms.saturating_sub(job.ready_ms);
--- a/crates/core/src/terminal_jobs.rs
+++ b/crates/core/src/terminal_jobs.rs
@@ -1,36 +1,41 @@
-//! A bounded cache of jobs that are known to have ended, on every controller.
+//! A bounded cache, on every controller, of jobs that are known to have ended.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::storage::records::RecordedStatus;
 
-/// Terminal states of jobs, which never change again. Bounded: the oldest are read anew.
+/// Terminal states of jobs, which never change again. The cache is bounded: evicted jobs are read
+/// from the store again.
 pub(crate) struct TerminalJobs {
-    known: HashMap<String, RecordedStatus>,
-    order: VecDeque<String>,
+    statuses: HashMap<String, RecordedStatus>,
+    insertion_order: VecDeque<String>,
     max_terminal_jobs: usize,
 }
 
 impl TerminalJobs {
-    /// An empty cache for so many jobs.
+    /// Creates an empty cache for at most `max_terminal_jobs` jobs.
     pub fn new(max_terminal_jobs: usize) -> Self {
-        TerminalJobs { known: HashMap::new(), order: VecDeque::new(), max_terminal_jobs }
+        TerminalJobs {
+            statuses: HashMap::new(),
+            insertion_order: VecDeque::new(),
+            max_terminal_jobs,
+        }
     }
 
-    /// Adds a job; the oldest one is forgotten if there are too many.
+    /// Adds a job and evicts the oldest one if there are too many.
     pub fn insert(&mut self, id: String, status: RecordedStatus) {
-        if self.known.insert(id.clone(), status).is_none() {
-            self.order.push_back(id);
-            if self.order.len() > self.max_terminal_jobs {
-                if let Some(old) = self.order.pop_front() {
-                    self.known.remove(&old);
+        if self.statuses.insert(id.clone(), status).is_none() {
+            self.insertion_order.push_back(id);
+            if self.insertion_order.len() > self.max_terminal_jobs {
+                if let Some(oldest) = self.insertion_order.pop_front() {
+                    self.statuses.remove(&oldest);
                 }
             }
         }
     }
 
-    /// The terminal state of a job, if it is known here.
+    /// Returns the terminal state of a job if it is cached.
     pub fn get(&self, id: &str) -> Option<RecordedStatus> {
-        self.known.get(id).copied()
+        self.statuses.get(id).copied()
     }
 }
