--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,5 +1,5 @@
 //! Settings of the core: the platform's settings, the operators' settings, and the durations
-//! derived from them. Every duration is a ratio to a setting, so that it is valid for any
+//! derived from them. Most durations are ratios to a setting, so that they are valid for any
 //! deployment.
 
 use std::collections::BTreeSet;
--- a/crates/core/src/lease_proxy/serve.rs
+++ b/crates/core/src/lease_proxy/serve.rs
@@ -101,7 +101,7 @@
         if !claimed {
             self.request_claim(epoch);
         }
-        self.lease_proxy.claim.touch(self.context.now.steady_ms);
+        self.lease_proxy.claim.mark_used(self.context.now.steady_ms);
         let review = self.review_tasks(heartbeat);
         for job in review.jobs_to_read {
             self.read_proxied_job(job);
