--- a/crates/core/src/in_flight.rs
+++ b/crates/core/src/in_flight.rs
@@ -36,7 +36,7 @@
     Known { request: RequestId, job: String, refusal: Option<Refusal> },
     /// A read of a job that other jobs depend on and that is not in memory.
     DependencyRead { job: String, epoch: u64 },
-    /// A read of a job while following the dependencies of a submitted job.
+    /// A read of a job in a walk along the dependency graph, on behalf of one request.
     WalkRead { request: RequestId, job: String },
     /// A read for status queries of one job.
     Poll { requests: Vec<RequestId>, id: String },
--- a/crates/core/src/membership/epoch_watch.rs
+++ b/crates/core/src/membership/epoch_watch.rs
@@ -3,8 +3,8 @@
 //!
 //! All control keys share one prefix, so a single watch delivers every change in revision order.
 //! The watch also proves up to which time the control keys are known: no later epoch can have begun
-//! before `known_ms` without having been seen here. An answer proves only the state at the time its
-//! request was *sent*. Answers to requests sent before a stall are dropped.
+//! before `known_until_ms` without having been seen here. An answer proves only the state at the
+//! time its request was *sent*. Answers to requests sent before a stall are dropped.
 
 use quartzgate_wire::from_cbor;
 use quartzgate_wire::msg::{ChangeEvent, ChangeLog, KeyValueList};
@@ -37,7 +37,7 @@
     /// When the most recent read or watch was sent; 0 after a stall.
     sent_ms: u64,
     /// Latest time up to which the control keys are proven to be known.
-    known_ms: u64,
+    known_until_ms: u64,
     epoch: Option<Revisioned<EpochRecord>>,
     leader: Option<Revisioned<LeaderRecord>>,
     /// When the present leader was first seen to lead.
@@ -48,8 +48,8 @@
 impl EpochWatch {
     /// Returns the latest time, in steady milliseconds, up to which the control keys are proven to
     /// be known.
-    pub fn known_ms(&self) -> u64 {
-        self.known_ms
+    pub fn known_until_ms(&self) -> u64 {
+        self.known_until_ms
     }
 
     /// Returns the record of the latest epoch, if one has been seen.
@@ -110,7 +110,7 @@
     /// without delay.
     fn advance(&mut self, revision: u64, sent_ms: u64) {
         self.revision = revision;
-        self.known_ms = self.known_ms.max(sent_ms);
+        self.known_until_ms = self.known_until_ms.max(sent_ms);
         self.state = WatchState::Idle;
         self.due_ms = 0;
     }
@@ -205,7 +205,7 @@
         outcome: Outcome,
     ) -> Option<ControlSnapshot> {
         let now = context.now.steady_ms;
-        // A stall has ended since, after which a new read was sent.
+        // The watch was restarted after a stall since this read was sent.
         if self.epoch_watch.sent_ms != sent_ms {
             return None;
         }
@@ -250,8 +250,8 @@
         outcome: Outcome,
     ) -> Option<ChangeLog> {
         let now = context.now.steady_ms;
-        let superseded = self.epoch_watch.sent_ms != sent_ms;
-        if self.epoch_watch.state != WatchState::Watching || superseded {
+        let restarted = self.epoch_watch.sent_ms != sent_ms;
+        if self.epoch_watch.state != WatchState::Watching || restarted {
             return None;
         }
         // The watch resumes from its previous revision, so that no change is missed.
--- a/crates/core/src/membership/handoff_watch.rs
+++ b/crates/core/src/membership/handoff_watch.rs
@@ -29,14 +29,14 @@
     /// Store revision up to which the queue has been applied.
     revision: u64,
     /// Latest time up to which the queue is proven to be known.
-    known_ms: u64,
+    known_until_ms: u64,
 }
 
 impl HandoffWatch {
     /// Returns the latest time, in steady milliseconds, up to which the queue is proven to be
     /// known.
-    pub fn known_ms(&self) -> u64 {
-        self.known_ms
+    pub fn known_until_ms(&self) -> u64 {
+        self.known_until_ms
     }
 
     /// Marks the queue as unread; a recovery has to read it again.
@@ -117,7 +117,7 @@
         let changes = from_cbor::<ChangeLog>(&response.body).ok()?;
         self.note_store_answer(now);
         self.handoff_watch.revision = changes.store_revision;
-        self.handoff_watch.known_ms = self.handoff_watch.known_ms.max(sent_ms);
+        self.handoff_watch.known_until_ms = self.handoff_watch.known_until_ms.max(sent_ms);
         self.advance_proven_contact();
         Some(changes)
     }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -128,14 +128,14 @@
         self.epoch_watch.claims().revision(node)
     }
 
-    /// Returns whether the epoch record is proven to be known as of `moment_ms` or later.
-    pub fn epoch_known_since(&self, moment_ms: u64) -> bool {
-        self.epoch_watch.known_ms() >= moment_ms
+    /// Returns whether the epoch record is proven to be known as of `time_ms` or later.
+    pub fn epoch_known_since(&self, time_ms: u64) -> bool {
+        self.epoch_watch.known_until_ms() >= time_ms
     }
 
-    /// Returns whether the store has answered any request at `moment_ms` or later.
-    pub fn store_answered_since(&self, moment_ms: u64) -> bool {
-        self.store_answered_ms.is_some_and(|answered_ms| answered_ms >= moment_ms)
+    /// Returns whether the store has answered any request at `time_ms` or later.
+    pub fn store_answered_since(&self, time_ms: u64) -> bool {
+        self.store_answered_ms.is_some_and(|answered_ms| answered_ms >= time_ms)
     }
 
     fn note_store_answer(&mut self, now_ms: u64) {
@@ -146,7 +146,7 @@
     /// controllers change records only through the handoff queue or after a later epoch has begun,
     /// so the records are known only as far as both watches are.
     fn advance_proven_contact(&mut self) {
-        let proven_ms = self.handoff_watch.known_ms().min(self.epoch_watch.known_ms());
+        let proven_ms = self.handoff_watch.known_until_ms().min(self.epoch_watch.known_until_ms());
         self.proven_contact_ms = self.proven_contact_ms.max(proven_ms);
     }
 
@@ -327,7 +327,7 @@
     /// a proxy is left.
     pub(crate) fn unproxied_until_ms(&self) -> u64 {
         let watch = &self.membership.epoch_watch;
-        watch.claims().unproxied_until_ms(watch.known_ms(), &self.context.config)
+        watch.claims().unproxied_until_ms(watch.known_until_ms(), &self.context.config)
     }
 
     /// Returns the present epoch if it was proven within the lease bound and this controller's own
@@ -335,8 +335,9 @@
     pub(crate) fn proven_epoch(&self) -> Option<u64> {
         let now = self.context.now.steady_ms;
         let config = &self.context.config;
-        let known_until_ms = self.membership.epoch_watch.known_ms() + config.lease_bound_ms();
-        if !self.membership.lease.is_certainly_held(config, now) || now >= known_until_ms {
+        let epoch_valid_until_ms =
+            self.membership.epoch_watch.known_until_ms() + config.lease_bound_ms();
+        if !self.membership.lease.is_certainly_held(config, now) || now >= epoch_valid_until_ms {
             return None;
         }
         self.observed_epoch()
--- a/crates/core/src/membership/proxy_claims.rs
+++ b/crates/core/src/membership/proxy_claims.rs
@@ -55,12 +55,13 @@
     }
 
     /// Returns the latest time up to which provably no proxy renewed a worker's lease, given that
-    /// the claims are known up to `known_ms`; 0 while this cannot be proven.
-    pub fn unproxied_until_ms(&self, known_ms: u64, config: &Config) -> u64 {
-        let recent = self.changed_ms > 0 && known_ms < self.changed_ms + config.lease_expiry_ms();
+    /// the claims are known up to `known_until_ms`; 0 while this cannot be proven.
+    pub fn unproxied_until_ms(&self, known_until_ms: u64, config: &Config) -> u64 {
+        let recent =
+            self.changed_ms > 0 && known_until_ms < self.changed_ms + config.lease_expiry_ms();
         if !self.is_empty() || recent {
             return 0;
         }
-        known_ms
+        known_until_ms
     }
 }
