--- a/crates/feature-gates/src/activation.rs
+++ b/crates/feature-gates/src/activation.rs
@@ -1,4 +1,4 @@
-//! What is active, which step can be activated next, and what blocks the others.
+//! Types for the active formats and features, the next activation, and blocked steps.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,46 +8,48 @@
 use crate::records::ActivationRecord;
 use crate::table::ActivationStep;
 
-/// What this controller knows about the activation record.
+/// This controller's knowledge of the activation record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ActivationStatus {
-    /// It has not been read yet.
+    /// The record has not been read yet.
     Unknown,
-    /// This version supports everything that is active.
+    /// This version supports all active formats and features.
     Active(ActivationRecord),
-    /// Something is active that this version does not support: it must neither lead nor serve.
+    /// A format or feature is active that this version does not support: this controller must
+    /// neither lead nor serve requests.
     Unsupported(UnsupportedActivation),
 }
 
 /// The part of the activation record that this version does not support.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UnsupportedActivation {
-    /// The record cannot be decoded. Its meaning is not guessed.
+    /// The record cannot be decoded, so nothing is assumed about what is active.
     #[error("unreadable activation record")]
     UnreadableRecord,
-    /// A later record format is active.
+    /// A record format later than the newest supported one is active.
     #[error("format {0}")]
     Format(u32),
-    /// An unknown feature is active.
+    /// A feature that this version does not know is active.
     #[error("feature {0}")]
     Feature(String),
 }
 
-/// Why a controller blocks a step.
+/// Reasons for which a controller blocks a step.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BlockReason {
-    /// It has never published its capabilities.
+    /// The controller has never published its capabilities.
     NoCapabilities,
-    /// It supports record formats only up to the one named.
+    /// The controller supports record formats only up to this one.
     OlderFormat(u32),
-    /// It does not support the feature.
+    /// The controller does not support the feature.
     UnsupportedFeature,
-    /// Its operators withhold the step.
+    /// The controller's operators withhold the step by configuration.
     Withheld,
-    /// It is alive and has not published its capabilities since it was started: an older
-    /// version may have been deployed.
+    /// The controller is alive but has not published its capabilities since its last start, which
+    /// may have deployed an older version.
     Restarted,
-    /// It published its capabilities and is not alive: the version that comes back is unknown.
+    /// The controller has published its capabilities but is not alive. It may be restarted with
+    /// another version.
     Absent,
 }
 
@@ -71,37 +73,39 @@
 /// A step that some controllers block.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BlockedStep {
-    /// The step.
+    /// The format or feature that can't be activated yet.
     pub step: ActivationStep,
-    /// When it was first found to be blocked, by whichever controllers.
+    /// Time at which the step was first found to be blocked; it stays while the blocking
+    /// controllers and their reasons change.
     pub since_ms: u64,
-    /// The controllers that block it, by name.
+    /// Reasons of the controllers that block the step, by controller name.
     pub blocked_by: BTreeMap<String, BlockReason>,
 }
 
 /// A step that every controller supports, and the write that activates it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedActivation {
-    /// The step.
+    /// The format or feature to activate.
     pub step: ActivationStep,
-    /// The activation record to be written.
+    /// The activation record to write, which includes all earlier activations.
     pub record: ActivationRecord,
-    /// Keys that must be unchanged for the write to be applied.
+    /// Keys that must be unchanged when the write is applied.
     pub guards: Vec<ActivationGuard>,
 }
 
-/// A key that the decision for a step relies on. One key for each controller is enough, so that
-/// a transaction, which may have few guards, covers every controller.
+/// A key on which the decision to activate a step relies. There is only one for each controller, so
+/// that a transaction, which may have few guards, can cover all controllers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ActivationGuard {
-    /// The membership key of the run in which the controller published its capabilities.
+    /// The membership key that the controller held when it published its capabilities.
     Membership {
         /// The controller's name.
         node: String,
         /// The key's revision.
         revision: u64,
     },
-    /// The capability record of a version without feature gates, which names no run.
+    /// The capability record of a version without feature gates. Such a record contains no
+    /// membership revision.
     Capabilities {
         /// The controller's name.
         node: String,
--- a/crates/feature-gates/src/gates.rs
+++ b/crates/feature-gates/src/gates.rs
@@ -1,4 +1,5 @@
-//! One controller's view of what is active, and the decision what is activated next.
+//! One controller's view of the active formats and features, and the decision on the next
+//! activation.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,8 +10,8 @@
 use crate::records::{ActivationRecord, CapabilityRecord, StoredCapabilities, INITIAL_FORMAT};
 use crate::table::{Activation, ActivationStep, GateTable};
 
-/// What is active, what each controller supports, and which steps are blocked, as far as one
-/// controller knows.
+/// One controller's view of the active formats and features, the capabilities of each controller,
+/// and the blocked steps.
 #[derive(Debug)]
 pub struct FeatureGates {
     table: &'static GateTable,
@@ -19,14 +20,14 @@
     status: ActivationStatus,
     /// Revision of the activation record's key; 0 while the key does not exist.
     revision: u64,
-    /// What each controller published last, by name.
+    /// The capabilities that each controller published last, by controller name.
     capabilities: BTreeMap<String, StoredCapabilities>,
     blocked: Vec<BlockedStep>,
 }
 
 impl FeatureGates {
-    /// The view of a controller that has read nothing yet; `withheld` are the names of the
-    /// steps that its operators withhold.
+    /// Creates the view of a controller that has read nothing yet. `withheld` contains the names of
+    /// the steps that its operators withhold.
     pub fn new(table: &'static GateTable, withheld: BTreeSet<String>) -> Self {
         FeatureGates {
             table,
@@ -38,18 +39,19 @@
         }
     }
 
-    /// What is known about the activation record.
+    /// Returns this controller's knowledge of the activation record.
     pub fn status(&self) -> &ActivationStatus {
         &self.status
     }
 
-    /// Revision of the activation record's key, as the guard of the next step; 0 if there is
-    /// no such key.
+    /// Returns the revision of the activation record's key, which guards the next activation; 0 if
+    /// the key does not exist.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Active format of the records, as far as it is known.
+    /// Returns the active format of the records, or the initial format if the status is not
+    /// [`ActivationStatus::Active`].
     pub fn format_version(&self) -> u32 {
         match &self.status {
             ActivationStatus::Active(active) => active.version,
@@ -57,12 +59,12 @@
         }
     }
 
-    /// Whether something is active that this version does not support.
+    /// Returns whether a format or feature is active that this version does not support.
     pub fn is_unsupported(&self) -> bool {
         matches!(self.status, ActivationStatus::Unsupported(_))
     }
 
-    /// Whether the feature of this name is known to be active.
+    /// Returns whether the feature of this name is known to be active.
     pub fn is_active(&self, name: &str) -> bool {
         let ActivationStatus::Active(active) = &self.status else { return false };
         let entry = self.table.features.iter().find(|feature| feature.name == name);
@@ -72,17 +74,18 @@
         })
     }
 
-    /// What each controller published last, by name.
+    /// Returns the capabilities that each controller published last, by controller name.
     pub fn capabilities(&self) -> impl Iterator<Item = (&String, &CapabilityRecord)> {
         self.capabilities.iter().map(|(node, stored)| (node, &stored.record))
     }
 
-    /// The blocked steps, as of the last call of [`FeatureGates::next_activation`].
+    /// Returns the steps that were blocked at the last call of [`FeatureGates::next_activation`],
+    /// without those that have become active since.
     pub fn blocked_steps(&self) -> &[BlockedStep] {
         &self.blocked
     }
 
-    /// Whether this version has no step left to activate.
+    /// Returns whether this version has no step left to activate.
     pub fn is_complete(&self) -> bool {
         match &self.status {
             ActivationStatus::Unknown => false,
@@ -91,7 +94,7 @@
         }
     }
 
-    /// Whether there may be a step that this controller consents to.
+    /// Returns whether there may be a step that this controller's operators do not withhold.
     pub fn has_consented_step(&self) -> bool {
         match &self.status {
             ActivationStatus::Unknown => true,
@@ -103,7 +106,8 @@
         }
     }
 
-    /// Interprets an activation record that was read, or `None` if it could not be decoded.
+    /// Derives the status from an activation record that was read. `record` is `None` if the record
+    /// could not be decoded.
     pub fn interpret(&self, record: Option<ActivationRecord>) -> ActivationStatus {
         let Some(record) = record else {
             return ActivationStatus::Unsupported(UnsupportedActivation::UnreadableRecord);
@@ -120,10 +124,10 @@
         ActivationStatus::Active(ActivationRecord { version, ..record })
     }
 
-    /// Takes over a status that was read at `revision`; returns whether anything changed.
+    /// Adopts a status that was read at `revision`. Returns whether anything changed.
     ///
-    /// What is active stays active, so a status that shows less was read earlier and is
-    /// ignored. This is the only place where the status changes.
+    /// Activations are never undone, so a status with fewer of them is an older read and is
+    /// ignored. No other function changes the status.
     pub fn set_status(&mut self, status: ActivationStatus, revision: u64) -> bool {
         if !self.is_progress(&status) {
             return false;
@@ -134,13 +138,13 @@
         true
     }
 
-    /// Takes over what all controllers have published, replacing what was known before.
+    /// Replaces the known capabilities by those that all controllers have published.
     pub fn set_capabilities(&mut self, capabilities: BTreeMap<String, StoredCapabilities>) {
         self.capabilities = capabilities;
     }
 
-    /// What this controller supports and consents to, including all that is active already.
-    /// The caller fills in the membership revision.
+    /// Returns the formats and features that this controller supports and its operators do not
+    /// withhold, including all that are active already. The caller sets the membership revision.
     pub fn own_capabilities(&self) -> CapabilityRecord {
         let (active_version, mut features) = match &self.status {
             ActivationStatus::Active(active) => (active.version, active.features.clone()),
@@ -156,9 +160,9 @@
         }
     }
 
-    /// Whether the controller `node`, this one, has to publish its capabilities: they differ
-    /// from those that are stored, or those were published in an earlier run while there is
-    /// still a step to activate.
+    /// Returns whether this controller, whose name is `node`, has to publish its capabilities: if
+    /// they differ from the stored ones, or if the stored ones are of an earlier run of the process
+    /// and there is still a step to activate.
     pub fn must_publish_capabilities(&self, node: &str, membership_revision: Option<u64>) -> bool {
         if !matches!(self.status, ActivationStatus::Active(_)) {
             return false;
@@ -166,17 +170,18 @@
         let Some(StoredCapabilities { record, .. }) = self.capabilities.get(node) else {
             return true;
         };
-        let of_other_run = record.membership_revision != membership_revision;
+        let is_from_other_run = record.membership_revision != membership_revision;
         !record.has_same_capabilities(&self.own_capabilities())
-            || !self.is_complete() && of_other_run
+            || !self.is_complete() && is_from_other_run
     }
 
-    /// Returns the step that can be activated now, if there is one, and records which others
+    /// Returns the step that can be activated now, if there is one, and records which other steps
     /// are blocked.
     ///
-    /// `configured` are the controllers that the settings name; `live_members` those that hold
-    /// a membership key, with its revision, read after the capabilities. Both are consulted: a
-    /// live controller counts whether the settings name it or not.
+    /// `configured` contains the controllers named in the settings. `live_members` contains those
+    /// that hold a membership key, with the revision of that key, and must be read after the
+    /// capabilities. The controllers of both sets must support a step, so that a live controller
+    /// counts even if the settings do not name it.
     pub fn next_activation(
         &mut self,
         now_ms: u64,
@@ -207,10 +212,11 @@
         self.table.separate_features().any(|feature| feature.entry.name == name)
     }
 
-    /// The newest format up to which no step is withheld: formats are activated in order, so a
-    /// withheld one withholds all later ones.
+    /// Returns the newest format up to which no format is withheld. Formats are activated in order,
+    /// so a withheld format withholds all later ones as well.
     fn newest_consented_format(&self) -> u32 {
-        let consented = self.table.formats.iter().take_while(|f| self.consents_to(f.name));
+        let consented =
+            self.table.formats.iter().take_while(|format| self.consents_to(format.name));
         consented.last().map_or(INITIAL_FORMAT, |format| format.version)
     }
 
@@ -223,7 +229,7 @@
         }
     }
 
-    /// Steps of this version that are not active and whose requirements are met.
+    /// Returns the steps of this version that are not active and whose requirements are met.
     fn candidate_steps(&self, active: &ActivationRecord) -> Vec<ActivationStep> {
         let next_format = self.table.format(active.version + 1);
         let format_step = next_format
@@ -270,13 +276,13 @@
         let Some(StoredCapabilities { record, .. }) = self.capabilities.get(node) else {
             return Some(BlockReason::NoCapabilities);
         };
-        if let Some(reason) = lacks_support(record, step) {
+        if let Some(reason) = unsupported_reason(record, step) {
             return Some(reason);
         }
-        // Versions without feature gates don't publish in which run they are.
-        let published_in = record.membership_revision?;
+        // Versions without feature gates do not publish the revision of their membership key.
+        let published_revision = record.membership_revision?;
         match live_members.get(node) {
-            Some(revision) if *revision == published_in => None,
+            Some(revision) if *revision == published_revision => None,
             Some(_) => Some(BlockReason::Restarted),
             None => Some(BlockReason::Absent),
         }
@@ -309,8 +315,11 @@
     }
 }
 
-/// Why a controller with these capabilities does not support a step, if it does not.
-fn lacks_support(capabilities: &CapabilityRecord, step: ActivationStep) -> Option<BlockReason> {
+/// Returns why a controller with these capabilities does not support a step; `None` if it does.
+fn unsupported_reason(
+    capabilities: &CapabilityRecord,
+    step: ActivationStep,
+) -> Option<BlockReason> {
     let supported = match step {
         ActivationStep::Format { version, .. } => capabilities.version >= version,
         ActivationStep::Feature(name) => capabilities.features.contains(name),
--- a/crates/feature-gates/src/lib.rs
+++ b/crates/feature-gates/src/lib.rs
@@ -1,16 +1,15 @@
-//! Staged activation of record formats and features while controllers of several versions
-//! run side by side.
+//! Staged activation of record formats and features while controllers of several versions run
+//! side by side.
 //!
-//! Everything that all controllers must support before any of them may use it is activated by
-//! an [`ActivationStep`]: a new format of the stored records, or a feature that needs no new
-//! format. One table, [`GATES`], lists them all. Each controller publishes what it supports
-//! under a key that outlives it; the leader activates one step at a time, by a guarded write,
-//! once every controller supports it. What is active stays active.
+//! Anything that every controller must support before any controller may use it is activated by an
+//! [`ActivationStep`]: a new format of the stored records, or a feature that needs no new format.
+//! The table [`GATES`] lists them all. Each controller publishes its capabilities under a key that
+//! outlives the process. The leader activates one step at a time, by a guarded write, once every
+//! controller supports the step. An activation is never undone.
 //!
 //! The crate does no input or output: the caller passes in what it has read
 //! ([`FeatureGates::set_capabilities`], [`FeatureGates::next_activation`]) and writes what is
-//! returned. Nothing is ever concluded from something *missing*: an absent key, lease or answer
-//! can only block a step.
+//! returned. The absence of a key, lease or answer never permits a step; it can only block one.
 //!
 //! Times are milliseconds of a monotonic clock; revisions are those of the state service.
 #![warn(missing_docs)]
--- a/crates/feature-gates/src/records.rs
+++ b/crates/feature-gates/src/records.rs
@@ -1,14 +1,14 @@
-//! The records that the state service keeps about formats and features.
+//! Records of formats and features, stored in the state service.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-/// Format that is in use while no activation record exists.
+/// Format of the records while no activation record exists.
 pub(crate) const INITIAL_FORMAT: u32 = 1;
 
-/// What is active for all controllers, permanently. The record does not exist before the
-/// second format is activated.
+/// The formats and features that are active for all controllers. Activations are permanent. The
+/// record does not exist before the second format is activated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActivationRecord {
     /// Active format of the stored records.
@@ -19,39 +19,40 @@
 }
 
 impl ActivationRecord {
-    /// The state before anything was activated.
+    /// Returns the state before the first activation: the initial format without features.
     pub fn initial() -> Self {
         ActivationRecord { version: INITIAL_FORMAT, features: BTreeSet::new() }
     }
 
-    /// Whether everything that is active in `other` is active here as well.
+    /// Returns whether everything that is active in `other` is active in `self` as well.
     pub fn includes(&self, other: &ActivationRecord) -> bool {
         self.version >= other.version && self.features.is_superset(&other.features)
     }
 }
 
-/// What one controller supports and consents to.
+/// The formats and features that one controller supports and its operators consent to activate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CapabilityRecord {
-    /// Newest format that the controller reads and writes, as far as its operators consent.
+    /// Newest format that the controller can read and write and its operators consent to.
     pub version: u32,
-    /// Names of the features with an activation step of their own that it supports and its
-    /// operators consent to.
+    /// Names of the features with an activation step of their own that the controller supports and
+    /// its operators consent to.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub features: BTreeSet<String>,
-    /// Names of the steps that it supports and its operators withhold.
+    /// Names of the steps that the controller supports but its operators withhold.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub withheld: BTreeSet<String>,
-    /// Revision of the membership key that the controller held on its lease when it published
-    /// this record. It ties the record to one run of the process: a controller that was
-    /// restarted, perhaps with an older version, holds a key of another revision. Versions
-    /// without feature gates publish none.
+    /// Revision of the membership key, bound to its lease, that the controller held when it
+    /// published this record. It identifies one run of the process: a controller that was
+    /// restarted, possibly with an older version, holds a key of another revision. It is absent in
+    /// records of versions without feature gates.
     #[serde(rename = "life", default, skip_serializing_if = "Option::is_none")]
     pub membership_revision: Option<u64>,
 }
 
 impl CapabilityRecord {
-    /// Whether both records state the same capabilities, whichever run they were published in.
+    /// Returns whether both records state the same capabilities, regardless of the run in which
+    /// each was published.
     pub fn has_same_capabilities(&self, other: &CapabilityRecord) -> bool {
         self.version == other.version
             && self.features == other.features
@@ -62,8 +63,8 @@
 /// A capability record as it was read from the state service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredCapabilities {
-    /// The record.
+    /// The capabilities as the controller published them.
     pub record: CapabilityRecord,
-    /// Revision of the record's key.
+    /// Revision of the key under which they are stored.
     pub revision: u64,
 }
--- a/crates/feature-gates/src/table.rs
+++ b/crates/feature-gates/src/table.rs
@@ -7,25 +7,25 @@
 
 use crate::records::INITIAL_FORMAT;
 
-/// A behaviour that code checks for by name, never by a format number.
+/// A feature whose activation code checks by this type, never by a format number.
 ///
-/// The names in `strum` attributes are stored and shown to operators: they never change.
+/// The names in `strum` attributes are stored and shown to operators, so they never change.
 #[derive(Debug, EnumSetType, EnumIter, IntoStaticStr)]
 pub enum Feature {
-    /// Jobs may depend on other jobs; their records name them.
+    /// Jobs may depend on other jobs. A job's record contains the ids of its dependencies.
     #[strum(serialize = "chains")]
     JobDependencies,
-    /// Placement records are packed, and split over several keys where one value is too small.
+    /// Placement records are packed, and split over several keys if they exceed one value.
     #[strum(serialize = "pieces")]
     SplitPlacementRecords,
-    /// The record of a completed service says that the job was a service.
+    /// The record of a completed service states that the job was a service.
     #[strum(serialize = "service-mark")]
     ServiceMark,
-    /// The announced limits of the state service are observed ahead of time, because they take
+    /// The announced limits of the state service are observed before they apply, because they take
     /// effect without notice.
     #[strum(serialize = "low-limits")]
     AnnouncedLimits,
-    /// The placement of a job of one chunk is a field of the job's own record where it fits.
+    /// The placement of a job with one chunk is a field of the job's own record if it fits there.
     #[strum(serialize = "inline-shares")]
     InlinePlacements,
     /// Jobs that are accepted together while writes are scarce share a record.
@@ -34,12 +34,12 @@
 }
 
 impl Feature {
-    /// The feature's name in the table, in the records and in metrics.
+    /// Returns the feature's name in the table, in records and in metrics.
     pub fn name(self) -> &'static str {
         self.into()
     }
 
-    /// All features, in the order of their declaration.
+    /// Returns all features in declaration order.
     pub fn all() -> impl Iterator<Item = Feature> {
         Feature::iter()
     }
@@ -48,11 +48,11 @@
 /// How a feature is activated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Activation {
-    /// Together with a format of the records.
+    /// Together with the record format of this number.
     WithFormat(u32),
-    /// By a step of its own.
+    /// By an activation step of its own.
     Separate {
-        /// Oldest format whose versions understand the feature; it must be active first.
+        /// Oldest format whose versions support the feature. It must be active before the feature.
         min_format: u32,
     },
 }
@@ -60,37 +60,37 @@
 /// A format of the stored records.
 #[derive(Clone, Copy, Debug)]
 pub struct FormatEntry {
-    /// The format's number.
+    /// Format number, consecutive from 2 on.
     pub version: u32,
-    /// Name of the step that activates it.
+    /// Name of the step that activates the format.
     pub name: &'static str,
-    /// What it changes, for operators.
+    /// Text for operators that tells what the format changes.
     pub description: &'static str,
 }
 
 /// A feature and the conditions of its activation.
 #[derive(Clone, Copy, Debug)]
 pub struct FeatureEntry {
-    /// The feature's name, which is also the name of its step if it has one.
+    /// Name of the feature, and of its activation step if it has one of its own.
     pub name: &'static str,
-    /// How it is activated.
+    /// Whether the feature is activated with a format or by a step of its own.
     pub activation: Activation,
-    /// Names of the features that must be active before it.
+    /// Names of the features that must be active before this one.
     pub requires: &'static [&'static str],
-    /// What it changes, for operators.
+    /// Text for operators that tells what the feature changes.
     pub description: &'static str,
 }
 
 /// All formats and features that a version supports.
 #[derive(Debug)]
 pub struct GateTable {
-    /// Formats from the second on, without gaps.
+    /// Formats from number 2 on, in ascending order without gaps.
     pub formats: &'static [FormatEntry],
-    /// Features, each after those that it requires.
+    /// Features, each listed after those that it requires.
     pub features: &'static [FeatureEntry],
 }
 
-/// The formats and features of this version. A new one is added here.
+/// The formats and features of this version. New ones are added to this table.
 pub static GATES: GateTable = GateTable {
     formats: &[
         FormatEntry {
@@ -149,22 +149,22 @@
     ],
 };
 
-/// One activation: of the next format, or of a feature that has a step of its own.
+/// The activation of the next format, or of a feature that has a step of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ActivationStep {
     /// A format of the records, with all features that are activated with it.
     Format {
-        /// The format's number.
+        /// Format number.
         version: u32,
-        /// Name of the step.
+        /// Name of the step in settings and metrics.
         name: &'static str,
     },
-    /// A feature of this name.
+    /// The feature of this name.
     Feature(&'static str),
 }
 
 impl ActivationStep {
-    /// Name of the step, as operators withhold it and metrics show it.
+    /// Returns the name of the step in operators' settings and in metrics.
     pub fn name(self) -> &'static str {
         match self {
             ActivationStep::Format { name, .. } | ActivationStep::Feature(name) => name,
@@ -186,12 +186,12 @@
 }
 
 impl GateTable {
-    /// Newest supported format of the records.
+    /// Returns the number of the newest supported record format.
     pub fn newest_format(&self) -> u32 {
         self.formats.last().map_or(INITIAL_FORMAT, |format| format.version)
     }
 
-    /// Names of all steps, in the order of the table.
+    /// Returns the names of all steps: first the formats, then the features, in table order.
     pub fn step_names(&self) -> Vec<&'static str> {
         let formats = self.formats.iter().map(|format| format.name);
         formats.chain(self.separate_features().map(|feature| feature.entry.name)).collect()
@@ -201,7 +201,7 @@
         self.formats.iter().find(|format| format.version == version)
     }
 
-    /// Features that have a step of their own.
+    /// Returns the features that have an activation step of their own.
     pub(crate) fn separate_features(&self) -> impl Iterator<Item = SeparateFeature> {
         self.features.iter().filter_map(|entry| match entry.activation {
             Activation::Separate { min_format } => Some(SeparateFeature { entry, min_format }),
--- a/crates/feature-gates/src/validation.rs
+++ b/crates/feature-gates/src/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of a table, and of the step names that operators configure.
+//! Validation of gate tables and of the step names in operators' settings.
 
 use std::collections::BTreeSet;
 
@@ -6,60 +6,61 @@
 
 use crate::table::{Activation, FeatureEntry, GateTable};
 
-/// First format that has an entry: the initial one needs no activation.
+/// First format with an entry in the table; the initial format needs no activation.
 const FIRST_ENTRY_FORMAT: u32 = 2;
-/// Oldest format whose versions look for separately activated features. Older versions would
-/// not notice that one is active.
+/// Oldest format whose versions read which separately activated features are active. Versions of
+/// older formats would not notice an active feature.
 const FIRST_FORMAT_WITH_SEPARATE_FEATURES: u32 = 3;
 
-/// A step name in the operators' settings that this version does not know.
+/// Error for a step name in the operators' settings that this version does not know.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{name}` is no step of this version; it knows {}", .known.join(", "))]
 pub struct UnknownStep {
-    /// The name that was given.
+    /// The name as it stands in the settings.
     pub name: String,
-    /// The names that are allowed.
+    /// Names of all steps of this version.
     pub known: Vec<&'static str>,
 }
 
-/// A rule that a table violates.
+/// Violations of the rules for a table.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TableError {
     /// Formats are not numbered consecutively from the second on.
     #[error("format {found} is listed where format {expected} is expected")]
     FormatOutOfOrder {
-        /// The number that is expected at this position.
+        /// Format number that this position must have.
         expected: u32,
-        /// The number that the table has there.
+        /// Format number that the table has at this position.
         found: u32,
     },
     /// Two entries have the same name.
     #[error("the name `{0}` is used twice")]
     DuplicateName(&'static str),
-    /// A feature is activated with, or from, a format that the table does not allow.
+    /// A feature is activated with a format, or requires a minimum format, that is not allowed for
+    /// its kind of activation.
     #[error("`{feature}` can't be activated with format {format}: allowed are {min} to {max}")]
     FormatNotAllowed {
         /// Name of the feature.
         feature: &'static str,
-        /// The format that its entry names.
+        /// Format in the feature's entry.
         format: u32,
-        /// Oldest format that is allowed.
+        /// Oldest format that is allowed for the kind of activation.
         min: u32,
-        /// Newest format that is allowed.
+        /// Newest format in the table.
         max: u32,
     },
-    /// A feature requires one that is not listed before it.
+    /// A feature requires another feature that the table does not list before it.
     #[error("`{feature}` requires `{requirement}`, which is not listed before it")]
     RequirementNotBefore {
         /// Name of the feature.
         feature: &'static str,
-        /// Name of the feature that it requires.
+        /// Name of the required feature.
         requirement: &'static str,
     },
 }
 
 impl GateTable {
-    /// Checks step names from the operators' settings.
+    /// Checks that every step name from the operators' settings is known.
     pub fn check_step_names<'a>(
         &self,
         names: impl IntoIterator<Item = &'a String>,
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Checks the table itself. An invalid one could activate a step that some controller does
-    /// not understand.
+    /// Checks the table itself. With an invalid table, a step could be activated that some
+    /// controller does not support.
     pub fn validate(&self) -> Result<(), TableError> {
         self.check_format_order()?;
         self.check_names_are_unique()?;
--- a/crates/feature-gates/tests/feature_gates.rs
+++ b/crates/feature-gates/tests/feature_gates.rs
@@ -1,5 +1,5 @@
-//! Feature gates by themselves: validation of tables, the view of one controller, and
-//! activation in a small model of controllers and a store of keys.
+//! Tests of feature gates without a controller: validation of tables, the view of one controller,
+//! and activation in a small model of controllers and a key-value store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,7 +37,7 @@
     ],
 };
 
-/// The real table is valid, and every feature that code checks for has its one entry.
+/// The real table is valid, and every feature that code can check for has exactly one entry.
 #[test]
 fn the_real_table_is_valid_and_lists_every_feature() {
     assert_eq!(GATES.validate(), Ok(()));
@@ -46,8 +46,8 @@
     assert_eq!(listed, checked);
 }
 
-/// Step and feature names are stored, configured and shown in metrics: renaming a variant must
-/// not change them.
+/// Step and feature names are stored, configured and shown in metrics: renaming a variant must not
+/// change them.
 #[test]
 fn step_and_feature_names_are_stable() {
     assert_eq!(GATES.step_names(), ["format-2", "format-3", "format-4"]);
@@ -58,9 +58,9 @@
     );
 }
 
-/// A table that could activate a step unnoticed is rejected: a gap between formats, a name that
-/// is used twice, a separate feature that older versions would have to notice, and a requirement
-/// that is not met before it.
+/// Guards against tables that could activate a step unnoticed by some controller: with a gap
+/// between formats, a duplicate name, a separate feature that older versions would not notice, or a
+/// requirement that is not listed before the feature.
 #[test]
 fn invalid_tables_are_rejected() {
     static GAP: GateTable = GateTable { formats: &[format(3, "v3")], features: &[] };
@@ -96,10 +96,10 @@
     assert!(unknown.to_string().contains("format-2"), "{unknown}");
 }
 
-/// What is active only grows: a read from before an activation changes nothing, and neither does
-/// one that lacks what is active.
+/// Guards against undoing an activation by a stale read: a status that was read before an
+/// activation, or lacks an active feature, changes nothing.
 #[test]
-fn an_older_read_changes_nothing() {
+fn status_is_unchanged_by_an_older_read() {
     let mut gates = FeatureGates::new(&NEW, BTreeSet::new());
     let active = |version, names: &[&str]| {
         let features = names.iter().map(|name| name.to_string()).collect();
@@ -111,14 +111,14 @@
     }
     assert!(gates.is_active("a") && gates.format_version() == 3 && gates.revision() == 7);
     assert!(gates.set_status(active(4, &["a"]), 9));
-    assert!(gates.is_active("c"), "activated with format 4");
+    assert!(gates.is_active("c"), "`c` is activated with format 4");
     let unsupported = UnsupportedActivation::Feature("x".into());
     assert!(gates.set_status(ActivationStatus::Unsupported(unsupported), 9));
     assert!(!gates.set_status(active(4, &["a", "b"]), 10) && !gates.is_active("a"));
 }
 
-/// Operators see which controllers block a step, why, and since when; the time is counted on
-/// while the reasons change.
+/// Operators see which controllers block a step, for which reasons and since when. The start time
+/// stays the same while the reasons change.
 #[test]
 fn a_blocked_step_names_controllers_reasons_and_start() {
     let mut gates = FeatureGates::new(&NEW, BTreeSet::new());
@@ -154,14 +154,14 @@
     assert_eq!(gates.blocked_steps()[0].since_ms, 1_000);
 }
 
-/// One controller of the model.
+/// A controller in the model.
 #[derive(Debug)]
 struct Node {
     gates: FeatureGates,
     is_alive: bool,
 }
 
-/// A capability record that has been sent to the store and not arrived yet.
+/// A write of a capability record that has been sent to the store but not applied yet.
 #[derive(Debug)]
 struct PublicationInFlight {
     node: String,
@@ -170,7 +170,7 @@
     membership_revision: u64,
 }
 
-/// An activation that has been sent to the store and not arrived yet.
+/// A write of an activation that has been sent to the store but not applied yet.
 #[derive(Debug)]
 struct ActivationInFlight {
     planned: PlannedActivation,
@@ -178,7 +178,7 @@
     revision: u64,
 }
 
-/// Controllers, and a store of keys with revisions.
+/// A model of controllers and of a key-value store with revisions.
 #[derive(Debug)]
 struct Model {
     nodes: Vec<Node>,
@@ -213,7 +213,7 @@
         self.last_revision
     }
 
-    /// Starts a controller anew, of the version that has this table.
+    /// Starts or restarts a controller with the version that has this table.
     fn start(&mut self, node: usize, table: &'static GateTable) {
         let gates = FeatureGates::new(table, BTreeSet::new());
         self.nodes[node] = Node { gates, is_alive: true };
@@ -222,13 +222,13 @@
         self.read(node);
     }
 
-    /// The controller's lease at the state service expires.
+    /// Lets the controller's lease at the state service expire.
     fn expire(&mut self, node: usize) {
         self.nodes[node].is_alive = false;
         self.members.remove(&node.to_string());
     }
 
-    /// The controller reads what is active and what all support.
+    /// Lets the controller read the activation record and all capabilities.
     fn read(&mut self, node: usize) {
         let gates = &mut self.nodes[node].gates;
         let status = gates.interpret(Some(self.active.clone()));
@@ -236,7 +236,7 @@
         gates.set_capabilities(self.capabilities.clone());
     }
 
-    /// The controller sends its capabilities, if they have to be published.
+    /// Lets the controller send its capabilities if they have to be published.
     fn publish(&mut self, node: usize) {
         let name = node.to_string();
         let Some(membership_revision) = self.members.get(&name).copied() else { return };
@@ -250,7 +250,8 @@
         }
     }
 
-    /// The controller leads, or believes so, and sends the next activation if there is one.
+    /// Lets the controller, which is the leader or believes to be, send the next activation if
+    /// there is one.
     fn activate(&mut self, node: usize) {
         let configured: Vec<String> = (0..self.nodes.len()).map(|n| n.to_string()).collect();
         let gates = &mut self.nodes[node].gates;
@@ -260,7 +261,7 @@
         }
     }
 
-    /// A publication arrives at the store.
+    /// Applies a capability write in the store if its guard holds.
     fn apply_publication(&mut self, position: usize) {
         if position >= self.publications.len() {
             return;
@@ -284,7 +285,7 @@
         }
     }
 
-    /// An activation arrives at the store.
+    /// Applies an activation write in the store if its guards hold.
     fn apply_activation(&mut self, position: usize) {
         if position >= self.activations.len() {
             return;
@@ -299,13 +300,13 @@
         self.active_revision = self.next_revision();
     }
 
-    /// Each activation is one step, takes nothing back, and is supported by every controller,
-    /// whether it is alive or was when last seen.
+    /// Checks that an activation is a single step, undoes nothing, and is supported by every
+    /// controller, including those that are not alive.
     fn check_activation(&self, new: &ActivationRecord) {
         let old = &self.active;
         assert!(new.includes(old) && new != old, "{old:?} -> {new:?}");
         let added_features = new.features.difference(&old.features).count() as u32;
-        assert_eq!(new.version - old.version + added_features, 1, "one step at a time");
+        assert_eq!(new.version - old.version + added_features, 1, "not a single step");
         for (number, node) in self.nodes.iter().enumerate() {
             let status = node.gates.interpret(Some(new.clone()));
             let is_supported = matches!(status, ActivationStatus::Active(_));
@@ -313,13 +314,13 @@
         }
     }
 
-    /// Whether a controller may be replaced by the older version: only until something that it
-    /// does not support is active.
+    /// Returns whether a controller may be replaced by the older version: only while nothing is
+    /// active that the older version does not support.
     fn may_roll_back(&self) -> bool {
         self.active.version <= 3 && !self.active.features.contains("b")
     }
 
-    /// Every controller is replaced by the newer version and all messages arrive.
+    /// Replaces every controller by the newer version and applies all writes.
     fn finish_rollout(&mut self) {
         let nodes = 0..self.nodes.len();
         nodes.clone().for_each(|node| self.start(node, &NEW));
@@ -343,8 +344,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// In any order of starts, lease expiries, reads and delayed writes, `check_activation`
-    /// holds for every activation, and once all controllers are new everything is activated.
+    /// In any order of starts, lease expiries, reads and delayed writes, `check_activation` holds
+    /// for every activation, and once all controllers run the newer version everything is
+    /// activated.
     #[test]
     fn no_step_is_activated_that_a_controller_does_not_support(
         operations in prop::collection::vec((0..8u8, 0..3usize, 0..4usize), 20..160),
