--- a/crates/core/src/api/abort.rs
+++ b/crates/core/src/api/abort.rs
@@ -1,8 +1,9 @@
-//! Aborts jobs: recorded by the leader, or without it by any controller that has access to the
-//! key-value store.
+//! Aborts of jobs, recorded by the leader or, if the leader does not answer, by any controller that
+//! has access to the key-value store.
 //!
-//! An abort counts once it is recorded, and is then final. While the outcome of the leader's write
-//! is unknown the job is neither started nor resumed: its record is read before anything else.
+//! An abort takes effect once it is recorded, and is final from then on. While the outcome of the
+//! leader's write is unknown, the job is neither started nor resumed until its record has been
+//! read.
 
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{
@@ -23,13 +24,13 @@
 use super::status::log_unreadable_record;
 use super::WRITES_WITHOUT_LEADER;
 
-/// Path at which controllers notify one another of recorded aborts.
+/// Path prefix of the messages by which controllers notify one another of recorded aborts.
 pub(crate) const ABORTED_PATH: &str = "/aborted/";
 
 impl Controller {
-    /// The leader aborts a job that is in its memory.
+    /// Aborts a job in memory as the leader.
     pub(super) fn abort_job(&mut self, id: RequestId, job: JobIndex) {
-        // While the job's record is being written or read, an abort can't be decided.
+        // An abort can't be decided while the job's record is being written or read.
         let is_decidable = self.jobs.get(job).is_some_and(|job| {
             !job.busy && matches!(job.state, JobState::Live | JobState::Waiting)
         });
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Writes the abort of a job; false if the store's rate limit forbids that now.
+    /// Writes the abort of a job as the leader. Returns false if the job is not in memory or the
+    /// store's rate limit allows no write now.
     pub(crate) fn record_abort(&mut self, request: Option<RequestId>, job_index: JobIndex) -> bool {
         let now_ms = self.context.now.steady_ms;
         let Some(job) = self.jobs.get(job_index) else { return false };
@@ -56,7 +58,8 @@
         let (revision, job_id) = (job.revision, job.id.clone());
         let record = self.own_record(job);
         let (mut guards, mut apply) = (vec![self.epoch_guard()], Vec::new());
-        // A record that says where the job's tasks may be goes on saying so.
+        // If the record contains the placement, which says where tasks may be running, the aborted
+        // record contains it as well.
         let placement =
             if has_inline_placement { self.placement_write(job_index, 0) } else { None };
         let placed = placement.as_ref().map_or(RecordLocation::default(), |write| write.placed);
@@ -80,7 +83,7 @@
         true
     }
 
-    /// Handles the outcome of the leader's write of an abort.
+    /// Handles the outcome of the write by which the leader aborts a job.
     pub(crate) fn on_abort_write(
         &mut self,
         request: Option<RequestId>,
@@ -89,11 +92,11 @@
         outcome: Outcome,
     ) {
         let was_indeterminate =
-            self.jobs.get(job_index).is_some_and(|j| j.state == JobState::AbortIndeterminate);
+            self.jobs.get(job_index).is_some_and(|job| job.state == JobState::AbortIndeterminate);
         let is_conflict = match &outcome {
             Outcome::Answer(answer) => {
-                if let (200, Ok(done)) = (answer.status, from_cbor(&answer.body)) {
-                    return self.on_abort_applied(request, job_index, placed, done);
+                if let (200, Ok(applied)) = (answer.status, from_cbor(&answer.body)) {
+                    return self.on_abort_applied(request, job_index, placed, applied);
                 }
                 if answer.status != 409 && !was_indeterminate {
                     return self.on_abort_refused(request, job_index, placed, answer.status);
@@ -102,7 +105,8 @@
             }
             Outcome::Lost | Outcome::NotSent => false,
         };
-        // The abort may be recorded, or the record has changed: it is read before anything else.
+        // Either the abort may be recorded or the record has changed, so the record is read before
+        // the job is started or resumed.
         let reason =
             if is_conflict { RefusalReason::RecordChanged } else { RefusalReason::StoreFailed };
         self.answer_abort_busy(request, reason);
@@ -115,7 +119,7 @@
         }
     }
 
-    /// The abort is recorded, and therefore final.
+    /// Handles the successful write of an abort, which is final from now on.
     fn on_abort_applied(
         &mut self,
         request: Option<RequestId>,
@@ -140,7 +144,8 @@
         }
     }
 
-    /// The write was certainly not applied: the job goes on, and the user is to ask again.
+    /// Handles a rejected write of an abort. The write was certainly not applied, so the job
+    /// continues and the user has to retry.
     fn on_abort_refused(
         &mut self,
         request: Option<RequestId>,
@@ -168,12 +173,12 @@
         }
     }
 
-    /// Handles the record of a job to be aborted that the leader does not know, or that is to be
-    /// aborted without the leader.
+    /// Handles the outcome of reading the record of a job that is to be aborted and is not in the
+    /// leader's memory, or is to be aborted without the leader.
     pub(crate) fn on_abort_read(&mut self, id: RequestId, job: String, outcome: Outcome) {
         let pair = match self.read_outcome(outcome) {
             Ok(Some(pair)) => pair,
-            // The job was never accepted: no record is made for it.
+            // The job was never accepted, and an abort does not create a record.
             Ok(None) => return self.answer_error(id, 404, "no such job"),
             Err(()) => return self.answer_busy(id, RefusalReason::StoreFailed),
         };
@@ -193,7 +198,8 @@
         }
     }
 
-    /// Writes the abort of a live job that was read, and its handoff entry.
+    /// Writes the abort of a job whose record was read as live, together with a handoff entry that
+    /// tells the leader of the abort.
     fn abort_without_leader(
         &mut self,
         id: RequestId,
@@ -218,7 +224,7 @@
         self.call_store("POST", "/multi".into(), body, call);
     }
 
-    /// Handles the outcome of an abort that was recorded without the leader.
+    /// Handles the outcome of the write that aborts a job without the leader.
     pub(crate) fn on_abort_without_leader(&mut self, id: RequestId, job: String, outcome: Outcome) {
         match outcome {
             Outcome::Answer(answer) if answer.status == 200 => {
@@ -236,9 +242,9 @@
         }
     }
 
-    /// Notifies the other controllers of a recorded abort, so that the job's tasks are stopped at
-    /// once even by a leader that has no access to the store. Nothing depends on the arrival of
-    /// these messages: the handoff entry and the lease bound are enough.
+    /// Notifies the other controllers of a recorded abort, so that even a leader without access to
+    /// the store stops the job's tasks at once. The messages are best effort: the handoff entry and
+    /// the lease bound are sufficient without them.
     fn notify_abort(&mut self, job: &str) {
         for sibling in 0..self.context.config.platform.siblings.len() {
             let mut message = self.mesh_message();
@@ -253,7 +259,8 @@
         }
     }
 
-    /// Handles a peer's notice of a recorded abort, which is true however late it comes.
+    /// Handles a peer's notice of a recorded abort. A delayed notice is valid as well, since an
+    /// abort is final.
     pub(crate) fn on_abort_notice(&mut self, id: RequestId, job: &str) {
         if !valid_job_id(job) {
             return self.answer_error(id, 400, "malformed ref");
@@ -264,8 +271,8 @@
         self.answer(id, Response::new(200, body));
     }
 
-    /// Takes over an abort that another controller recorded; the record's revision is read when it
-    /// is needed.
+    /// Applies an abort that another controller recorded. If the job is in memory and not aborted
+    /// there, its record is read again, since its revision has changed.
     pub(crate) fn on_abort_recorded(&mut self, job: &str) {
         if let Some(job_index) = self.jobs.find(job) {
             if self.jobs.get(job_index).is_some_and(|job| job.state != JobState::Aborted) {
--- a/crates/core/src/api/admissibility.rs
+++ b/crates/core/src/api/admissibility.rs
@@ -1,5 +1,5 @@
-//! Decides whether a well-formed job can ever run: within its team's limit, on the machine types
-//! and in the zones that there are.
+//! Decides whether a well-formed job can ever run: within its team's limits, on the existing
+//! machine types and in the existing zones.
 
 use std::collections::BTreeSet;
 
@@ -8,26 +8,27 @@
 
 use crate::controller::Controller;
 
-/// Tolerance of comparisons of resources, which are fractions in binary.
+/// Tolerance of comparisons of resource amounts, which are binary floating-point numbers.
 const TOLERANCE: f64 = 1e-6;
 
 /// Whether a well-formed job can ever run.
 pub(super) enum Admissibility {
     Admissible,
-    /// It can never run, and why. The reason is part of the interface.
+    /// The job can never run, for this reason. The text is part of the interface.
     Inadmissible(&'static str),
-    /// The machine types are not known yet.
+    /// The machine types are not known yet, so nothing can be decided.
     Unknown,
 }
 
-/// Whether a job that runs all at once, or one task of an array, exceeds the team's limit.
+/// Returns whether a job exceeds its team's limits. The tasks of an array count one by one, as they
+/// need not run at the same time; those of any other job count together.
 fn exceeds_team_limit(spec: &JobSpec, team: &Team) -> bool {
     let tasks_at_once = if spec.shape == JobKind::Array { 1.0 } else { spec.tasks as f64 };
     let exceeds = |each: f64, limit: f64| limit > 0.0 && each * tasks_at_once > limit + TOLERANCE;
     exceeds(spec.cpus, team.cpus_max) || exceeds(spec.gpus, team.gpus_max)
 }
 
-/// Whether a task fits an empty machine of a type that the job allows.
+/// Returns whether the job allows a machine type and a task fits an empty machine of that type.
 fn fits_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
         && machine_type.cpus + TOLERANCE >= spec.cpus
@@ -35,15 +36,15 @@
         && machine_type.memory_gb + TOLERANCE >= spec.memory_gb
 }
 
-/// Whether a job that must not be in one zone alone has no second zone for its tasks. An array
-/// goes on with the tasks that may run.
+/// Returns whether a job whose tasks must not all be in one zone has no second zone for them. An
+/// array is never affected: it continues with the tasks that may run.
 fn lacks_second_zone(spec: &JobSpec, zones: usize) -> bool {
     let runs_at_once = spec.shape != JobKind::Array && spec.tasks > 1;
     runs_at_once && spec.spread && (spec.together || zones < 2)
 }
 
 impl Controller {
-    /// Whether a job can ever run.
+    /// Decides whether a job can ever run.
     pub(super) fn admissibility(&self, spec: &JobSpec) -> Admissibility {
         let teams = &self.context.config.platform.params.teams;
         let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
@@ -67,7 +68,7 @@
         Admissibility::Admissible
     }
 
-    /// Zones that the job allows and that have a machine type which its tasks fit.
+    /// Returns the zones that the job allows and that have a machine type which its tasks fit.
     fn usable_zones(&self, spec: &JobSpec) -> BTreeSet<&String> {
         let is_allowed = |zone: &&String| spec.zone.as_ref().is_none_or(|allowed| allowed == *zone);
         let fitting =
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -1,12 +1,13 @@
 //! Admission control: submissions are accepted only as fast as their jobs can be recorded.
 //!
-//! Every accepted job needs more writes to the key-value store after the one that accepts it: its
-//! placements, and its end. If acceptances used up all writes, accepted jobs would never start, and
-//! waiting users would query on top. While writes that tasks wait for are left behind for lack of
-//! rate, acceptances therefore get a part of the writes only, and a rejected user is told at once
-//! when to retry: the later, the more are rejected, and each at another moment.
+//! After the write that accepts a job, the job needs further writes to the key-value store for its
+//! placements and its end. If acceptances used up the whole write rate, accepted jobs would never
+//! start, and the status queries of waiting users would add to the load. While the rate limit
+//! defers writes that tasks wait for, acceptances therefore get only a part of the write rate. A
+//! rejected user is told at once when to retry. The advised delay grows with the number of
+//! rejections and is randomized, so that retries are spread out.
 //!
-//! The module owns the state of the supply of writes, [`WriteSupply`].
+//! [`WriteSupply`] states whether the write rate is sufficient.
 
 use quartzgate_overload::RetryAdvisor;
 use quartzgate_wire::http::Response;
@@ -17,37 +18,37 @@
 use crate::storage::rate_limiter::RateLimiter;
 use crate::RequestId;
 
-/// Part of the writes that acceptances get while writes are short.
+/// Fraction of the write rate that acceptances get while writes are short.
 const ACCEPTANCE_FRACTION: f64 = 0.5;
-/// The supply of writes changes its state after this many batch intervals of the writer.
+/// Number of batch intervals of the record writer for which writes must have been deferred, or not
+/// deferred, before [`WriteSupply::Short`] is entered or left.
 const SETTLING_BATCHES: u64 = 2;
 
-/// Whether the store's rate limit allows all writes that tasks wait for. Times are steady.
+/// Whether the store's rate limit allows all writes that tasks wait for. Times are steady times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteSupply {
+    /// No flush has recently deferred a write.
     Ample,
-    /// Writes have been left behind since then, for a short time yet.
-    Tight {
-        since_ms: u64,
-    },
-    /// Writes have been left behind for longer, most recently then.
-    Short {
-        last_left_ms: u64,
-    },
+    /// Writes have been deferred since `since_ms`, which is not long enough to limit acceptances.
+    Tight { since_ms: u64 },
+    /// Writes have been deferred for longer, most recently at `last_deferral_ms`: acceptances are
+    /// limited.
+    Short { last_deferral_ms: u64 },
 }
 
 impl WriteSupply {
-    /// The state after a flush, which has left writes behind or not.
-    fn after_flush(self, writes_left: bool, now_ms: u64, settling_ms: u64) -> WriteSupply {
-        match (self, writes_left) {
+    /// Returns the state after a flush of the record writer. `writes_deferred` tells whether the
+    /// flush had to defer writes that tasks wait for.
+    fn after_flush(self, writes_deferred: bool, now_ms: u64, settling_ms: u64) -> WriteSupply {
+        match (self, writes_deferred) {
             (WriteSupply::Ample, true) => WriteSupply::Tight { since_ms: now_ms },
             (WriteSupply::Tight { since_ms }, true) if now_ms >= since_ms + settling_ms => {
-                WriteSupply::Short { last_left_ms: now_ms }
+                WriteSupply::Short { last_deferral_ms: now_ms }
             }
             (WriteSupply::Tight { .. }, false) => WriteSupply::Ample,
-            (WriteSupply::Short { .. }, true) => WriteSupply::Short { last_left_ms: now_ms },
-            (WriteSupply::Short { last_left_ms }, false)
-                if now_ms >= last_left_ms + settling_ms =>
+            (WriteSupply::Short { .. }, true) => WriteSupply::Short { last_deferral_ms: now_ms },
+            (WriteSupply::Short { last_deferral_ms }, false)
+                if now_ms >= last_deferral_ms + settling_ms =>
             {
                 WriteSupply::Ample
             }
@@ -59,13 +60,13 @@
 /// The leader's admission control.
 pub(crate) struct AdmissionControl {
     supply: WriteSupply,
-    /// Limits acceptances while writes are short.
+    /// Rate limiter of acceptances, applied while writes are short.
     acceptances: RateLimiter,
     retry_advisor: RetryAdvisor,
 }
 
 impl AdmissionControl {
-    /// `write_rate`: writes a second that this controller may make.
+    /// Creates the admission control of a controller that may make `write_rate` writes per second.
     pub fn new(write_rate: f64) -> Self {
         AdmissionControl {
             supply: WriteSupply::Ample,
@@ -74,24 +75,25 @@
         }
     }
 
-    /// Adapts to another rate of writes a second.
+    /// Changes the number of writes per second that this controller may make.
     pub fn set_rate(&mut self, write_rate: f64) {
         self.acceptances.set_rate(write_rate * ACCEPTANCE_FRACTION);
     }
 
-    /// Whether writes have been short for a while, so that acceptances are limited.
+    /// Returns whether acceptances are limited because writes have been short for some time.
     pub fn short(&self) -> bool {
         matches!(self.supply, WriteSupply::Short { .. })
     }
 
-    /// Number of submissions rejected for lack of writes.
+    /// Returns the number of submissions rejected because the write rate was used up.
     pub fn rejections(&self) -> u64 {
         self.retry_advisor.total_rejections()
     }
 }
 
 impl Controller {
-    /// The one function that changes the state of the supply of writes.
+    /// Changes the write supply and logs when acceptances begin or cease to be limited. No other
+    /// function changes this state.
     fn set_write_supply(&mut self, supply: WriteSupply) {
         let old = std::mem::replace(&mut self.admission.supply, supply);
         match (old, supply) {
@@ -107,17 +109,19 @@
         }
     }
 
-    /// Notes whether a flush had to leave writes behind that tasks wait for (`left`).
-    pub(crate) fn update_write_supply(&mut self, left: bool) {
+    /// Updates the write supply after a flush of the record writer. `writes_deferred` tells whether
+    /// the flush had to defer writes that tasks wait for.
+    pub(crate) fn update_write_supply(&mut self, writes_deferred: bool) {
         let now_ms = self.context.now.steady_ms;
         let settling_ms = SETTLING_BATCHES * self.context.config.write_batch_ms();
-        let supply = self.admission.supply.after_flush(left, now_ms, settling_ms);
+        let supply = self.admission.supply.after_flush(writes_deferred, now_ms, settling_ms);
         self.set_write_supply(supply);
     }
 
-    /// Takes the write that accepts a job from the rate limit; false if there is none. While writes
-    /// are short, urgent jobs have them all, and any other only the acceptances' part.
-    pub(crate) fn may_accept(&mut self, priority: Priority) -> bool {
+    /// Takes the write that accepts a job from the rate limit. Returns false if the limit allows
+    /// none. While writes are short, jobs of high priority may use the whole write rate and all
+    /// others only the fraction for acceptances.
+    pub(crate) fn try_take_acceptance_write(&mut self, priority: Priority) -> bool {
         let now_ms = self.context.now.steady_ms;
         let is_limited = self.admission.short() && priority < Priority::High;
         if is_limited && self.admission.acceptances.available(now_ms, 0.0) < 1.0 {
@@ -130,16 +134,16 @@
         is_taken
     }
 
-    /// Takes a write for the first placement of a job, to be written with its acceptance; false if
-    /// there is none. While writes are short, a job that is not urgent would overtake those that
-    /// have waited for longer.
-    pub(crate) fn may_place_immediately(&mut self, priority: Priority) -> bool {
+    /// Takes a write for the first placement of a job, to be written with its acceptance. Returns
+    /// false if the rate limit allows none. While writes are short, also returns false for jobs
+    /// below high priority, which would otherwise overtake jobs that have waited for longer.
+    pub(crate) fn try_take_placement_write(&mut self, priority: Priority) -> bool {
         let now_ms = self.context.now.steady_ms;
         (!self.admission.short() || priority >= Priority::High)
             && self.record_writer.writes.take(now_ms, 1.0, 0.0)
     }
 
-    /// Rejects a submission, with the time after which to retry it.
+    /// Rejects a submission and advises the user when to retry it.
     pub(crate) fn reject_overloaded(&mut self, id: RequestId) {
         let (now_ms, rate) = (self.context.now.steady_ms, self.admission.acceptances.rate());
         let retry_advisor = &mut self.admission.retry_advisor;
--- a/crates/core/src/api/forwarding.rs
+++ b/crates/core/src/api/forwarding.rs
@@ -11,10 +11,12 @@
 
 use super::UserRequest;
 
-/// Forwarded requests that the peer did not decide, by what came back.
+/// Number of forwarded requests that the peer did not decide, by the outcome of the call.
 #[derive(Debug, Default)]
 pub(crate) struct ForwardFailures {
+    /// The peer answered without a decision.
     refused: u64,
+    /// The call ended without an answer.
     lost: u64,
     not_sent: u64,
 }
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Numbers that are not 0, by metric name.
+    /// Returns the counts that are not 0, by metric name.
     pub fn metrics(&self) -> impl Iterator<Item = (String, f64)> {
         let counts = [("refused", self.refused), ("lost", self.lost), ("not_sent", self.not_sent)];
         let occurred = counts.into_iter().filter(|(_, count)| *count > 0);
@@ -44,9 +46,9 @@
     }
 }
 
-/// A request as the peer is to see it.
-fn forwarded_request(work: &UserRequest) -> Forward {
-    let (method, path, body) = match work {
+/// Returns the message part that carries a user's request to a peer.
+fn forwarded_request(user_request: &UserRequest) -> Forward {
+    let (method, path, body) = match user_request {
         UserRequest::Submit(_, body) | UserRequest::Malformed { body, .. } => {
             ("POST", "/api/jobs".to_string(), body.clone())
         }
@@ -57,51 +59,54 @@
 }
 
 impl Controller {
-    /// Sends a request to a peer, which answers it in this controller's place.
-    pub(super) fn forward(&mut self, id: RequestId, sibling: usize, work: UserRequest) {
+    /// Forwards a request to a peer. The peer decides it, and this controller relays the answer.
+    pub(super) fn forward(&mut self, id: RequestId, sibling: usize, user_request: UserRequest) {
         let mut message = self.mesh_message();
-        message.forward = Some(forwarded_request(&work));
+        message.forward = Some(forwarded_request(&user_request));
         let body = to_cbor(&message);
         let timeout_ms = self.context.config.forward_timeout_ms();
-        let call = InFlight::Forward { request: id, sibling, work: Box::new(work) };
+        let call = InFlight::Forward { request: id, sibling, work: Box::new(user_request) };
         self.call(Peer::Sibling(sibling), "POST", "/mesh".into(), body, timeout_ms, call);
     }
 
-    /// Hands on the answer of a peer, or decides the request without it.
+    /// Relays the answer of a peer to the user, or decides the request without the leader if the
+    /// peer gave no decision.
     pub(crate) fn on_forwarded(
         &mut self,
         id: RequestId,
         sibling: usize,
-        work: UserRequest,
+        user_request: UserRequest,
         outcome: Outcome,
     ) {
         match outcome {
             Outcome::Answer(answer) if matches!(answer.status, 200 | 201 | 404 | 422) => {
-                self.on_forwarded_answer(id, &work, answer)
+                self.on_forwarded_answer(id, &user_request, answer)
             }
-            // The leader has no writes left: there are none without it either.
+            // The leader has no writes left in the rate limit, so there are none without the leader
+            // either.
             Outcome::Answer(answer) if answer.status == 429 => {
                 let mut response = Response::new(429, answer.body);
                 response.retry_after_s = answer.retry_after_s.or(Some(1));
                 self.answer(id, response);
             }
-            // The peer could not decide, or was not reached: the records can.
+            // The peer could not decide the request or was not reached; it is decided from the
+            // records in the key-value store.
             undecided @ (Outcome::Answer(_) | Outcome::Lost | Outcome::NotSent) => {
                 self.forward_failures.count(&undecided);
                 let outcome = ForwardFailures::name(&undecided);
                 tracing::debug!(sibling, outcome, "a forwarded request got no decision");
-                self.decide_without_leader(id, work, true)
+                self.decide_without_leader(id, user_request, true)
             }
         }
     }
 
-    fn on_forwarded_answer(&mut self, id: RequestId, work: &UserRequest, answer: Response) {
+    fn on_forwarded_answer(&mut self, id: RequestId, user_request: &UserRequest, answer: Response) {
         if let Ok(job) = from_cbor::<JobAnswer>(&answer.body) {
             self.learn_from_answer(&job);
         }
-        // The job's terminal state may have been learnt while the answer was on its way.
-        if let Some(status) = self.terminal_jobs.get(work.id()) {
-            return self.answer_terminal(id, work.id(), status);
+        // This controller may have learned of the job's end while the request was forwarded.
+        if let Some(status) = self.terminal_jobs.get(user_request.job_id()) {
+            return self.answer_terminal(id, user_request.job_id(), status);
         }
         let mut response = Response::new(answer.status, answer.body);
         response.retry_after_s = answer.retry_after_s;
@@ -111,7 +116,8 @@
     fn learn_from_answer(&mut self, job: &JobAnswer) {
         match job.status {
             JobStatus::Done => self.learn_terminal_state(&job.id, RecordedStatus::Done),
-            // This controller may lead by now, and have read the record before the abort.
+            // This controller may have become the leader since and read the record before the
+            // abort.
             JobStatus::Aborted => self.on_abort_recorded(&job.id),
             _ => {}
         }
--- a/crates/core/src/api/machine_types.rs
+++ b/crates/core/src/api/machine_types.rs
@@ -1,4 +1,4 @@
-//! The cloud's list of machine types, read again from time to time.
+//! Periodic reads of the cloud's list of machine types.
 
 use quartzgate_wire::from_cbor;
 use quartzgate_wire::msg::{MachineType, MachineTypes};
@@ -7,18 +7,19 @@
 use crate::in_flight::InFlight;
 use crate::{Outcome, Peer};
 
-/// Time after a read of the list until the next while there is no list yet.
+/// Interval between reads of the list until the first list has been received.
 const FIRST_READ_INTERVAL_MS: u64 = 500;
-/// The leader reads the list again after this many times the cloud's listing delay, at least
-/// [`MIN_LEADER_INTERVAL_MS`].
+/// Interval between the leader's reads of the list, in multiples of the cloud's listing delay, but
+/// at least [`MIN_LEADER_INTERVAL_MS`].
 const LEADER_INTERVAL_LAGS: u64 = 5;
 const MIN_LEADER_INTERVAL_MS: u64 = 10_000;
-/// The same for all other controllers.
+/// Interval between a follower's reads of the list, in multiples of the cloud's listing delay, but
+/// at least [`MIN_FOLLOWER_INTERVAL_MS`].
 const FOLLOWER_INTERVAL_LAGS: u64 = 20;
 const MIN_FOLLOWER_INTERVAL_MS: u64 = 60_000;
 const READ_TIMEOUT_MS: u64 = 2000;
-/// Numbers in the list that are negative or not below this are not plausible.
-const IMPLAUSIBLE_FROM: f64 = 1e9;
+/// Upper bound, exclusive, of plausible numbers in the list; negative numbers are not plausible.
+const PLAUSIBLE_BELOW: f64 = 1e9;
 
 fn is_plausible(machine_type: &MachineType) -> bool {
     let numbers = [
@@ -30,11 +31,11 @@
         machine_type.boot_s,
         machine_type.fetch_gb_per_s,
     ];
-    numbers.iter().all(|number| (0.0..IMPLAUSIBLE_FROM).contains(number))
+    numbers.iter().all(|number| (0.0..PLAUSIBLE_BELOW).contains(number))
 }
 
 impl Controller {
-    /// Reads the list if that is due.
+    /// Requests the list from the cloud if a read is due.
     pub(crate) fn tick_machine_types(&mut self) {
         let now_ms = self.context.now.steady_ms;
         if self.machine_types_requested_ms > 0
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Takes over a list that came, unless it is empty or implausible.
+    /// Replaces the machine types by a list that was received, unless it is empty or implausible.
     pub(crate) fn on_machine_types(&mut self, outcome: Outcome) {
         let Outcome::Answer(response) = outcome else { return };
         if response.status != 200 {
--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -1,20 +1,23 @@
-//! The users' interface: submissions, status queries, aborts and readiness.
+//! The HTTP interface for users: submissions, status queries, aborts and readiness.
 //!
-//! The leader decides requests from its memory and the key-value store; any other controller
-//! forwards them to the leader, or decides them by the store alone if the leader does not answer.
+//! The leader decides requests from its memory and the key-value store. Any other controller
+//! forwards requests to the leader or, if the leader does not answer, decides them from the
+//! key-value store alone.
 //!
-//! A state that can still change is reported only after a fresh read of the store; a terminal
+//! A job state that can still change is reported only after a fresh read of the store. A terminal
 //! state never changes and may be reported from memory.
 //!
-//! - [`routing`] parses requests and chooses who decides them, [`forwarding`] passes them on;
-//! - [`submit`] and [`abort`] record submissions and aborts, and [`handoff`] takes in those that
-//!   were recorded without the leader;
-//! - [`status`] answers from records, and [`status_queries`] from the leader's memory, validated by
-//!   one read for many queries; [`status_reads`] reads for all others, the longest unanswered job
-//!   first; [`query_tracking`] follows queries to their answers; [`refusal`] names why a request
-//!   got no decision;
-//! - [`admissibility`] decides whether a job can ever run, by the [`machine_types`], and
-//!   [`admission`] how many submissions are accepted.
+//! - [`routing`] parses requests and selects the controller that decides them; [`forwarding`]
+//!   sends them to that controller.
+//! - [`submit`] and [`abort`] record submissions and aborts; [`handoff`] imports those that were
+//!   recorded without the leader into the leader's memory.
+//! - [`status`] answers status queries from records. [`status_queries`] answers them from the
+//!   leader's memory and validates many answers with one read; [`status_reads`] reads the records
+//!   for all other queries, the longest unanswered job first.
+//! - [`query_tracking`] follows each query until it is answered; [`refusal`] names the reasons for
+//!   which a request gets no decision.
+//! - [`admissibility`] decides from the [`machine_types`] whether a job can ever run;
+//!   [`admission`] limits how many submissions are accepted.
 
 mod abort;
 mod admissibility;
@@ -39,11 +42,11 @@
 pub(crate) use routing::UserRequest;
 pub(crate) use submit::Refusal;
 
-/// Writes that a decision without the leader takes: the job's record and its handoff entry.
+/// Number of writes in a decision without the leader: the job's record and its handoff entry.
 const WRITES_WITHOUT_LEADER: f64 = 2.0;
 
 impl Controller {
-    /// The condition of every write of the leader: the epoch record is its own.
+    /// Returns the guard of every write of the leader: the epoch record is still the leader's own.
     fn epoch_guard(&self) -> Guard {
         Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision() }
     }
--- a/crates/core/src/api/query_tracking.rs
+++ b/crates/core/src/api/query_tracking.rs
@@ -1,5 +1,5 @@
-//! Follows every status query from its arrival to its answer, and checks that no job goes without
-//! an answer for too long.
+//! Follows status queries from their arrival to their answer, and detects jobs whose queries have
+//! gone unanswered for too long.
 
 use std::collections::HashMap;
 
@@ -7,20 +7,23 @@
 
 use crate::RequestId;
 
-/// The service's stated limit: no job goes unanswered for longer once faults are over.
+/// The service's stated limit on how long queries for a job may go unanswered once all faults have
+/// ended.
 const MAX_UNANSWERED_MS: u64 = 75_000;
 
-/// Status queries that wait for their answers, and jobs that users ask about in vain.
+/// Status queries that wait for their answers, and jobs whose queries are not being answered.
 pub(crate) struct QueryTracker {
-    /// The job of each query that is not answered yet.
-    open: HashMap<RequestId, String>,
+    /// The job of each query that has not been answered yet.
+    open_queries: HashMap<RequestId, String>,
     unanswered: UnansweredJobs,
     max_open: usize,
-    /// Refusals of jobs that had gone unanswered past the limit without a fault.
+    /// Number of refused queries for jobs that had gone unanswered for longer than the limit
+    /// although there was no fault.
     overdue: u64,
 }
 
-/// A job was refused again past the limit, though the key-value store answers.
+/// A job whose query was refused after more than the limit without an answer, although the
+/// key-value store answers.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct OverdueJob {
     pub job: String,
@@ -28,27 +31,27 @@
 }
 
 impl QueryTracker {
-    /// Follows at most so many queries, and as many jobs.
+    /// Creates a tracker that follows at most `max_open` queries and as many jobs.
     pub fn new(max_open: usize) -> Self {
         let unanswered = UnansweredJobs::new(max_open);
-        QueryTracker { open: HashMap::new(), unanswered, max_open, overdue: 0 }
+        QueryTracker { open_queries: HashMap::new(), unanswered, max_open, overdue: 0 }
     }
 
-    /// A status query has arrived.
+    /// Records the arrival of a status query, unless too many are followed already.
     pub fn on_query(&mut self, id: RequestId, job: &str, now_ms: u64) {
-        if self.open.len() < self.max_open {
+        if self.open_queries.len() < self.max_open {
             self.unanswered.on_query(job, now_ms);
-            self.open.insert(id, job.to_string());
+            self.open_queries.insert(id, job.to_string());
         }
     }
 
-    /// When a job was asked about first since its last answer.
+    /// Returns when the first query for a job arrived since the job was last answered.
     pub fn unanswered_since(&self, job: &str) -> Option<u64> {
-        self.unanswered.since(job)
+        self.unanswered.first_query_ms(job)
     }
 
-    /// A request is answered with this status. `healthy_since_ms` is when this controller and the
-    /// store last became able to answer.
+    /// Records that a request is answered with this status. `healthy_since_ms` is the time at which
+    /// this controller and the store last became able to answer. Returns the job if it is overdue.
     pub fn on_response(
         &mut self,
         id: RequestId,
@@ -56,13 +59,13 @@
         now_ms: u64,
         healthy_since_ms: Option<u64>,
     ) -> Option<OverdueJob> {
-        let job = self.open.remove(&id)?;
+        let job = self.open_queries.remove(&id)?;
         if matches!(status, 200 | 404) {
             self.unanswered.on_answer(&job, now_ms);
             return None;
         }
-        let began_ms = self.unanswered.since(&job)?.max(healthy_since_ms?);
-        let unanswered_ms = now_ms.saturating_sub(began_ms);
+        let start_ms = self.unanswered.first_query_ms(&job)?.max(healthy_since_ms?);
+        let unanswered_ms = now_ms.saturating_sub(start_ms);
         if unanswered_ms < MAX_UNANSWERED_MS {
             return None;
         }
@@ -70,7 +73,7 @@
         Some(OverdueJob { job, unanswered_ms })
     }
 
-    /// Refusals past the limit.
+    /// Returns the number of refused queries past the limit.
     pub fn overdue(&self) -> u64 {
         self.overdue
     }
--- a/crates/core/src/api/refusal.rs
+++ b/crates/core/src/api/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a request got no decision: one typed reason for each answer of 503.
+//! Reasons for which a request gets no decision. Each answer with status 503 has one of them.
 
 /// Why a controller can't decide a request at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -7,9 +7,9 @@
     ReadLimit,
     /// The rate limit of changes to the key-value store leaves none for this request.
     WriteLimit,
-    /// A call to the key-value store had no answer, or none that decides anything.
+    /// A call to the key-value store got no answer, or one from which nothing can be decided.
     StoreFailed,
-    /// The key-value store has not answered lately, and no peer is known to reach it.
+    /// The key-value store has not answered recently, and no peer is known to reach it.
     StoreUnreachable,
     /// The job's record is being written or read.
     RecordInFlight,
@@ -17,17 +17,18 @@
     RecordChanged,
     /// The job's record, or a batch record that may hold the job, can't be decoded.
     RecordUnreadable,
-    /// This controller began or ceased to lead while the request was being decided.
+    /// This controller became the leader, or lost leadership, while the request was being decided.
     EpochChanged,
-    /// The records have a format that this version does not know, or a feature is not active yet.
+    /// The records have a format that this version does not support, or a feature that the request
+    /// needs is not active yet.
     FeatureInactive,
-    /// Too many requests of the same kind wait.
+    /// Too many requests of the same kind are waiting.
     TooManyWaiting,
     /// The job's dependencies could not be read in time.
     DependenciesUnknown,
-    /// The settings or the cloud do not say yet whether the job can run.
+    /// The settings or the cloud's machine types do not show yet whether the job can run.
     AdmissibilityUnknown,
-    /// The controller is not ready to serve users.
+    /// This controller is not ready to serve users.
     NotReady,
 }
 
@@ -51,7 +52,7 @@
         RefusalReason::NotReady,
     ];
 
-    /// The reason's name in metrics and logs, which never changes.
+    /// Returns the reason's name in metrics and logs. The names are stable across versions.
     pub fn name(self) -> &'static str {
         match self {
             RefusalReason::ReadLimit => "read_limit",
@@ -71,19 +72,20 @@
     }
 }
 
-/// Shortest time between two log lines about refusals for the same reason.
+/// Minimum time between two log lines about refusals for the same reason.
 const LOG_INTERVAL_MS: u64 = 1_000;
 
-/// Refusals by reason.
+/// Counts refusals by reason, and limits the rate at which they are logged.
 #[derive(Debug, Default)]
 pub(crate) struct Refusals {
     counts: [u64; REASON_COUNT],
-    /// Steady time of the newest log line of each reason.
+    /// Steady time of the most recent log line for each reason.
     logged_ms: [Option<u64>; REASON_COUNT],
 }
 
 impl Refusals {
-    /// Counts a refusal, and logs it unless one for the same reason was logged a moment ago.
+    /// Counts a refusal, and logs it unless one for the same reason was logged within
+    /// [`LOG_INTERVAL_MS`].
     pub fn count(&mut self, request: crate::RequestId, reason: RefusalReason, now_ms: u64) {
         let index = reason as usize;
         self.counts[index] += 1;
@@ -96,7 +98,7 @@
         tracing::info!(request, reason, total, "request refused");
     }
 
-    /// The number of refusals of each reason that has occurred, by metric name.
+    /// Returns the number of refusals for each reason that has occurred, by metric name.
     pub fn metrics(&self) -> impl Iterator<Item = (String, f64)> + '_ {
         RefusalReason::ALL.into_iter().filter_map(|reason| {
             let count = self.counts[reason as usize];
--- a/crates/core/src/api/routing.rs
+++ b/crates/core/src/api/routing.rs
@@ -1,5 +1,5 @@
-//! Parses users' requests and chooses who decides them: this controller as the leader, the leader
-//! through forwarding, or this controller by the key-value store alone.
+//! Parses users' requests and selects how they are decided: by this controller as the leader, by
+//! the leader to which they are forwarded, or by this controller from the key-value store alone.
 
 use quartzgate_feature_gates::Feature;
 use quartzgate_wire::from_cbor;
@@ -12,31 +12,31 @@
 use crate::latency::LatencySpan;
 use crate::RequestId;
 
-/// Path of all requests about jobs.
+/// Path prefix of all requests about jobs.
 const JOBS_PATH: &str = "/api/jobs";
 
-/// A user's request, parsed.
+/// A parsed request of a user.
 #[derive(Clone, Debug)]
 pub(crate) enum UserRequest {
-    /// A submission, and its body as it came.
+    /// A submission: the parsed job and the unchanged body, which is sent on when forwarding.
     Submit(Box<JobSpec>, Vec<u8>),
-    /// A submission that names a job and is invalid otherwise: rejected unless the job is known.
+    /// An invalid submission that contains a valid job id. It is rejected unless the job is known.
     Malformed {
         job: String,
-        /// The reason, as the answer gives it.
-        why: String,
-        /// The body as it came.
+        /// Text of the reason in the response body.
+        reason: String,
+        /// The unchanged body, which is sent on when forwarding.
         body: Vec<u8>,
     },
-    /// A query of a job's status.
+    /// A status query for the job of this id.
     Poll(String),
-    /// An abort of a job.
+    /// A request to abort the job of this id.
     Abort(String),
 }
 
 impl UserRequest {
-    /// The job that the request is about.
-    pub(super) fn id(&self) -> &str {
+    /// Returns the id of the job that the request is about.
+    pub(super) fn job_id(&self) -> &str {
         match self {
             UserRequest::Submit(spec, _) => &spec.id,
             UserRequest::Malformed { job, .. } => job,
@@ -57,7 +57,7 @@
     }
 }
 
-/// Why a request can't be parsed. The texts are part of the interface.
+/// Reasons for which a request can't be parsed. The texts are part of the interface.
 #[derive(Debug, thiserror::Error)]
 enum InvalidRequest {
     #[error("no such path")]
@@ -85,9 +85,9 @@
     path: &str,
     body: Vec<u8>,
 ) -> Result<UserRequest, InvalidRequest> {
-    let rest = path.strip_prefix(JOBS_PATH).ok_or(InvalidRequest::UnknownPath)?;
-    let segments: Vec<&str> = rest.split('/').skip(1).collect();
-    match (method, rest.is_empty(), segments.as_slice()) {
+    let subpath = path.strip_prefix(JOBS_PATH).ok_or(InvalidRequest::UnknownPath)?;
+    let segments: Vec<&str> = subpath.split('/').skip(1).collect();
+    match (method, subpath.is_empty(), segments.as_slice()) {
         ("POST", true, _) => parse_submission(body),
         (_, true, _) => Err(InvalidRequest::MethodNotAllowed),
         ("GET", _, [job]) => parse_job_id(job).map(UserRequest::Poll),
@@ -106,31 +106,31 @@
 }
 
 fn parse_submission(body: Vec<u8>) -> Result<UserRequest, InvalidRequest> {
-    match parse_job(&body) {
+    match parse_job_spec(&body) {
         Ok(spec) => Ok(UserRequest::Submit(Box::new(spec), body)),
-        Err(why) => match named_job(&body) {
-            Some(job) => Ok(UserRequest::Malformed { job, why, body }),
-            None => Err(InvalidRequest::MalformedSubmission(why)),
+        Err(reason) => match extract_job_id(&body) {
+            Some(job) => Ok(UserRequest::Malformed { job, reason, body }),
+            None => Err(InvalidRequest::MalformedSubmission(reason)),
         },
     }
 }
 
-/// The specification in a submission, or the reason for which it is invalid.
-fn parse_job(body: &[u8]) -> Result<JobSpec, String> {
+/// Returns the job in a submission's body, or the reason for which it is invalid.
+fn parse_job_spec(body: &[u8]) -> Result<JobSpec, String> {
     let spec: JobSpec = from_cbor(body).map_err(|error| error.to_string())?;
     spec.check().map_err(|error| error.to_string())?;
     Ok(spec)
 }
 
-/// The job that a malformed submission names, if it names one.
-fn named_job(body: &[u8]) -> Option<String> {
+/// Returns the job id in a malformed submission, if there is a valid one.
+fn extract_job_id(body: &[u8]) -> Option<String> {
     let map = from_cbor::<ciborium::value::Value>(body).ok()?.into_map().ok()?;
-    let named = map.into_iter().find(|(key, _)| key.as_text() == Some("ref"))?.1;
-    named.into_text().ok().filter(|id| valid_job_id(id))
+    let job_id = map.into_iter().find(|(key, _)| key.as_text() == Some("ref"))?.1;
+    job_id.into_text().ok().filter(|id| valid_job_id(id))
 }
 
 impl Controller {
-    /// Handles a request that came from outside the mesh: of a worker's agent or of a user.
+    /// Handles a request of a worker's agent or a user, as opposed to one of another controller.
     pub(crate) fn on_client(&mut self, id: RequestId, request: Request) {
         let path = request.target.split('?').next().unwrap_or("");
         match (request.method.as_str(), path) {
@@ -152,48 +152,49 @@
         }
     }
 
-    /// Handles a user's request, from the user or forwarded by a peer (`passed_on`).
+    /// Handles a user's request, received from the user or, if `is_forwarded`, from a peer.
     pub(crate) fn on_user(
         &mut self,
         id: RequestId,
         method: &str,
         path: &str,
         body: Vec<u8>,
-        passed_on: bool,
+        is_forwarded: bool,
     ) {
-        let work = match parse_user_request(method, path, body) {
-            Ok(work) => work,
+        let user_request = match parse_user_request(method, path, body) {
+            Ok(user_request) => user_request,
             Err(error) => return self.answer_error(id, error.status(), &error.to_string()),
         };
-        self.context.latencies.begin(id, work.latency_span(), self.context.now.steady_ms);
-        // A forwarded query is followed where the user asked it.
-        if let (UserRequest::Poll(job), false) = (&work, passed_on) {
+        self.context.latencies.begin(id, user_request.latency_span(), self.context.now.steady_ms);
+        // A forwarded query is tracked by the controller that received it from the user.
+        if let (UserRequest::Poll(job), false) = (&user_request, is_forwarded) {
             self.query_tracker.on_query(id, job, self.context.now.steady_ms);
         }
-        if let Some(status) = self.terminal_jobs.get(work.id()) {
-            return self.answer_terminal(id, work.id(), status);
+        if let Some(status) = self.terminal_jobs.get(user_request.job_id()) {
+            return self.answer_terminal(id, user_request.job_id(), status);
         }
-        // The first version drops dependencies, so that none is accepted while it may lead.
-        if work.has_dependencies() && !self.is_active(Feature::JobDependencies) {
+        // The first version drops dependencies, so a job with dependencies is accepted only once no
+        // controller of that version can become the leader.
+        if user_request.has_dependencies() && !self.is_active(Feature::JobDependencies) {
             return self.answer_busy(id, RefusalReason::FeatureInactive);
         }
         if self.leads() {
-            return self.decide_as_leader(id, work);
+            return self.decide_as_leader(id, user_request);
         }
-        // A leader that has missed its heartbeat would keep the user waiting.
+        // A leader that has missed a heartbeat may not answer, which would keep the user waiting.
         let leader = self.live_leader_index().filter(|_| !self.leader_missed());
-        match leader.filter(|_| !passed_on) {
-            Some(sibling) => self.forward(id, sibling, work),
-            None => self.decide_without_leader(id, work, passed_on),
+        match leader.filter(|_| !is_forwarded) {
+            Some(sibling) => self.forward(id, sibling, user_request),
+            None => self.decide_without_leader(id, user_request, is_forwarded),
         }
     }
 
-    fn decide_as_leader(&mut self, id: RequestId, work: UserRequest) {
-        match work {
+    fn decide_as_leader(&mut self, id: RequestId, user_request: UserRequest) {
+        match user_request {
             UserRequest::Submit(spec, _) => self.submit_to_leader(id, *spec),
-            UserRequest::Malformed { job, why, .. } => {
+            UserRequest::Malformed { job, reason, .. } => {
                 if !self.answer_if_submitted(id, &job) {
-                    self.refuse(id, job, 400, &why)
+                    self.refuse(id, job, 400, &reason)
                 }
             }
             UserRequest::Poll(job) => self.query_status(id, job),
@@ -204,27 +205,28 @@
         }
     }
 
-    /// Decides a request by the key-value store alone. Without access to it, a peer that has it
-    /// gets the request, unless it was forwarded before (`was_forwarded`).
+    /// Decides a request from the key-value store alone. If this controller can't reach the store,
+    /// forwards the request to a peer that can, unless it was forwarded before (`is_forwarded`).
     pub(super) fn decide_without_leader(
         &mut self,
         id: RequestId,
-        work: UserRequest,
-        was_forwarded: bool,
+        user_request: UserRequest,
+        is_forwarded: bool,
     ) {
         if !self.store_reachable() {
-            if let (false, Some(sibling)) = (was_forwarded, self.peer_with_store()) {
-                return self.forward(id, sibling, work);
+            if let (false, Some(sibling)) = (is_forwarded, self.peer_with_store()) {
+                return self.forward(id, sibling, user_request);
             }
             return self.answer_busy(id, RefusalReason::StoreUnreachable);
         }
-        // Records of a later version are neither read nor written beside.
+        // Records that a later version may have written are neither read nor changed: the active
+        // format must be known and supported.
         if !self.knows_format() {
             return self.answer_busy(id, RefusalReason::FeatureInactive);
         }
-        match work {
+        match user_request {
             UserRequest::Submit(spec, _) => self.submit_unknown_job(id, *spec),
-            UserRequest::Malformed { job, why, .. } => self.refuse(id, job, 400, &why),
+            UserRequest::Malformed { job, reason, .. } => self.refuse(id, job, 400, &reason),
             UserRequest::Poll(job) => self.query_status(id, job),
             UserRequest::Abort(job) => self.read_job_to_abort(id, job),
         }
--- a/crates/core/src/api/status.rs
+++ b/crates/core/src/api/status.rs
@@ -1,4 +1,4 @@
-//! Reads jobs' records for users' requests, and answers from them.
+//! Reads job records for users' requests, and answers the requests from them.
 
 use quartzgate_wire::http::Response;
 use quartzgate_wire::msg::{JobAnswer, JobStatus, KeyValue};
@@ -14,7 +14,8 @@
 use super::status_queries::live_answer;
 
 impl Controller {
-    /// Reads a job's record for a request, unless the store's rate limit forbids that now.
+    /// Reads a job's record for a request, or refuses the request if the store's rate limit allows
+    /// no read now.
     pub(crate) fn read_job(&mut self, id: RequestId, job: &str, pending: InFlight) {
         if !self.may_read(ReadPurpose::Request) {
             return self.answer_busy(id, RefusalReason::ReadLimit);
@@ -22,7 +23,8 @@
         self.look_up(job, pending);
     }
 
-    /// The result of reading a record: `Ok(None)` if there is none, an error if that is not known.
+    /// Interprets the outcome of reading a record: `Ok(None)` if the record does not exist, an
+    /// error if the read does not show whether it does.
     pub(crate) fn read_outcome(&mut self, outcome: Outcome) -> Result<Option<KeyValue>, ()> {
         match outcome {
             Outcome::Answer(answer) if answer.status == 200 => {
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Answers the status queries of a job from the record that was read for them.
+    /// Answers the status queries for a job from the record that was read for them.
     pub(crate) fn on_status_read(
         &mut self,
         requests: Vec<RequestId>,
@@ -60,8 +62,8 @@
         }
     }
 
-    /// Answers for a job of which no record was found. It may have been accepted, or have ended,
-    /// while the record was read.
+    /// Answers a status query for a job without a record. The job may have been accepted, or may
+    /// have ended, while the record was being read.
     fn answer_unrecorded(&mut self, id: RequestId, job: &str) {
         match (self.terminal_jobs.get(job), self.jobs.find(job)) {
             (Some(status), _) => self.answer_terminal(id, job, status),
@@ -70,13 +72,13 @@
         }
     }
 
-    /// Answers with what a job's record says, and with the counts that the leader knows.
+    /// Answers with the state in a job's record and, on the leader, the task counts in memory.
     pub(super) fn answer_record(&mut self, id: RequestId, job: &str, pair: KeyValue) {
         let Some(record) = decode::<JobRecord>(&pair.value) else {
             log_unreadable_record(job);
             return self.answer_busy(id, RefusalReason::RecordUnreadable);
         };
-        // The job's terminal state may have been learnt while the record was on its way.
+        // This controller may have learned of the job's end while the read was in flight.
         if let Some(status) = self.terminal_jobs.get(job) {
             return self.answer_terminal(id, job, status);
         }
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Answers for a job that is live by its record. A job with dependencies is answered once
-    /// theirs are read, as it is aborted with any of them.
+    /// Answers for a job whose record is live. If the job has dependencies, their records are read
+    /// first, because the abort of a dependency aborts the job as well.
     fn answer_live_record(&mut self, id: RequestId, job: &str, record: JobRecord, revision: u64) {
         let dependencies = record.spec.as_ref().map(|spec| spec.dependencies.clone());
         let known = self.add_recorded_job(job, record, revision);
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Answers that a job has ended.
+    /// Answers that a job has reached the terminal state `status`.
     pub(crate) fn answer_terminal(&mut self, id: RequestId, job: &str, status: RecordedStatus) {
         let status = match status {
             RecordedStatus::Done => JobStatus::Done,
@@ -121,7 +123,7 @@
     }
 }
 
-/// An answer that says nothing about the job's tasks.
+/// Returns an answer without the counts of completed and running tasks.
 pub(super) fn answer_without_counts(job: &str, status: JobStatus) -> JobAnswer {
     JobAnswer { id: job.to_string(), status, done: None, running: None }
 }
--- a/crates/core/src/api/status_queries.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -1,8 +1,9 @@
-//! Status queries of jobs that the leader has in memory.
+//! Status queries for jobs that the leader has in memory.
 //!
-//! Queries that arrive within a short time share one validated read, sent after the last of them
-//! arrived: a transaction without changes whose conditions are the revisions of the records on
-//! which memory is based. An answer is given only if none of these records has changed.
+//! Queries that arrive within a short interval share one validated read, which is sent after the
+//! last of them has arrived: a transaction without changes whose guards are the revisions of the
+//! records from which the leader's memory was built. A query is answered from memory only if none
+//! of the records behind the answer has changed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,32 +20,32 @@
 use crate::storage::records::{job_key, JOB_PREFIX};
 use crate::{Outcome, RequestId};
 
-/// Conditions that the store accepts in a transaction for each change that it would accept.
+/// Guards that the store accepts in a transaction, for each change that it accepts in one.
 const GUARDS_PER_OP: usize = 4;
-/// Queries are gathered for this part of the writer's batch interval.
-const INTERVALS_PER_BATCH: u64 = 4;
+/// Number of intervals for gathering queries in one batch interval of the record writer.
+const GATHER_INTERVALS_PER_BATCH: u64 = 4;
 
-/// Queries that wait for an answer, by job.
+/// Status queries that wait for an answer, by job.
 type QueriesByJob = BTreeMap<JobIndex, Vec<RequestId>>;
 
-/// Revisions of records on which memory is based, by job.
+/// Revisions of the job records from which memory was built, by job.
 type RevisionsByJob = BTreeMap<JobIndex, u64>;
 
-/// A comparison of the records on which answers are based with those in the store. It may take
-/// several transactions.
+/// A comparison of the record revisions behind a set of answers with those in the store. It may
+/// take several transactions.
 #[derive(Debug, Default)]
 pub(crate) struct ValidatedRead {
     queries: QueriesByJob,
-    /// Records that are still to be compared.
+    /// Records that no transaction has compared yet.
     remaining: RevisionsByJob,
-    /// Records that are being compared, or have been.
+    /// Records whose comparison has been sent to the store, at these revisions.
     sent: RevisionsByJob,
-    /// Jobs whose records have changed.
+    /// Jobs whose records are known to have changed.
     changed: BTreeSet<JobIndex>,
 }
 
 impl ValidatedRead {
-    /// Whether the records can be added without exceeding one transaction.
+    /// Returns whether one transaction can compare these records together with the remaining ones.
     fn has_capacity_for(&self, records: &RevisionsByJob, max_guards: usize) -> bool {
         let added = records.keys().filter(|job| !self.remaining.contains_key(job)).count();
         self.remaining.len() + added <= max_guards
@@ -64,9 +65,9 @@
 #[derive(Default)]
 pub(crate) struct StatusQueries {
     waiting: QueriesByJob,
-    /// Number of queries that wait.
+    /// Total number of queries in `waiting`.
     waiting_count: usize,
-    /// Steady time of the newest read.
+    /// Steady time of the most recent validated read.
     last_read_ms: u64,
 }
 
@@ -76,7 +77,7 @@
         self.waiting_count += 1;
     }
 
-    /// Takes out all queries for a read that is sent now.
+    /// Removes and returns all queries, for a validated read that is sent now.
     fn take(&mut self, now_ms: u64) -> QueriesByJob {
         self.last_read_ms = now_ms;
         self.waiting_count = 0;
@@ -85,7 +86,8 @@
 }
 
 impl Controller {
-    /// Answers with a job's state after a fresh read of its record.
+    /// Answers a status query after a fresh read of the job's record, or after a validated read if
+    /// memory can answer it.
     pub(crate) fn query_status(&mut self, id: RequestId, job: String) {
         let known = self.jobs.find(&job).filter(|_| self.leads());
         let validatable =
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Sends a validated read for the queries that have arrived since the last.
+    /// Sends a validated read for the queries that have arrived since the previous one, unless the
+    /// gathering interval has not passed yet.
     pub(crate) fn tick_status_queries(&mut self) {
         let now_ms = self.context.now.steady_ms;
         let interval_ms = self.status_gather_interval_ms();
@@ -119,12 +122,12 @@
         let max_guards = self.max_guards();
         let mut read = ValidatedRead::default();
         for (job_index, requests) in self.status_queries.take(now_ms) {
-            let Some(records) = self.records_behind(job_index) else {
-                // One of the records is being written, or a job has ended meanwhile.
+            let Some(records) = self.revisions_behind_state(job_index) else {
+                // One of the records is being written, or one of the jobs has ended.
                 self.read_statuses(job_index, requests);
                 continue;
             };
-            // The records of one job may exceed a transaction: they are compared in several.
+            // If the records of a single job exceed one transaction, several compare them.
             if !read.has_capacity_for(&records, max_guards) && !read.remaining.is_empty() {
                 self.send_validated_read(std::mem::take(&mut read));
             }
@@ -133,19 +136,20 @@
         self.send_validated_read(read);
     }
 
-    /// How long status queries are gathered for one comparison.
+    /// Returns for how long status queries are gathered before one read compares their records.
     pub(super) fn status_gather_interval_ms(&self) -> u64 {
-        self.context.config.write_batch_ms() / INTERVALS_PER_BATCH
+        self.context.config.write_batch_ms() / GATHER_INTERVALS_PER_BATCH
     }
 
-    /// Conditions that one transaction may have.
+    /// Returns how many guards one transaction may have.
     pub(crate) fn max_guards(&self) -> usize {
         GUARDS_PER_OP * self.limits().txn_ops
     }
 
-    /// The records on which the state of a job in memory is based: its own, and those of the jobs
-    /// that it waits for, directly or through others. `None` if one of them can't be validated.
-    fn records_behind(&self, job_index: JobIndex) -> Option<RevisionsByJob> {
+    /// Returns the revisions of the records that determine the state of a job in memory: the job's
+    /// own and those of its direct and transitive dependencies. Returns `None` if one of them can't
+    /// be validated.
+    fn revisions_behind_state(&self, job_index: JobIndex) -> Option<RevisionsByJob> {
         let mut jobs = self.before(job_index)?;
         jobs.push(job_index);
         let revision = |job_index: &JobIndex| {
@@ -154,7 +158,7 @@
         jobs.into_iter().map(|job_index| Some((job_index, revision(&job_index)?))).collect()
     }
 
-    /// Compares as many of the remaining records as one transaction takes.
+    /// Sends one transaction that compares as many of the remaining records as it may have guards.
     fn send_validated_read(&mut self, mut read: ValidatedRead) {
         if read.queries.is_empty() {
             return;
@@ -177,7 +181,7 @@
                     guards.push(Guard { path: job_key(&job.id), revision });
                     read.sent.insert(job_index, revision);
                 }
-                // The job has ended since.
+                // The job has ended since the query was queued.
                 None => drop(read.changed.insert(job_index)),
             }
         }
@@ -194,36 +198,37 @@
         requests.for_each(|id| self.answer_busy(id, reason));
     }
 
-    /// Handles the outcome of a validated read that was sent in an epoch.
+    /// Handles the outcome of a validated read that was sent in `epoch`.
     pub(crate) fn on_validated_read(
         &mut self,
-        mut compared: ValidatedRead,
+        mut read: ValidatedRead,
         epoch: u64,
         outcome: Outcome,
     ) {
-        let failed = self.failed_conditions(&outcome);
+        let failed = self.changed_record_keys(&outcome);
         let reason = match failed {
             Some(_) => RefusalReason::EpochChanged,
             None => RefusalReason::StoreFailed,
         };
-        // Job indexes of an earlier epoch mean nothing in the present memory.
+        // Job indexes of an earlier epoch are not valid in the memory of the current one.
         let Some(failed) = failed.filter(|_| epoch == self.epoch()) else {
-            return self.answer_queries_busy(compared.into_requests(), reason);
+            return self.answer_queries_busy(read.into_requests(), reason);
         };
         self.note_store_answer();
         for path in failed {
-            self.on_record_changed(&mut compared, &path);
+            self.on_record_changed(&mut read, &path);
         }
-        if !compared.remaining.is_empty() {
-            return self.send_validated_read(compared);
+        if !read.remaining.is_empty() {
+            return self.send_validated_read(read);
         }
-        for (job_index, requests) in compared.queries {
-            self.answer_validated(job_index, requests, &compared.changed);
+        for (job_index, requests) in read.queries {
+            self.answer_validated(job_index, requests, &read.changed);
         }
     }
 
-    /// Keys of the records that have changed; `None` if the comparison was not made.
-    pub(super) fn failed_conditions(&mut self, outcome: &Outcome) -> Option<Vec<String>> {
+    /// Returns the keys of the records that have changed, or `None` if the store did not compare
+    /// them.
+    pub(super) fn changed_record_keys(&mut self, outcome: &Outcome) -> Option<Vec<String>> {
         match outcome {
             Outcome::Answer(answer) if answer.status == 200 => Some(Vec::new()),
             Outcome::Answer(answer) if answer.status == 409 => {
@@ -237,8 +242,8 @@
         }
     }
 
-    /// Notes that a record has changed. Unless this leader has written it meanwhile, memory is
-    /// behind the record, or a late write was applied: it is read again.
+    /// Records that a job's record has changed. Unless this leader has written it in the meantime,
+    /// memory is older than the record or a delayed write was applied, so the record is read again.
     fn on_record_changed(&mut self, read: &mut ValidatedRead, path: &str) {
         let found = path.strip_prefix(JOB_PREFIX).and_then(|id| self.jobs.find(id));
         let Some(job_index) = found else { return };
@@ -250,7 +255,8 @@
         }
     }
 
-    /// Answers the queries of one job from memory, if no record on which it is based has changed.
+    /// Answers the queries for one job from memory if neither its own record nor that of a
+    /// dependency has changed; otherwise reads the job's record.
     fn answer_validated(
         &mut self,
         job_index: JobIndex,
@@ -270,7 +276,7 @@
         }
     }
 
-    /// Answers all queries that wait, as this controller no longer leads.
+    /// Refuses all waiting queries because this controller is no longer the leader.
     pub(crate) fn drop_status_queries(&mut self) {
         let dropped = std::mem::take(&mut self.status_queries);
         let requests = dropped.waiting.into_values().flatten();
@@ -278,13 +284,13 @@
     }
 }
 
-/// Whether memory is based on a record of the job whose revision is known.
+/// Returns whether the job in memory was built from a record whose revision is known.
 fn is_validatable(job: &Job) -> bool {
     job.state.is_accepted() && !job.busy && (job.revision > 0 || job.page.is_some())
 }
 
-/// The answer for a job that had not ended at the time of a read: its end is reported only once it
-/// is recorded.
+/// Returns the answer for a job whose record was live when it was read. A job that has ended in
+/// memory is reported as running until its end is recorded.
 pub(super) fn live_answer(job: &Job) -> JobAnswer {
     let answer = job.answer();
     match answer.status {
--- a/crates/core/src/api/status_reads.rs
+++ b/crates/core/src/api/status_reads.rs
@@ -1,15 +1,16 @@
 //! Status queries that are answered by reads from the key-value store.
 //!
-//! Queries of one job share a read, sent after the last of them arrived. Reads are limited: the
-//! job that has gone without an answer for longest is read first, so that none is passed over for
-//! ever, and a part of the limit is kept for these reads whatever others force.
+//! Queries for one job share a read, which is sent after the last of them has arrived. Reads are
+//! rate limited. The job that has gone unanswered for longest is read first, so that no job
+//! starves, and a part of the limit is reserved for these reads, regardless of how many reads
+//! other purposes force.
 //!
-//! A controller that does not lead gathers the queries of jobs that it has read before:
+//! A follower gathers the queries for jobs that it has read before:
 //!
-//! - a job with a record of its own, by the revision at which it was live: one transaction that
-//!   only compares verifies many of them, as a job is as live as it was while its record is
-//!   unchanged;
-//! - a job that a batch record holds, by one update of the index for all of them.
+//! - For jobs with a record of their own, it remembers the revision at which each was live. One
+//!   transaction that only compares revisions validates many of them, because a job is still live
+//!   while its record is unchanged.
+//! - Jobs that a batch record holds are all looked up by one update of the batch index.
 
 use std::collections::BTreeMap;
 
@@ -26,28 +27,29 @@
 
 use super::status::answer_without_counts;
 
-/// Half of a user's patience with a status query, after which it is refused unread.
+/// Longest wait of a status query, after which it is refused without a read: half of the time for
+/// which a user waits for the answer.
 const MAX_WAIT_MS: u64 = 1_000;
-/// Live jobs whose revisions are remembered for each job that may wait.
+/// Number of live jobs whose revisions are remembered, for each job that may wait in a queue.
 const LIVE_JOBS_PER_WAITING: usize = 4;
 
-/// Order of the reads: the job that was asked about first since its last answer comes first.
+/// Sort key of the reads: the job that has gone unanswered for longest comes first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ReadPosition {
     unanswered_since_ms: u64,
     job: String,
 }
 
-/// Queries of one job that wait for its read.
+/// Status queries for one job that wait for a read of the job's record.
 #[derive(Debug)]
 pub(crate) struct JobQueries {
     job: String,
     requests: Vec<RequestId>,
-    /// When the first of them began to wait.
+    /// Steady time at which the first of them began to wait.
     waiting_since_ms: u64,
 }
 
-/// Queries that wait, in the order in which their jobs are read.
+/// Waiting queries, in the order in which their jobs are read.
 #[derive(Default)]
 struct ReadQueue {
     waiting: BTreeMap<ReadPosition, JobQueries>,
@@ -55,8 +57,8 @@
 }
 
 impl ReadQueue {
-    /// Adds requests to the queries of a job that waits already; false if it does not.
-    fn join(&mut self, queries: &JobQueries) -> bool {
+    /// Adds requests to the queries of a job that is queued already. Returns false if it is not.
+    fn merge(&mut self, queries: &JobQueries) -> bool {
         let position = self.positions.get(&queries.job);
         let Some(waiting) = position.and_then(|position| self.waiting.get_mut(position)) else {
             return false;
@@ -77,7 +79,7 @@
         Some(queries)
     }
 
-    /// Removes the job that was answered most recently.
+    /// Removes the job that has gone unanswered for the shortest time.
     fn pop_last(&mut self) -> Option<JobQueries> {
         let (position, queries) = self.waiting.pop_last()?;
         self.positions.remove(&position.job);
@@ -97,37 +99,39 @@
 
 /// Status queries that wait for a read of their job's record.
 pub(crate) struct StatusReads {
-    /// Jobs that are read one by one.
+    /// Jobs whose records are read one by one.
     single: ReadQueue,
-    /// Jobs that are read together.
+    /// Jobs whose records are validated or looked up together.
     gathered: ReadQueue,
+    /// Largest number of jobs in each queue.
     max_waiting: usize,
-    /// Revisions of the records of live jobs, as they were read last.
+    /// Revision of each live job's record when the record was last read.
     live_revisions: BTreeMap<String, u64>,
-    /// Steady time at which gathered queries were read last.
-    gathered_ms: u64,
+    /// Steady time of the last read for gathered queries.
+    last_gathered_read_ms: u64,
 }
 
 impl StatusReads {
-    /// At most so many jobs of each kind wait at a time.
+    /// Creates empty queues, each of which holds at most `max_waiting` jobs.
     pub fn new(max_waiting: usize) -> Self {
         StatusReads {
             single: ReadQueue::default(),
             gathered: ReadQueue::default(),
             max_waiting,
             live_revisions: BTreeMap::new(),
-            gathered_ms: 0,
+            last_gathered_read_ms: 0,
         }
     }
 
-    /// Adds queries of a job; returns those of another that have to make way.
+    /// Queues the queries for a job. If the queue is full, removes and returns the queries for the
+    /// job that has gone unanswered for the shortest time.
     fn push(
         &mut self,
         is_gathered: bool,
         unanswered_since_ms: u64,
         queries: JobQueries,
     ) -> Option<JobQueries> {
-        if self.single.join(&queries) || self.gathered.join(&queries) {
+        if self.single.merge(&queries) || self.gathered.merge(&queries) {
             return None;
         }
         let queue = if is_gathered { &mut self.gathered } else { &mut self.single };
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Takes out queries that have waited for too long.
+    /// Removes and returns the queries that have waited for longer than [`MAX_WAIT_MS`].
     fn take_expired(&mut self, now_ms: u64) -> Vec<JobQueries> {
         let mut expired = self.single.take_expired(now_ms);
         expired.extend(self.gathered.take_expired(now_ms));
@@ -148,27 +152,28 @@
     }
 
     /// Remembers the revision at which a live job was read.
-    fn note_live(&mut self, job: &str, revision: u64) {
+    fn record_live_revision(&mut self, job: &str, revision: u64) {
         if self.live_revisions.len() >= LIVE_JOBS_PER_WAITING * self.max_waiting {
             self.live_revisions.pop_first();
         }
         self.live_revisions.insert(job.to_string(), revision);
     }
 
-    /// A leader reads each live job, so that one which it does not know enters its memory.
+    /// Forgets the revisions of all live jobs. A new leader reads the record of each queried job,
+    /// so that a live job which it does not know is added to its memory.
     pub fn forget_live_revisions(&mut self) {
         self.live_revisions.clear();
     }
 }
 
-/// A comparison of the records of live jobs with what was read of them before.
+/// A comparison of the revisions of live jobs' records with those that were read before.
 #[derive(Debug)]
 pub(crate) struct LiveComparison {
     queries: Vec<JobQueries>,
 }
 
 impl Controller {
-    /// Answers a status query by a read of the job's record alone.
+    /// Answers a status query from the key-value store, without the leader's memory.
     pub(super) fn read_status(&mut self, id: RequestId, job: String) {
         let now_ms = self.context.now.steady_ms;
         let queries = JobQueries { job, requests: vec![id], waiting_since_ms: now_ms };
@@ -191,19 +196,20 @@
         queries.requests.into_iter().for_each(|id| self.answer_busy(id, reason));
     }
 
-    /// Refuses what has waited too long, and sends the reads that the limit allows.
+    /// Refuses queries that have waited for too long, and sends the reads that the rate limit
+    /// allows.
     pub(crate) fn tick_status_reads(&mut self) {
         let now_ms = self.context.now.steady_ms;
         for expired in self.status_reads.take_expired(now_ms) {
             self.refuse_queries(expired, RefusalReason::ReadLimit);
         }
-        if now_ms >= self.status_reads.gathered_ms + self.status_gather_interval_ms() {
+        if now_ms >= self.status_reads.last_gathered_read_ms + self.status_gather_interval_ms() {
             self.read_gathered_jobs();
         }
         self.send_status_reads();
     }
 
-    /// Reads the records of jobs one by one.
+    /// Reads records of queued jobs one by one while the rate limit allows it.
     fn send_status_reads(&mut self) {
         while !self.status_reads.single.waiting.is_empty()
             && self.may_read(ReadPurpose::StatusQuery)
@@ -219,14 +225,14 @@
         self.look_up(&job.clone(), InFlight::Poll { requests, id: job });
     }
 
-    /// Reads gathered jobs together, as many at a time as one comparison takes.
+    /// Validates gathered jobs together, as many at a time as one transaction may have guards.
     fn read_gathered_jobs(&mut self) {
         let max_guards = self.max_guards();
         let mut in_batches = Vec::new();
         while !self.status_reads.gathered.waiting.is_empty()
             && self.membership.store_reads().may_gather_status(self.context.now.steady_ms)
         {
-            self.status_reads.gathered_ms = self.context.now.steady_ms;
+            self.status_reads.last_gathered_read_ms = self.context.now.steady_ms;
             let next = std::iter::from_fn(|| self.status_reads.gathered.pop_first());
             let next: Vec<JobQueries> = next.take(max_guards).collect();
             let live_revisions = &self.status_reads.live_revisions;
@@ -241,7 +247,8 @@
         self.look_up_gathered(lookups.collect());
     }
 
-    /// Compares the records of jobs that were read before with what was read.
+    /// Sends one transaction that compares the records of jobs with the revisions at which they
+    /// were live.
     fn compare_live_jobs(&mut self, queries: Vec<JobQueries>) {
         if queries.is_empty() {
             return;
@@ -258,16 +265,17 @@
         self.call_store("POST", "/multi".into(), body, call);
     }
 
-    /// Handles the outcome of a comparison: jobs whose records are unchanged are still live, the
-    /// others are read.
-    pub(crate) fn on_live_jobs_compared(&mut self, compared: LiveComparison, outcome: Outcome) {
-        let changed = self.failed_conditions(&outcome);
+    /// Handles the outcome of a comparison: jobs whose records are unchanged are still live, and
+    /// the records of the others are read.
+    pub(crate) fn on_live_jobs_compared(&mut self, comparison: LiveComparison, outcome: Outcome) {
+        let changed = self.changed_record_keys(&outcome);
         let Some(changed) = changed else {
-            let refused = compared.queries.into_iter();
-            return refused.for_each(|q| self.refuse_queries(q, RefusalReason::StoreFailed));
+            let refused = comparison.queries.into_iter();
+            return refused
+                .for_each(|queries| self.refuse_queries(queries, RefusalReason::StoreFailed));
         };
         self.note_store_answer();
-        for queries in compared.queries {
+        for queries in comparison.queries {
             if changed.contains(&job_key(&queries.job)) {
                 self.status_reads.live_revisions.remove(&queries.job);
                 self.queue_status_read(queries);
@@ -278,10 +286,10 @@
         self.send_status_reads();
     }
 
-    /// Answers queries of a job whose record has just been seen to be live.
+    /// Answers the queries for a job whose record was just validated to be live.
     fn answer_live_job(&mut self, queries: JobQueries) {
         let JobQueries { job, requests, .. } = queries;
-        // The job's terminal state may have been learnt while the comparison was on its way.
+        // This controller may have learned of the job's end while the comparison was in flight.
         let status = self.terminal_jobs.get(&job);
         let body = to_cbor(&answer_without_counts(&job, JobStatus::Running));
         for id in requests {
@@ -292,10 +300,11 @@
         }
     }
 
-    /// Remembers that a follower has read a live job, whose state rests on its record alone.
+    /// Remembers on a follower the revision of a live job whose state depends on its own record
+    /// alone. Revision 0 means that the job has no record of its own.
     pub(super) fn note_live_record(&mut self, job: &str, revision: u64) {
         if !self.leads() && revision > 0 {
-            self.status_reads.note_live(job, revision);
+            self.status_reads.record_live_revision(job, revision);
         }
     }
 }
--- a/crates/core/src/api/submit.rs
+++ b/crates/core/src/api/submit.rs
@@ -1,9 +1,9 @@
-//! Submissions: checked, and recorded by the leader or, without it, by any controller that has
-//! access to the key-value store.
+//! Submissions: validated, then recorded by the leader or, if the leader does not answer, by any
+//! controller that has access to the key-value store.
 //!
-//! A submission is idempotent: a job that is known is never rejected or recorded again, and a
-//! repeated submission is answered with the job's state, whatever else it says. Every write that
-//! accepts a job is therefore guarded by the absence of its record.
+//! Submissions are idempotent: a job that is already known is never rejected or recorded again,
+//! and a repeated submission is answered with the job's state, whatever its other fields are.
+//! Every write that accepts a job is therefore guarded by the absence of the job's record.
 
 use quartzgate_feature_gates::Feature;
 use quartzgate_wire::http::Response;
@@ -28,24 +28,25 @@
 use super::status::answer_without_counts;
 use super::WRITES_WITHOUT_LEADER;
 
-/// How a submission is rejected if its job is not known.
+/// The rejection of a submission, sent only if the job turns out not to be known.
 #[derive(Debug)]
 pub(crate) struct Refusal {
-    /// HTTP status of the answer.
+    /// HTTP status code of the rejection.
     status: u16,
-    /// The reason, as the answer gives it.
+    /// Text of the reason in the response body.
     reason: String,
 }
 
 impl Controller {
-    /// The leader decides a submission.
+    /// Decides a submission as the leader.
     pub(super) fn submit_to_leader(&mut self, id: RequestId, spec: JobSpec) {
         if !self.answer_if_submitted(id, &spec.id) {
             self.submit_unknown_job(id, spec)
         }
     }
 
-    /// Answers for a job that is in memory; false if it is not.
+    /// Answers a submission whose job is in memory, or has an entry in a batch record that can't be
+    /// decoded. Returns false, without an answer, for any other job.
     pub(super) fn answer_if_submitted(&mut self, id: RequestId, job: &str) -> bool {
         if self.job_batches.unreadable(job) {
             self.answer_busy(id, RefusalReason::RecordUnreadable);
@@ -62,8 +63,8 @@
         true
     }
 
-    /// Decides the submission of a job that is not in memory. Its dependencies, if it has any, are
-    /// read before it is accepted.
+    /// Decides the submission of a job that is not in memory. If the job has dependencies, their
+    /// records are read before the job is accepted.
     pub(super) fn submit_unknown_job(&mut self, id: RequestId, spec: JobSpec) {
         let Some(spec) = self.check_submission(id, spec) else { return };
         if spec.dependencies.is_empty() {
@@ -73,13 +74,14 @@
         }
     }
 
-    /// Checks a submission as far as that is possible without reading. One that fails is answered,
-    /// once it is known that its job does not exist.
+    /// Checks a submission as far as is possible without reading the store. If a check fails or
+    /// can't be made yet, returns `None` and reads the job's record: a job that is known is
+    /// answered with its state instead.
     fn check_submission(&mut self, id: RequestId, spec: JobSpec) -> Option<JobSpec> {
         match self.admissibility(&spec) {
             Admissibility::Admissible => {}
-            Admissibility::Inadmissible(why) => {
-                self.refuse(id, spec.id, 422, why);
+            Admissibility::Inadmissible(reason) => {
+                self.refuse(id, spec.id, 422, reason);
                 return None;
             }
             Admissibility::Unknown => {
@@ -101,20 +103,21 @@
         Some(spec)
     }
 
-    /// Rejects a submission, unless its job is known.
-    pub(crate) fn refuse(&mut self, id: RequestId, job: String, status: u16, why: &str) {
-        let refusal = Refusal { status, reason: why.to_string() };
+    /// Rejects a submission, unless a read of the job's record shows that the job is known.
+    pub(crate) fn refuse(&mut self, id: RequestId, job: String, status: u16, reason: &str) {
+        let refusal = Refusal { status, reason: reason.to_string() };
         self.read_submitted_job(id, job, Some(refusal));
     }
 
-    /// Reads whether a job exists whose submission is to be rejected, or can't be decided (without
-    /// `refusal`).
+    /// Reads the record of a job whose submission is to be rejected with `refusal` or, if that is
+    /// `None`, can't be decided yet.
     fn read_submitted_job(&mut self, id: RequestId, job: String, refusal: Option<Refusal>) {
         let call = InFlight::Known { request: id, job: job.clone(), refusal };
         self.read_job(id, &job, call);
     }
 
-    /// Handles the read of a job whose submission is to be rejected or can't be decided.
+    /// Handles the outcome of reading the record of a job whose submission is to be rejected, or
+    /// can't be decided yet.
     pub(crate) fn on_submitted_job_read(
         &mut self,
         id: RequestId,
@@ -123,14 +126,14 @@
         outcome: Outcome,
     ) {
         match self.read_outcome(outcome) {
-            // The job may have been accepted while the record was read.
+            // The job may have been accepted while its record was being read.
             Ok(None) if self.jobs.find(&job).is_some() => {
                 self.answer_busy(id, RefusalReason::RecordInFlight)
             }
             Ok(None) => match (self.terminal_jobs.get(&job), refusal) {
                 (Some(status), _) => self.answer_terminal(id, &job, status),
                 (None, Some(Refusal { status, reason })) => {
-                    tracing::info!(job = %job, why = reason, "submission rejected");
+                    tracing::info!(job = %job, reason, "submission rejected");
                     self.answer_error(id, status, &reason)
                 }
                 (None, None) => self.answer_busy(id, RefusalReason::AdmissibilityUnknown),
@@ -140,7 +143,7 @@
         }
     }
 
-    /// The record of a job that is accepted now.
+    /// Returns the record of a job that is accepted at the current time.
     pub(crate) fn job_record(&self, spec: JobSpec) -> JobRecord {
         JobRecord {
             status: RecordedStatus::Live,
@@ -152,8 +155,8 @@
         }
     }
 
-    /// Records a submission all of whose dependencies were accepted. `cancelled`: one of them was
-    /// aborted, and the job is aborted with it.
+    /// Records the submission of a job whose dependencies were all accepted. `cancelled` means that
+    /// a dependency was aborted, which aborts the job as well.
     pub(crate) fn submit_admitted(&mut self, id: RequestId, spec: JobSpec, cancelled: bool) {
         if !self.leads() {
             return self.submit_without_leader(id, spec, cancelled);
@@ -170,14 +173,14 @@
             }
             return;
         }
-        if !self.may_accept(spec.priority) {
+        if !self.try_take_acceptance_write(spec.priority) {
             return self.reject_overloaded(id);
         }
         self.record_submission(id, spec, team);
     }
 
-    /// The leader writes the record of an accepted job, together with its first placement if that
-    /// is possible now.
+    /// Writes the record of an accepted job as the leader, together with the job's first placement
+    /// if the job can be placed now.
     fn record_submission(&mut self, id: RequestId, spec: JobSpec, team: usize) {
         self.record_writer.note(WritePurpose::Accept, 1);
         let record = self.job_record(spec.clone());
@@ -208,30 +211,31 @@
         self.call_store("POST", "/multi".into(), body, call);
     }
 
-    /// Places a job that is about to be accepted. The placement is written together with the
-    /// acceptance: within the same change if it fits the job's own record, else if the rate limit
-    /// leaves further ones.
+    /// Places a job that is about to be accepted. The placement is written in the transaction that
+    /// accepts the job: as a part of the job's own record if it fits there, otherwise as further
+    /// changes if the rate limit allows them.
     fn first_placement(
         &mut self,
         job_index: JobIndex,
         priority: Priority,
     ) -> Option<PlacementWrite> {
         let is_inline = self.may_inline_placement(job_index);
-        if !is_inline && !self.may_place_immediately(priority) {
+        if !is_inline && !self.try_take_placement_write(priority) {
             return None;
         }
-        let prepaid = if is_inline { 0.0 } else { 1.0 };
+        let changes_charged = if is_inline { 0.0 } else { 1.0 };
         let placement = self.place_before_acceptance(job_index, priority, is_inline);
         let changes_made = match &placement {
             Some(write) if !write.placed.inline => write.changes() as f64,
             _ => 0.0,
         };
-        self.record_writer.writes.force(self.context.now.steady_ms, changes_made - prepaid);
+        self.record_writer.writes.force(self.context.now.steady_ms, changes_made - changes_charged);
         self.record_writer.note(WritePurpose::Deal, changes_made as usize);
         placement
     }
 
-    /// The placement of a job, if it can be placed now and fits the transaction that accepts it.
+    /// Returns the placement of a job if the job can be placed now and the placement fits the
+    /// transaction that accepts the job.
     fn place_before_acceptance(
         &mut self,
         job_index: JobIndex,
@@ -247,13 +251,13 @@
         };
         let placement = self.placement_write(job_index, 0).filter(fits);
         if placement.is_none() {
-            // A placement that needs more changes follows in a write of its own.
+            // A placement that does not fit this transaction is written by a later one.
             self.mark_blocking_starts(job_index, 0);
         }
         placement
     }
 
-    /// Handles the outcome of the leader's write that accepts a job.
+    /// Handles the outcome of the write by which the leader accepts a job.
     pub(crate) fn on_accept(
         &mut self,
         id: RequestId,
@@ -262,18 +266,19 @@
         outcome: Outcome,
     ) {
         if let Outcome::Answer(answer) = &outcome {
-            if let (200, Ok(done)) = (answer.status, from_cbor(&answer.body)) {
-                return self.on_accepted(id, job_index, placed, done);
+            if let (200, Ok(applied)) = (answer.status, from_cbor(&answer.body)) {
+                return self.on_accepted(id, job_index, placed, applied);
             }
         }
-        // Not recorded as far as is known: memory drops the job. Should the write be applied
-        // later, the job is found by its next status query or submission, or by looking for it.
+        // The job is not known to be recorded, so it is removed from memory. If the write is
+        // applied later, the job is found by its next status query or submission, or by the reads
+        // that follow an indeterminate submission.
         let job_id = self.jobs.get(job_index).map(|job| job.id.clone()).unwrap_or_default();
         self.drop_job(job_index);
         match outcome {
             Outcome::Answer(answer) if answer.status == 409 => {
                 self.note_store_answer();
-                if failed_keys(&answer)
+                if failed_guard_keys(&answer)
                     .is_some_and(|failed| failed.iter().any(|key| key == EPOCH_KEY))
                 {
                     self.step_down();
@@ -293,7 +298,7 @@
         }
     }
 
-    /// The job is recorded: it is live, and its tasks may start.
+    /// Handles the successful write of a job's record: the job is live, and its tasks may start.
     fn on_accepted(
         &mut self,
         id: RequestId,
@@ -313,7 +318,7 @@
         }
         self.add_to_dependency_graph(job_index);
         self.set_job_state(job_index, JobState::Live);
-        // The job may depend on one that is aborted.
+        // The job is aborted already if it depends on an aborted job.
         let status = match self.terminal_jobs.get(&job_id) {
             Some(RecordedStatus::Aborted) => JobStatus::Aborted,
             _ => JobStatus::Queued,
@@ -325,12 +330,13 @@
         self.preempt_due = true;
     }
 
-    /// Records a submission by the store alone, after a look whether a batch record holds the job.
+    /// Records a submission without the leader, after looking up whether a batch record holds the
+    /// job.
     fn submit_without_leader(&mut self, id: RequestId, spec: JobSpec, cancelled: bool) {
         if !self.is_active(Feature::BatchRecords) {
             return self.record_without_leader(id, spec, cancelled, None);
         }
-        // No lookup is worth it if the job could not be recorded.
+        // The lookup would be wasted if the rate limit did not allow the job to be recorded.
         let now_ms = self.context.now.steady_ms;
         if self.record_writer.writes.available(now_ms, 0.0) < WRITES_WITHOUT_LEADER {
             return self.answer_busy(id, RefusalReason::WriteLimit);
@@ -341,7 +347,7 @@
         self.look_up_in_batches(&job, call);
     }
 
-    /// Handles the lookup of a job that is to be recorded without the leader.
+    /// Handles the outcome of the batch lookup for a job that is to be recorded without the leader.
     pub(crate) fn on_lookup_before_submission(
         &mut self,
         id: RequestId,
@@ -351,7 +357,8 @@
     ) {
         match self.read_outcome(outcome) {
             Ok(None) => {
-                // No batch that was checked holds the job, and none may have come since.
+                // No batch up to the last one checked holds the job. The write is guarded by the
+                // absence of the next batch, so that it fails if one has been recorded since.
                 let next_batch = self.job_batches.last_batch_checked() + 1;
                 self.record_without_leader(id, spec, cancelled, Some(next_batch))
             }
@@ -360,8 +367,8 @@
         }
     }
 
-    /// Writes a job's record and its handoff entry, under the condition that there is neither a
-    /// record of the job nor the batch `absent_batch`.
+    /// Writes a job's record and its handoff entry, on the condition that neither a record of the
+    /// job nor the batch `absent_batch` exists.
     fn record_without_leader(
         &mut self,
         id: RequestId,
@@ -388,7 +395,7 @@
         self.call_store("POST", "/multi".into(), body, call);
     }
 
-    /// Handles the outcome of a write that accepts a job without the leader.
+    /// Handles the outcome of the write that accepts a job without the leader.
     pub(crate) fn on_accept_without_leader(
         &mut self,
         id: RequestId,
@@ -403,8 +410,10 @@
             }
             Outcome::Answer(answer) if answer.status == 409 => {
                 self.note_store_answer();
-                // A batch has been recorded meanwhile, with this job or with others.
-                if !failed_keys(&answer).is_some_and(|failed| failed.contains(&job_key(&job))) {
+                // If the job has no record of its own, a batch has been recorded in the meantime,
+                // which may or may not hold this job.
+                if !failed_guard_keys(&answer).is_some_and(|failed| failed.contains(&job_key(&job)))
+                {
                     return self.answer_busy(id, RefusalReason::RecordChanged);
                 }
                 self.read_status(id, job);
@@ -428,7 +437,7 @@
     }
 }
 
-/// Keys of the conditions that did not hold in a transaction, if the answer can be decoded.
-fn failed_keys(answer: &Response) -> Option<Vec<String>> {
+/// Returns the keys of the guards that failed in a transaction, if the answer can be decoded.
+fn failed_guard_keys(answer: &Response) -> Option<Vec<String>> {
     from_cbor::<TransactionAnswer>(&answer.body).ok().map(|answer| answer.failed)
 }
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -1,15 +1,16 @@
 //! Overload control of a controller.
 //!
-//! - [`RequestQueue`] decides in which order requests are served when not all can be, and how
-//!   long each may wait.
-//! - [`LoadMonitor`] derives the load state from these waits; while it is
-//!   [`LoadState::Shedding`], users' requests are rejected without being queued.
-//! - [`RetryAdvisor`] tells rejected clients when to retry, so that they don't return at once.
-//! - [`FairQueue`] orders work by team and class, so that none starves another.
-//! - [`UnansweredJobs`] remembers the jobs that users ask about in vain, and for how long.
+//! - [`RequestQueue`] decides in which order requests are served when not all of them can be, and
+//!   how long each may wait.
+//! - [`LoadMonitor`] derives the load state from these waits. In [`LoadState::Shedding`], users'
+//!   requests, except cancellations, are rejected without being queued.
+//! - [`RetryAdvisor`] tells rejected clients when to retry, so that they don't all return at once.
+//! - [`FairQueue`] orders work by team and class, so that no team or class starves another.
+//! - [`UnansweredJobs`] records the jobs whose status queries are not being answered, and for how
+//!   long.
 //!
 //! The crate does no input or output and reads no clock: times are milliseconds of a monotonic
-//! clock and are passed in.
+//! clock, passed in by the caller.
 #![warn(missing_docs)]
 
 mod fair_queue;
--- a/crates/overload/src/request_queue.rs
+++ b/crates/overload/src/request_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that have arrived and wait to be served, by class.
+//! Queue of the requests that wait to be served, by class.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,18 +9,18 @@
 /// Classes of requests, in the order in which they are served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestClass {
-    /// Workers' heartbeats and messages between controllers: they keep leases alive and report
+    /// Workers' heartbeats and messages between controllers, which renew leases and report
     /// completions.
     Heartbeat,
-    /// Health checks: a controller that does not answer them is taken out of service.
+    /// Health checks. A controller that does not answer them is taken out of service.
     HealthCheck,
-    /// Cancellations.
+    /// Users' requests to abort a job.
     Abort,
-    /// Submissions.
+    /// Users' submissions of jobs.
     Submit,
-    /// Users' queries of the status of a job.
+    /// Users' queries for the status of a job.
     StatusQuery,
-    /// Metrics, and everything else.
+    /// Requests for metrics, and all other requests.
     Other,
 }
 
@@ -37,7 +37,7 @@
         RequestClass::Other,
     ];
 
-    /// The class's name in metrics, which never changes.
+    /// Returns the class's name in metrics. The names are stable across versions.
     pub fn metric_name(self) -> &'static str {
         match self {
             RequestClass::Heartbeat => "report",
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Longest time that a request of the class may wait: half of its client's timeout, so that
-    /// no work is done for a client that has given up.
+    /// Returns the longest time that a request of the class may wait: half of the client's timeout,
+    /// so that no work is done for a client that has given up.
     fn max_wait_ms(self) -> u64 {
         match self {
             RequestClass::Heartbeat => 2_000,
@@ -60,56 +60,56 @@
         }
     }
 
-    /// Whether requests of the class are rejected while heartbeats wait too long.
+    /// Returns whether requests of the class are rejected in [`LoadState::Shedding`].
     fn is_shed_under_load(self) -> bool {
         matches!(self, RequestClass::Submit | RequestClass::StatusQuery | RequestClass::Other)
     }
 }
 
-/// A request that has arrived.
+/// A request that has arrived and is to be queued.
 #[derive(Debug)]
 pub struct Arrival<T> {
-    /// Its class.
+    /// Class of the request, which determines its precedence and its longest wait.
     pub class: RequestClass,
-    /// Order within the class: the lowest is served first, equal ones in order of arrival.
+    /// Sort key within the class: the lowest is served first, equal keys in order of arrival.
     pub order: u64,
-    /// When it arrived.
+    /// Time of arrival, in milliseconds of the monotonic clock.
     pub arrived_ms: u64,
-    /// The request itself.
+    /// The caller's data, returned when the request leaves the queue.
     pub request: T,
 }
 
 /// A request that has left the queue.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Dequeued<T> {
-    /// It is to be served now.
+    /// The request is to be served now.
     Serve {
-        /// Its class.
+        /// Class under which the request was queued.
         class: RequestClass,
-        /// The request itself.
+        /// Data passed in with the [`Arrival`].
         request: T,
-        /// How long it has waited.
+        /// Time in the queue, in milliseconds.
         waited_ms: u64,
     },
-    /// It has waited too long and is to be rejected.
+    /// The request has waited for too long and is to be rejected.
     Reject {
-        /// Its class.
+        /// Class under which the request was queued.
         class: RequestClass,
-        /// The request itself.
+        /// Data passed in with the [`Arrival`].
         request: T,
     },
 }
 
-/// A named value for operators.
+/// A metric for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Metric {
-    /// Its name, as operators see it.
+    /// Full name with all parts, such as `intake_ms.report.p50`.
     pub name: String,
-    /// Its value.
+    /// Milliseconds or a count, depending on the metric.
     pub value: f64,
 }
 
-/// Position of a waiting request within its class. Arrival numbers are unique.
+/// Sort key of a waiting request within its class. Arrival numbers are unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
     order: u64,
@@ -128,18 +128,19 @@
     position: Position,
 }
 
-/// The waiting requests of one class, with what has been measured of them.
+/// The waiting requests of one class, and the class's metrics.
 #[derive(Debug)]
 struct ClassQueue<T> {
     waiting: BTreeMap<Position, Waiting<T>>,
-    /// Positions in order of arrival, including some that have been served already.
+    /// Positions in order of arrival; may include requests that have left the queue already.
     by_age: VecDeque<AgeEntry>,
-    /// Waits of the requests that were served, in milliseconds.
+    /// Waits of the served requests, in milliseconds.
     waits: Histogram<u32>,
     rejected: u64,
 }
 
-/// Longest wait that the histograms tell apart, in milliseconds.
+/// Longest wait that the histograms can represent, in milliseconds; longer waits are recorded as
+/// this one.
 const MAX_MEASURED_WAIT_MS: u64 = 60_000;
 
 impl<T> ClassQueue<T> {
@@ -154,7 +155,8 @@
         self.waiting.insert(position, Waiting { arrived_ms, request });
     }
 
-    /// The request that has waited longest.
+    /// Returns the request that has waited for longest, and discards the positions in `by_age` of
+    /// older requests that have left the queue.
     fn oldest(&mut self) -> Option<AgeEntry> {
         while let Some(oldest) = self.by_age.front().copied() {
             if self.waiting.contains_key(&oldest.position) {
@@ -165,7 +167,7 @@
         None
     }
 
-    /// Removes the oldest request if it has waited for longer than allowed.
+    /// Removes and returns the oldest request if it has waited for longer than `max_wait_ms`.
     fn take_expired(&mut self, now_ms: u64, max_wait_ms: u64) -> Option<T> {
         let oldest = self.oldest().filter(|oldest| now_ms > oldest.arrived_ms + max_wait_ms)?;
         let expired = self.waiting.remove(&oldest.position)?;
@@ -173,7 +175,7 @@
         Some(expired.request)
     }
 
-    /// Removes the request that is served next; returns it with the time that it has waited.
+    /// Removes the request that is served next, and returns it with the time that it has waited.
     fn take_next(&mut self, now_ms: u64) -> Option<(T, u64)> {
         let (_, next) = self.waiting.pop_first()?;
         let waited_ms = now_ms.saturating_sub(next.arrived_ms);
@@ -200,7 +202,7 @@
     }
 }
 
-/// Waiting requests by class, bounded in waiting time and number.
+/// Queues requests by class, with bounds on their number and on the time that each waits.
 #[derive(Debug)]
 pub struct RequestQueue<T> {
     /// One queue for each class, in the order of [`RequestClass::ALL`].
@@ -210,8 +212,8 @@
 }
 
 impl<T> RequestQueue<T> {
-    /// Creates a queue in which at most `max_per_class` requests of a class wait. With as many
-    /// as there are sockets, the bound is never reached.
+    /// Creates a queue that holds at most `max_per_class` requests of each class. The bound is
+    /// never reached if it is the number of sockets.
     pub fn new(max_per_class: usize) -> Self {
         RequestQueue {
             queues: std::array::from_fn(|_| ClassQueue::new()),
@@ -220,18 +222,18 @@
         }
     }
 
-    /// Whether no request waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.queues.iter().all(|queue| queue.waiting.is_empty())
     }
 
-    /// The number of waiting requests.
+    /// Returns the number of waiting requests of all classes.
     pub fn len(&self) -> usize {
         self.queues.iter().map(|queue| queue.waiting.len()).sum()
     }
 
-    /// Adds a request, or gives it back if it is rejected: because its class is full, or because
-    /// the controller is shedding requests of its class.
+    /// Adds a request. Returns it as an error if it is rejected, because the queue of its class is
+    /// full or because requests of its class are shed under the current load.
     pub fn push(&mut self, arrival: Arrival<T>, load: LoadState) -> Result<(), T> {
         let Arrival { class, order, arrived_ms, request } = arrival;
         let queue = &mut self.queues[class as usize];
@@ -246,8 +248,8 @@
         Ok(())
     }
 
-    /// Removes the next request. Those that have waited too long come first and are rejected;
-    /// then the classes are served in their order.
+    /// Removes and returns the next request. Requests that have waited for too long come first and
+    /// are to be rejected; after them, the classes are served in their order.
     pub fn pop(&mut self, now_ms: u64) -> Option<Dequeued<T>> {
         for class in RequestClass::ALL {
             let queue = &mut self.queues[class as usize];
@@ -263,14 +265,14 @@
         None
     }
 
-    /// How long the oldest request has waited.
+    /// Returns how long the oldest request has waited, in milliseconds; 0 if none is waiting.
     pub fn oldest_wait_ms(&mut self, now_ms: u64) -> u64 {
         let oldest = self.queues.iter_mut().filter_map(ClassQueue::oldest);
         let arrived_ms = oldest.map(|oldest| oldest.arrived_ms).min();
         arrived_ms.map_or(0, |arrived_ms| now_ms.saturating_sub(arrived_ms))
     }
 
-    /// Waits by class in milliseconds, and how many requests of each were rejected.
+    /// Returns, by class, the distribution of waits in milliseconds and the number of rejections.
     pub fn metrics(&self) -> Vec<Metric> {
         let mut metrics = Vec::new();
         for class in RequestClass::ALL {
--- a/crates/overload/src/unanswered_jobs.rs
+++ b/crates/overload/src/unanswered_jobs.rs
@@ -1,96 +1,105 @@
-//! Jobs that users have asked about and have got no answer for.
+//! Jobs for which users have sent status queries without getting an answer.
 
 use std::collections::HashMap;
 
-/// Time after which a job that is asked about no more is forgotten, in milliseconds: users who
-/// wait for an answer come back more often.
+/// Time without a query after which a job is forgotten, in milliseconds. Users who are still
+/// waiting for an answer repeat their query more often.
 const FORGET_AFTER_MS: u64 = 30_000;
-/// Part of a full table that is forgotten at once, the jobs asked about longest ago.
+/// Fraction 1/n of a full table that is forgotten at once: the jobs whose last query is the oldest.
 const FORGOTTEN_DIVISOR: usize = 8;
 
 #[derive(Clone, Copy, Debug)]
-struct AskedJob {
-    /// When it was asked about first since it was answered last.
-    since_ms: u64,
-    last_asked_ms: u64,
+struct QueriedJob {
+    /// Time of the first query since the job was last answered.
+    first_query_ms: u64,
+    last_query_ms: u64,
 }
 
-/// A bounded record of jobs whose status was queried and not answered since. Times are
+/// A bounded table of the jobs whose status was queried and has not been answered since. Times are
 /// milliseconds of a monotonic clock.
 #[derive(Debug)]
 pub struct UnansweredJobs {
-    asked: HashMap<String, AskedJob>,
+    queried: HashMap<String, QueriedJob>,
     max_jobs: usize,
 }
 
-/// The job that has gone without an answer for longest.
+/// The job that has gone unanswered for longest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LongestUnanswered {
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// How long ago it was asked about first since its last answer.
+    /// Time since the first query after the job's last answer, in milliseconds.
     pub age_ms: u64,
 }
 
 impl UnansweredJobs {
-    /// No job was asked about; at most `max_jobs` are remembered.
+    /// Creates an empty table that holds at most `max_jobs` jobs, but at least one.
     pub fn new(max_jobs: usize) -> Self {
-        UnansweredJobs { asked: HashMap::new(), max_jobs: max_jobs.max(1) }
+        UnansweredJobs { queried: HashMap::new(), max_jobs: max_jobs.max(1) }
     }
 
-    /// Notes a query; returns when the job was asked about first since its last answer.
+    /// Records a query. Returns the time of the first query since the job's last answer.
     pub fn on_query(&mut self, job: &str, now_ms: u64) -> u64 {
-        if let Some(asked) = self.asked.get_mut(job) {
-            if now_ms > asked.last_asked_ms + FORGET_AFTER_MS {
-                asked.since_ms = now_ms;
+        if let Some(queried) = self.queried.get_mut(job) {
+            if now_ms > queried.last_query_ms + FORGET_AFTER_MS {
+                queried.first_query_ms = now_ms;
             }
-            asked.last_asked_ms = now_ms;
-            return asked.since_ms;
+            queried.last_query_ms = now_ms;
+            return queried.first_query_ms;
         }
-        if self.asked.len() >= self.max_jobs {
+        if self.queried.len() >= self.max_jobs {
             self.forget_oldest(now_ms);
         }
-        self.asked.insert(job.to_string(), AskedJob { since_ms: now_ms, last_asked_ms: now_ms });
+        self.queried
+            .insert(job.to_string(), QueriedJob { first_query_ms: now_ms, last_query_ms: now_ms });
         now_ms
     }
 
-    /// When a job was asked about first since its last answer; `None` if it is answered.
-    pub fn since(&self, job: &str) -> Option<u64> {
-        self.asked.get(job).map(|asked| asked.since_ms)
+    /// Returns the time of the first query since the job's last answer; `None` if no query for the
+    /// job is unanswered.
+    pub fn first_query_ms(&self, job: &str) -> Option<u64> {
+        self.queried.get(job).map(|queried| queried.first_query_ms)
     }
 
-    /// Notes an answer; returns how long the job had gone without one.
+    /// Records an answer. Returns for how many milliseconds the job had gone unanswered.
     pub fn on_answer(&mut self, job: &str, now_ms: u64) -> Option<u64> {
-        self.asked.remove(job).map(|asked| now_ms.saturating_sub(asked.since_ms))
+        self.queried.remove(job).map(|queried| now_ms.saturating_sub(queried.first_query_ms))
     }
 
-    /// The job that has gone without an answer for longest; those that nobody asks about any more
-    /// are forgotten.
+    /// Returns the job that has gone unanswered for longest, after forgetting the jobs that are no
+    /// longer queried.
     pub fn longest(&mut self, now_ms: u64) -> Option<LongestUnanswered> {
-        self.asked.retain(|_, asked| now_ms <= asked.last_asked_ms + FORGET_AFTER_MS);
-        let (job, asked) = self.asked.iter().min_by_key(|(_, asked)| asked.since_ms)?;
-        Some(LongestUnanswered { job: job.clone(), age_ms: now_ms.saturating_sub(asked.since_ms) })
+        self.queried.retain(|_, queried| now_ms <= queried.last_query_ms + FORGET_AFTER_MS);
+        let (job, queried) =
+            self.queried.iter().min_by_key(|(_, queried)| queried.first_query_ms)?;
+        Some(LongestUnanswered {
+            job: job.clone(),
+            age_ms: now_ms.saturating_sub(queried.first_query_ms),
+        })
     }
 
-    /// The number of jobs without an answer.
+    /// Returns the number of unanswered jobs.
     pub fn len(&self) -> usize {
-        self.asked.len()
+        self.queried.len()
     }
 
-    /// Whether every job that was asked about is answered.
+    /// Returns whether no job is unanswered.
     pub fn is_empty(&self) -> bool {
-        self.asked.is_empty()
+        self.queried.is_empty()
     }
 
+    /// Forgets the jobs that are no longer queried and, if the table is still full, those whose
+    /// last query is the oldest.
     fn forget_oldest(&mut self, now_ms: u64) {
-        self.asked.retain(|_, asked| now_ms <= asked.last_asked_ms + FORGET_AFTER_MS);
-        if self.asked.len() < self.max_jobs {
+        self.queried.retain(|_, queried| now_ms <= queried.last_query_ms + FORGET_AFTER_MS);
+        if self.queried.len() < self.max_jobs {
             return;
         }
-        let mut last_asked: Vec<u64> = self.asked.values().map(|job| job.last_asked_ms).collect();
-        let part = self.max_jobs / FORGOTTEN_DIVISOR;
-        let (_, newest_forgotten_ms, _) = last_asked.select_nth_unstable(part);
+        let mut last_queries_ms: Vec<u64> =
+            self.queried.values().map(|job| job.last_query_ms).collect();
+        let forgotten_count = self.max_jobs / FORGOTTEN_DIVISOR;
+        let (_, newest_forgotten_ms, _) = last_queries_ms.select_nth_unstable(forgotten_count);
         let newest_forgotten_ms = *newest_forgotten_ms;
-        self.asked.retain(|_, asked| asked.last_asked_ms > newest_forgotten_ms);
+        self.queried.retain(|_, queried| queried.last_query_ms > newest_forgotten_ms);
     }
 }
--- a/crates/overload/tests/overload.rs
+++ b/crates/overload/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Overload control by itself: the order and bounds of the request queue under any mix of
-//! requests, the load states, retry advice, and fair queueing.
+//! Tests of overload control without a controller: order and bounds of the request queue under any
+//! mix of requests, load states, retry advice, fair queueing, and tracking of unanswered jobs.
 
 use proptest::prelude::*;
 use quartzgate_overload::{
@@ -12,7 +12,7 @@
 const MAX_PER_CLASS: usize = 8;
 const WORKER_TIMEOUT_MS: u64 = 4_000;
 
-/// A request that waits, as the model of the queue knows it.
+/// A waiting request in the test's model of the queue.
 #[derive(Clone, Copy, Debug)]
 struct Expected {
     class: RequestClass,
@@ -22,13 +22,13 @@
 }
 
 proptest! {
-    /// Whatever arrives when: each request is served or rejected exactly once, none is served
-    /// past its time, none of a lower class before a higher one, and each class by the given
-    /// order, then in order of arrival.
+    /// For any mix and timing of requests: each is served or rejected exactly once, none is served
+    /// after its longest wait or before a request of a higher class, and each class is served by
+    /// the given sort key, then in order of arrival.
     #[test]
     fn order_and_bounds_hold_for_any_mix(steps in prop::collection::vec((0usize..9, 0u64..900), 1..300)) {
         let mut queue: RequestQueue<u64> = RequestQueue::new(MAX_PER_CLASS);
-        let (mut now_ms, mut next_id, mut left_queue) = (0u64, 0u64, 0u64);
+        let (mut now_ms, mut next_id, mut finished_count) = (0u64, 0u64, 0u64);
         let mut waiting: Vec<Expected> = Vec::new();
         for (operation, number) in steps {
             if let Some(class) = RequestClass::ALL.get(operation).copied() {
@@ -39,7 +39,7 @@
                 let pushed = queue.push(arrival, LoadState::Normal);
                 prop_assert_eq!(pushed.is_err(), of_class >= MAX_PER_CLASS);
                 match pushed {
-                    Err(_) => left_queue += 1,
+                    Err(_) => finished_count += 1,
                     Ok(()) => waiting.push(expected),
                 }
                 next_id += 1;
@@ -50,9 +50,9 @@
             prop_assert_eq!(dequeued.is_none(), waiting.is_empty());
             let (class, id, is_served) = match dequeued {
                 Some(Dequeued::Serve { class, request, waited_ms }) => {
-                    prop_assert!(waited_ms <= 2_500, "served after its client has given up");
+                    prop_assert!(waited_ms <= 2_500, "served after the longest allowed wait");
                     let higher_waits = waiting.iter().any(|expected| expected.class < class);
-                    prop_assert!(!higher_waits, "{class:?} before a higher class");
+                    prop_assert!(!higher_waits, "{class:?} was served before a higher class");
                     (class, request, true)
                 }
                 Some(Dequeued::Reject { class, request }) => (class, request, false),
@@ -66,17 +66,17 @@
             let position = first.unwrap().0;
             let expected = waiting.remove(position);
             prop_assert_eq!(id, expected.id, "out of order within its class");
-            prop_assert!(is_served || now_ms > expected.arrived_ms + 500, "rejected without a wait");
-            left_queue += 1;
+            prop_assert!(is_served || now_ms > expected.arrived_ms + 500, "rejected too early");
+            finished_count += 1;
         }
         while queue.pop(now_ms).is_some() {
-            left_queue += 1;
+            finished_count += 1;
         }
-        prop_assert_eq!(left_queue, next_id, "a request was lost or served twice");
+        prop_assert_eq!(finished_count, next_id, "a request was lost or served twice");
     }
 }
 
-/// Names in metrics are read by operators' tools: renaming a variant must not change them.
+/// Operators' tools read the names in metrics: renaming a variant must not change them.
 #[test]
 fn metric_names_are_stable() {
     let names = RequestClass::ALL.map(RequestClass::metric_name);
@@ -99,11 +99,11 @@
     assert_eq!(metrics, expected.map(|(name, value)| (name.to_string(), value)));
 }
 
-/// Leases of running work survive a flood of users: when twenty times more requests arrive than
-/// can be served, every heartbeat is still served in time.
+/// Guards against leases of running work expiring when users flood a controller: every heartbeat is
+/// served in time although ten times as many requests arrive as can be served.
 #[test]
 fn heartbeats_are_served_in_time_during_a_flood_of_users() {
-    /// Work units that are available in a millisecond: two served requests.
+    /// Units of work available per millisecond, enough to serve two requests.
     const BUDGET: i32 = 20;
     const COST_OF_SERVING: i32 = 10;
     const COST_OF_REJECTING: i32 = 1;
@@ -145,12 +145,12 @@
         heartbeats >= 19_990 && longest_wait_ms < 100,
         "{heartbeats} served, the longest after {longest_wait_ms} ms"
     );
-    assert!(rejected > 100_000, "the flood was to be rejected: {rejected}");
-    assert_eq!(load.state(), LoadState::Pressed, "queries wait and heartbeats don't");
+    assert!(rejected > 100_000, "too few requests of the flood were rejected: {rejected}");
+    assert_eq!(load.state(), LoadState::Pressed, "queries wait but heartbeats do not");
 }
 
-/// When the load falls, the state is normal again within the stated time, by itself, and doesn't
-/// oscillate on the way.
+/// When the load falls, the state returns to normal by itself within the stated time and does not
+/// oscillate in between.
 #[test]
 fn load_state_recovers_without_oscillation() {
     let mut load = LoadMonitor::new(WORKER_TIMEOUT_MS);
@@ -168,7 +168,7 @@
     assert_eq!(load.state(), LoadState::Pressed);
     run(&mut load, 1_000, 900);
     assert_eq!(load.state(), LoadState::Shedding);
-    // Between the thresholds of leaving and of entering the state is kept.
+    // Waits between the thresholds for leaving and entering a state keep the state.
     run(&mut load, 5_000, 300);
     assert_eq!(load.state(), LoadState::Shedding);
     let max_recovery_ms = load.max_recovery_ms();
@@ -177,8 +177,8 @@
     assert_eq!(transitions.len(), 4, "{transitions:?}");
 }
 
-/// Rejected clients don't return all at once: the more there are, the longer and the wider their
-/// retries are spread.
+/// Guards against rejected clients all returning at once: the more clients are rejected, the longer
+/// is the period over which their retries are spread.
 #[test]
 fn retries_of_many_rejected_clients_are_spread() {
     let mut rng = SmallRng::seed_from_u64(1);
@@ -188,27 +188,28 @@
     let many: Vec<u32> = (0..400).map(|_| advisor.reject(10, 20.0, &mut rng)).collect();
     let last = &many[200..];
     for second in 1..=9 {
-        let together = last.iter().filter(|seconds| **seconds == second).count();
-        assert!(together < 100, "{together} of 200 return after {second} s");
+        let same_second = last.iter().filter(|seconds| **seconds == second).count();
+        assert!(same_second < 100, "{same_second} of 200 clients return after {second} s");
     }
     assert!(last.iter().all(|seconds| (1..=10).contains(seconds)));
-    // Once the crowd has gone, the advised wait is as short as before.
+    // Once rejections have ceased, the advised delay is as short as before.
     assert_eq!(advisor.reject(60_000, 20.0, &mut rng), 1);
 }
 
-/// When heartbeats arrive at three times the rate at which they can be served, no lease is lost:
-/// workers whose last answer is oldest go first, so that none waits much longer than three rounds.
+/// Guards against lost leases when heartbeats arrive at three times the rate at which they can be
+/// served. Workers whose last answer is the oldest are served first, so that no worker waits much
+/// longer than three heartbeat intervals.
 #[test]
 fn heartbeats_at_three_times_the_service_rate_lose_no_lease() {
     const WORKERS: usize = 3_000;
-    const ROUND_MS: u64 = 5_000;
-    /// A third of the rate at which heartbeats arrive.
+    const HEARTBEAT_INTERVAL_MS: u64 = 5_000;
+    /// Time to serve a heartbeat, which allows a third of the rate at which heartbeats arrive.
     const MS_PER_SERVED: u64 = 5;
     const RETRY_MS: u64 = 1_000;
     let mut queue: RequestQueue<usize> = RequestQueue::new(WORKERS);
     let mut answered_ms = vec![0u64; WORKERS];
     let mut due_ms: Vec<u64> =
-        (0..WORKERS as u64).map(|worker| worker * ROUND_MS / WORKERS as u64).collect();
+        (0..WORKERS as u64).map(|worker| worker * HEARTBEAT_INTERVAL_MS / WORKERS as u64).collect();
     let (mut longest_ms, mut credit_ms) = (0, 0);
     for now_ms in 0..120_000u64 {
         let due: Vec<usize> = (0..WORKERS).filter(|worker| due_ms[*worker] == now_ms).collect();
@@ -228,10 +229,10 @@
                 Some(Dequeued::Serve { request: worker, .. }) => {
                     longest_ms = longest_ms.max(now_ms - answered_ms[worker]);
                     answered_ms[worker] = now_ms;
-                    due_ms[worker] = now_ms + ROUND_MS;
+                    due_ms[worker] = now_ms + HEARTBEAT_INTERVAL_MS;
                     credit_ms -= MS_PER_SERVED;
                 }
-                // The worker tries the next controller and is back later.
+                // The worker tries the next controller, and this one again later.
                 Some(Dequeued::Reject { request: worker, .. }) => {
                     due_ms[worker] = now_ms + RETRY_MS;
                 }
@@ -239,18 +240,18 @@
             }
         }
     }
-    assert!(longest_ms < 4 * ROUND_MS, "a worker had no answer for {longest_ms} ms");
+    assert!(longest_ms < 4 * HEARTBEAT_INTERVAL_MS, "a worker got no answer for {longest_ms} ms");
 }
 
-/// A class with one item is not starved by one with hundreds, though only one item is served at a
-/// time and the order is computed anew each time; and no class is compensated for idle time.
+/// A class with one item is not starved by a class with hundreds, although only one item is served
+/// at a time and the order is recomputed each time. No class is compensated for idle time.
 #[test]
 fn each_class_is_served_in_turn() {
     let mut queue = FairQueue::default();
     let mut waiting: Vec<(usize, &str)> = vec![(0, "many"); 500];
     let mut served = Vec::new();
     for step in 0..120 {
-        // Now and then one item of another class or team arrives.
+        // Every 40 steps, one item of another class and one of another team arrive.
         if step % 40 == 39 {
             waiting.extend([(0, "few"), (1, "many")]);
         }
@@ -269,9 +270,10 @@
     assert!(served.iter().filter(|item| **item == (0, "many")).count() > 110);
 }
 
-/// A job counts from its first query since its last answer, however often it is refused.
+/// The time without an answer counts from the first query since the last answer, regardless of how
+/// often queries are refused.
 #[test]
-fn unanswered_job_counts_from_its_first_query() {
+fn unanswered_time_counts_from_the_first_query() {
     let mut jobs = UnansweredJobs::new(8);
     assert_eq!(jobs.on_query("a", 1_000), 1_000);
     assert_eq!(jobs.on_query("a", 6_000), 1_000);
@@ -279,13 +281,13 @@
     let longest = LongestUnanswered { job: "a".into(), age_ms: 9_000 };
     assert_eq!(jobs.longest(10_000), Some(longest));
     assert_eq!(jobs.on_answer("a", 11_000), Some(10_000));
-    assert_eq!(jobs.since("a"), None);
+    assert_eq!(jobs.first_query_ms("a"), None);
     assert_eq!(jobs.on_query("a", 12_000), 12_000);
 }
 
-/// A job that nobody asks about any more is no longer unanswered.
+/// A job that is no longer queried no longer counts as unanswered.
 #[test]
-fn unanswered_job_is_forgotten_once_nobody_asks() {
+fn unanswered_job_is_forgotten_when_no_longer_queried() {
     let mut jobs = UnansweredJobs::new(8);
     jobs.on_query("a", 1_000);
     assert!(jobs.longest(31_000).is_some());
@@ -294,7 +296,7 @@
     assert_eq!(jobs.on_query("a", 90_000), 90_000);
 }
 
-/// A full table forgets the jobs that were asked about longest ago.
+/// A full table forgets the jobs whose last query is the oldest.
 #[test]
 fn full_table_of_unanswered_jobs_forgets_the_oldest() {
     let mut jobs = UnansweredJobs::new(16);
@@ -302,6 +304,6 @@
         jobs.on_query(&format!("job-{n}"), n);
         assert!(jobs.len() <= 16);
     }
-    assert_eq!(jobs.since("job-99"), Some(99));
-    assert_eq!(jobs.since("job-0"), None);
+    assert_eq!(jobs.first_query_ms("job-99"), Some(99));
+    assert_eq!(jobs.first_query_ms("job-0"), None);
 }
