--- a/crates/core/src/api/abort.rs
+++ b/crates/core/src/api/abort.rs
@@ -35,9 +35,9 @@
             !job.busy && matches!(job.state, JobState::Live | JobState::Waiting)
         });
         if !is_decidable {
-            self.answer_busy(id, RefusalReason::RecordInFlight)
+            self.answer_unavailable(id, RefusalReason::RecordInFlight)
         } else if !self.record_abort(Some(id), job) {
-            self.answer_busy(id, RefusalReason::WriteLimit)
+            self.answer_unavailable(id, RefusalReason::WriteLimit)
         }
     }
 
@@ -47,10 +47,10 @@
         let now_ms = self.context.now.steady_ms;
         let Some(job) = self.jobs.get(job_index) else { return false };
         let has_inline_placement = job.chunks.get(&0).is_some_and(|chunk| chunk.inline);
-        if !self.record_writer.writes.take(now_ms, 1.0, 0.0) {
+        if !self.record_writer.write_limiter.take(now_ms, 1.0, 0.0) {
             return false;
         }
-        self.record_writer.note(WritePurpose::Abort, 1);
+        self.record_writer.count_changes(WritePurpose::Abort, 1);
         if job.state != JobState::AbortIndeterminate {
             self.set_job_state(job_index, JobState::Aborting);
         }
@@ -62,11 +62,11 @@
         // record contains it as well.
         let placement =
             if has_inline_placement { self.placement_write(job_index, 0) } else { None };
-        let placed = placement.as_ref().map_or(RecordLocation::default(), |write| write.placed);
+        let location = placement.as_ref().map_or(RecordLocation::default(), |write| write.location);
         match placement {
             Some(placement) => {
-                placement.enter(&job_id, 0, &mut guards, &mut apply);
-                self.on_placement_sent(job_index, 0, placed);
+                placement.add_to_transaction(&job_id, 0, &mut guards, &mut apply);
+                self.on_placement_sent(job_index, 0, location);
             }
             None => {
                 let key = job_key(&job_id);
@@ -78,7 +78,7 @@
             job.busy = true;
         }
         let body = to_cbor(&Transaction { guards, apply });
-        let call = InFlight::AbortWrite { request, job: job_index, placed, epoch: self.epoch() };
+        let call = InFlight::AbortWrite { request, job: job_index, location, epoch: self.epoch() };
         self.call_store("POST", "/multi".into(), body, call);
         true
     }
@@ -88,7 +88,7 @@
         &mut self,
         request: Option<RequestId>,
         job_index: JobIndex,
-        placed: RecordLocation,
+        location: RecordLocation,
         outcome: Outcome,
     ) {
         let was_indeterminate =
@@ -96,10 +96,10 @@
         let is_conflict = match &outcome {
             Outcome::Answer(answer) => {
                 if let (200, Ok(applied)) = (answer.status, from_cbor(&answer.body)) {
-                    return self.on_abort_applied(request, job_index, placed, applied);
+                    return self.on_abort_applied(request, job_index, location, applied);
                 }
                 if answer.status != 409 && !was_indeterminate {
-                    return self.on_abort_refused(request, job_index, placed, answer.status);
+                    return self.on_abort_refused(request, job_index, location, answer.status);
                 }
                 answer.status == 409
             }
@@ -113,8 +113,8 @@
         if !is_conflict {
             self.set_job_state(job_index, JobState::AbortIndeterminate);
         }
-        match placed.own {
-            true => self.reread_record(FlushItem::Chunk { job: job_index, chunk: 0, placed }),
+        match location.sets_own_record {
+            true => self.reread_record(FlushItem::Chunk { job: job_index, chunk: 0, location }),
             false => self.reread_job(job_index),
         }
     }
@@ -124,7 +124,7 @@
         &mut self,
         request: Option<RequestId>,
         job_index: JobIndex,
-        placed: RecordLocation,
+        location: RecordLocation,
         answer: TransactionAnswer,
     ) {
         self.note_store_answer();
@@ -134,8 +134,8 @@
         job.busy = false;
         job.revision = answer.store_revision;
         let job_id = job.id.clone();
-        if placed.own {
-            self.on_placement_recorded(job_index, 0, placed, answer.store_revision);
+        if location.sets_own_record {
+            self.on_placement_recorded(job_index, 0, location, answer.store_revision);
         }
         self.set_job_state(job_index, JobState::Aborted);
         self.record_writer.mark_job_dirty(job_index);
@@ -150,7 +150,7 @@
         &mut self,
         request: Option<RequestId>,
         job_index: JobIndex,
-        placed: RecordLocation,
+        location: RecordLocation,
         status: u16,
     ) {
         if status != 503 && status != 429 {
@@ -161,15 +161,15 @@
             job.busy = false;
         }
         self.set_job_state(job_index, JobState::Live);
-        if placed.own {
-            self.requeue_write(FlushItem::Chunk { job: job_index, chunk: 0, placed });
+        if location.sets_own_record {
+            self.requeue_write(FlushItem::Chunk { job: job_index, chunk: 0, location });
         }
         self.answer_abort_busy(request, RefusalReason::StoreFailed);
     }
 
     fn answer_abort_busy(&mut self, request: Option<RequestId>, reason: RefusalReason) {
         if let Some(id) = request {
-            self.answer_busy(id, reason)
+            self.answer_unavailable(id, reason)
         }
     }
 
@@ -180,11 +180,11 @@
             Ok(Some(pair)) => pair,
             // The job was never accepted, and an abort does not create a record.
             Ok(None) => return self.answer_error(id, 404, "no such job"),
-            Err(()) => return self.answer_busy(id, RefusalReason::StoreFailed),
+            Err(()) => return self.answer_unavailable(id, RefusalReason::StoreFailed),
         };
         let Some(record) = decode::<JobRecord>(&pair.value) else {
             log_unreadable_record(&job);
-            return self.answer_busy(id, RefusalReason::RecordUnreadable);
+            return self.answer_unavailable(id, RefusalReason::RecordUnreadable);
         };
         if record.status != RecordedStatus::Live {
             return self.answer_record(id, &job, pair);
@@ -194,7 +194,7 @@
         }
         match self.add_recorded_job(&job, record, pair.revision) {
             Some(job_index) => self.abort_job(id, job_index),
-            None => self.answer_busy(id, RefusalReason::RecordChanged),
+            None => self.answer_unavailable(id, RefusalReason::RecordChanged),
         }
     }
 
@@ -208,11 +208,11 @@
         read: &KeyValue,
     ) {
         let now_ms = self.context.now.steady_ms;
-        if !self.record_writer.writes.take(now_ms, WRITES_WITHOUT_LEADER, 0.0) {
-            return self.answer_busy(id, RefusalReason::WriteLimit);
+        if !self.record_writer.write_limiter.take(now_ms, WRITES_WITHOUT_LEADER, 0.0) {
+            return self.answer_unavailable(id, RefusalReason::WriteLimit);
         }
         record.status = RecordedStatus::Aborted;
-        record.end_within(self.max_value_bytes());
+        record.shrink_to_fit(self.max_value_bytes());
         let body = to_cbor(&Transaction {
             guards: vec![Guard { path: job_key(&job), revision: read.revision }],
             apply: vec![
@@ -236,9 +236,9 @@
             }
             Outcome::Answer(answer) if answer.status != 409 => {
                 self.on_store_throttled(answer.status);
-                self.answer_busy(id, RefusalReason::StoreFailed)
+                self.answer_unavailable(id, RefusalReason::StoreFailed)
             }
-            _ => self.answer_busy(id, RefusalReason::RecordChanged),
+            _ => self.answer_unavailable(id, RefusalReason::RecordChanged),
         }
     }
 
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -7,7 +7,7 @@
 //! rejected user is told at once when to retry. The advised delay grows with the number of
 //! rejections and is randomized, so that retries are spread out.
 //!
-//! [`WriteSupply`] states whether the write rate is sufficient.
+//! [`WriteCapacity`] states whether the write rate is sufficient.
 
 use quartzgate_overload::RetryAdvisor;
 use quartzgate_wire::http::Response;
@@ -21,14 +21,14 @@
 /// Fraction of the write rate that acceptances get while writes are short.
 const ACCEPTANCE_FRACTION: f64 = 0.5;
 /// Number of batch intervals of the record writer for which writes must have been deferred, or not
-/// deferred, before [`WriteSupply::Short`] is entered or left.
+/// deferred, before [`WriteCapacity::Short`] is entered or left.
 const SETTLING_BATCHES: u64 = 2;
 
 /// Whether the store's rate limit allows all writes that tasks wait for. Times are steady times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum WriteSupply {
+enum WriteCapacity {
     /// No flush has recently deferred a write.
-    Ample,
+    Sufficient,
     /// Writes have been deferred since `since_ms`, which is not long enough to limit acceptances.
     Tight { since_ms: u64 },
     /// Writes have been deferred for longer, most recently at `last_deferral_ms`: acceptances are
@@ -36,21 +36,23 @@
     Short { last_deferral_ms: u64 },
 }
 
-impl WriteSupply {
+impl WriteCapacity {
     /// Returns the state after a flush of the record writer. `writes_deferred` tells whether the
     /// flush had to defer writes that tasks wait for.
-    fn after_flush(self, writes_deferred: bool, now_ms: u64, settling_ms: u64) -> WriteSupply {
+    fn after_flush(self, writes_deferred: bool, now_ms: u64, settling_ms: u64) -> WriteCapacity {
         match (self, writes_deferred) {
-            (WriteSupply::Ample, true) => WriteSupply::Tight { since_ms: now_ms },
-            (WriteSupply::Tight { since_ms }, true) if now_ms >= since_ms + settling_ms => {
-                WriteSupply::Short { last_deferral_ms: now_ms }
+            (WriteCapacity::Sufficient, true) => WriteCapacity::Tight { since_ms: now_ms },
+            (WriteCapacity::Tight { since_ms }, true) if now_ms >= since_ms + settling_ms => {
+                WriteCapacity::Short { last_deferral_ms: now_ms }
             }
-            (WriteSupply::Tight { .. }, false) => WriteSupply::Ample,
-            (WriteSupply::Short { .. }, true) => WriteSupply::Short { last_deferral_ms: now_ms },
-            (WriteSupply::Short { last_deferral_ms }, false)
+            (WriteCapacity::Tight { .. }, false) => WriteCapacity::Sufficient,
+            (WriteCapacity::Short { .. }, true) => {
+                WriteCapacity::Short { last_deferral_ms: now_ms }
+            }
+            (WriteCapacity::Short { last_deferral_ms }, false)
                 if now_ms >= last_deferral_ms + settling_ms =>
             {
-                WriteSupply::Ample
+                WriteCapacity::Sufficient
             }
             (unchanged, _) => unchanged,
         }
@@ -59,7 +61,7 @@
 
 /// The leader's admission control.
 pub(crate) struct AdmissionControl {
-    supply: WriteSupply,
+    write_capacity: WriteCapacity,
     /// Rate limiter of acceptances, applied while writes are short.
     acceptances: RateLimiter,
     retry_advisor: RetryAdvisor,
@@ -69,7 +71,7 @@
     /// Creates the admission control of a controller that may make `write_rate` writes per second.
     pub fn new(write_rate: f64) -> Self {
         AdmissionControl {
-            supply: WriteSupply::Ample,
+            write_capacity: WriteCapacity::Sufficient,
             acceptances: RateLimiter::new(write_rate * ACCEPTANCE_FRACTION),
             retry_advisor: RetryAdvisor::default(),
         }
@@ -81,8 +83,8 @@
     }
 
     /// Returns whether acceptances are limited because writes have been short for some time.
-    pub fn short(&self) -> bool {
-        matches!(self.supply, WriteSupply::Short { .. })
+    pub fn is_write_capacity_short(&self) -> bool {
+        matches!(self.write_capacity, WriteCapacity::Short { .. })
     }
 
     /// Returns the number of submissions rejected because the write rate was used up.
@@ -92,15 +94,15 @@
 }
 
 impl Controller {
-    /// Changes the write supply and logs when acceptances begin or cease to be limited. No other
+    /// Changes the write capacity and logs when acceptances begin or cease to be limited. No other
     /// function changes this state.
-    fn set_write_supply(&mut self, supply: WriteSupply) {
-        let old = std::mem::replace(&mut self.admission.supply, supply);
-        match (old, supply) {
-            (WriteSupply::Short { .. }, WriteSupply::Ample) => {
+    fn set_write_capacity(&mut self, write_capacity: WriteCapacity) {
+        let old = std::mem::replace(&mut self.admission.write_capacity, write_capacity);
+        match (old, write_capacity) {
+            (WriteCapacity::Short { .. }, WriteCapacity::Sufficient) => {
                 tracing::info!("writes suffice again: all submissions are accepted");
             }
-            (WriteSupply::Tight { since_ms }, WriteSupply::Short { .. }) => {
+            (WriteCapacity::Tight { since_ms }, WriteCapacity::Short { .. }) => {
                 let behind_ms = self.context.now.steady_ms - since_ms;
                 let records = self.record_writer.unwritten_records();
                 tracing::info!(behind_ms, records, "writes are short: submissions are limited");
@@ -109,13 +111,14 @@
         }
     }
 
-    /// Updates the write supply after a flush of the record writer. `writes_deferred` tells whether
+    /// Updates the write capacity after a flush of the record writer. `writes_deferred` tells whether
     /// the flush had to defer writes that tasks wait for.
-    pub(crate) fn update_write_supply(&mut self, writes_deferred: bool) {
+    pub(crate) fn update_write_capacity(&mut self, writes_deferred: bool) {
         let now_ms = self.context.now.steady_ms;
         let settling_ms = SETTLING_BATCHES * self.context.config.write_batch_ms();
-        let supply = self.admission.supply.after_flush(writes_deferred, now_ms, settling_ms);
-        self.set_write_supply(supply);
+        let write_capacity =
+            self.admission.write_capacity.after_flush(writes_deferred, now_ms, settling_ms);
+        self.set_write_capacity(write_capacity);
     }
 
     /// Takes the write that accepts a job from the rate limit. Returns false if the limit allows
@@ -123,13 +126,13 @@
     /// others only the fraction for acceptances.
     pub(crate) fn try_take_acceptance_write(&mut self, priority: Priority) -> bool {
         let now_ms = self.context.now.steady_ms;
-        let is_limited = self.admission.short() && priority < Priority::High;
+        let is_limited = self.admission.is_write_capacity_short() && priority < Priority::High;
         if is_limited && self.admission.acceptances.available(now_ms, 0.0) < 1.0 {
             return false;
         }
-        let is_taken = self.record_writer.writes.take(now_ms, 1.0, 0.0);
+        let is_taken = self.record_writer.write_limiter.take(now_ms, 1.0, 0.0);
         if is_taken {
-            self.admission.acceptances.force(now_ms, 1.0);
+            self.admission.acceptances.charge(now_ms, 1.0);
         }
         is_taken
     }
@@ -139,8 +142,8 @@
     /// below high priority, which would otherwise overtake jobs that have waited for longer.
     pub(crate) fn try_take_placement_write(&mut self, priority: Priority) -> bool {
         let now_ms = self.context.now.steady_ms;
-        (!self.admission.short() || priority >= Priority::High)
-            && self.record_writer.writes.take(now_ms, 1.0, 0.0)
+        (!self.admission.is_write_capacity_short() || priority >= Priority::High)
+            && self.record_writer.write_limiter.take(now_ms, 1.0, 0.0)
     }
 
     /// Rejects a submission and advises the user when to retry it.
--- a/crates/core/src/api/forwarding.rs
+++ b/crates/core/src/api/forwarding.rs
@@ -65,7 +65,7 @@
         message.forward = Some(forwarded_request(&user_request));
         let body = to_cbor(&message);
         let timeout_ms = self.context.config.forward_timeout_ms();
-        let call = InFlight::Forward { request: id, sibling, work: Box::new(user_request) };
+        let call = InFlight::Forward { request: id, sibling, user_request: Box::new(user_request) };
         self.call(Peer::Sibling(sibling), "POST", "/mesh".into(), body, timeout_ms, call);
     }
 
--- a/crates/core/src/api/machine_types.rs
+++ b/crates/core/src/api/machine_types.rs
@@ -45,7 +45,14 @@
         }
         self.machine_types_requested_ms = now_ms.max(1);
         let target = "/machine_types".to_string();
-        self.call(Peer::Cloud, "GET", target, Vec::new(), READ_TIMEOUT_MS, InFlight::Types);
+        self.call(
+            Peer::Cloud,
+            "GET",
+            target,
+            Vec::new(),
+            READ_TIMEOUT_MS,
+            InFlight::MachineTypesRead,
+        );
     }
 
     fn types_interval_ms(&self) -> u64 {
--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -40,7 +40,7 @@
 
 pub(crate) use abort::ABORTED_PATH;
 pub(crate) use routing::UserRequest;
-pub(crate) use submit::Refusal;
+pub(crate) use submit::Rejection;
 
 /// Number of writes in a decision without the leader: the job's record and its handoff entry.
 const WRITES_WITHOUT_LEADER: f64 = 2.0;
--- a/crates/core/src/api/query_tracking.rs
+++ b/crates/core/src/api/query_tracking.rs
@@ -19,7 +19,7 @@
     max_open: usize,
     /// Number of refused queries for jobs that had gone unanswered for longer than the limit
     /// although there was no fault.
-    overdue: u64,
+    overdue_refusals: u64,
 }
 
 /// A job whose query was refused after more than the limit without an answer, although the
@@ -34,7 +34,7 @@
     /// Creates a tracker that follows at most `max_open` queries and as many jobs.
     pub fn new(max_open: usize) -> Self {
         let unanswered = UnansweredJobs::new(max_open);
-        QueryTracker { open_queries: HashMap::new(), unanswered, max_open, overdue: 0 }
+        QueryTracker { open_queries: HashMap::new(), unanswered, max_open, overdue_refusals: 0 }
     }
 
     /// Records the arrival of a status query, unless too many are followed already.
@@ -69,12 +69,12 @@
         if unanswered_ms < MAX_UNANSWERED_MS {
             return None;
         }
-        self.overdue += 1;
+        self.overdue_refusals += 1;
         Some(OverdueJob { job, unanswered_ms })
     }
 
     /// Returns the number of refused queries past the limit.
-    pub fn overdue(&self) -> u64 {
-        self.overdue
+    pub fn overdue_refusals(&self) -> u64 {
+        self.overdue_refusals
     }
 }
--- a/crates/core/src/api/routing.rs
+++ b/crates/core/src/api/routing.rs
@@ -131,7 +131,7 @@
 
 impl Controller {
     /// Handles a request of a worker's agent or a user, as opposed to one of another controller.
-    pub(crate) fn on_client(&mut self, id: RequestId, request: Request) {
+    pub(crate) fn on_client_request(&mut self, id: RequestId, request: Request) {
         let path = request.target.split('?').next().unwrap_or("");
         match (request.method.as_str(), path) {
             ("POST", "/checkin") => self.on_heartbeat(id, request.body, None),
@@ -139,7 +139,7 @@
             (_, "/checkin" | "/ready") => self.answer_error(id, 405, "method not allowed"),
             (method, path) => {
                 let (method, path) = (method.to_string(), path.to_string());
-                self.on_user(id, &method, &path, request.body, false)
+                self.on_user_request(id, &method, &path, request.body, false)
             }
         }
     }
@@ -148,12 +148,12 @@
         if self.ready() {
             self.answer(id, Response::new(200, Vec::new()))
         } else {
-            self.answer_busy(id, RefusalReason::NotReady)
+            self.answer_unavailable(id, RefusalReason::NotReady)
         }
     }
 
     /// Handles a user's request, received from the user or, if `is_forwarded`, from a peer.
-    pub(crate) fn on_user(
+    pub(crate) fn on_user_request(
         &mut self,
         id: RequestId,
         method: &str,
@@ -176,13 +176,13 @@
         // The first version drops dependencies, so a job with dependencies is accepted only once no
         // controller of that version can become the leader.
         if user_request.has_dependencies() && !self.is_active(Feature::JobDependencies) {
-            return self.answer_busy(id, RefusalReason::FeatureInactive);
+            return self.answer_unavailable(id, RefusalReason::FeatureInactive);
         }
         if self.leads() {
             return self.decide_as_leader(id, user_request);
         }
         // A leader that has missed a heartbeat may not answer, which would keep the user waiting.
-        let leader = self.live_leader_index().filter(|_| !self.leader_missed());
+        let leader = self.live_leader_index().filter(|_| !self.leader_missed_heartbeat());
         match leader.filter(|_| !is_forwarded) {
             Some(sibling) => self.forward(id, sibling, user_request),
             None => self.decide_without_leader(id, user_request, is_forwarded),
@@ -194,7 +194,7 @@
             UserRequest::Submit(spec, _) => self.submit_to_leader(id, *spec),
             UserRequest::Malformed { job, reason, .. } => {
                 if !self.answer_if_submitted(id, &job) {
-                    self.refuse(id, job, 400, &reason)
+                    self.reject_unless_known(id, job, 400, &reason)
                 }
             }
             UserRequest::Poll(job) => self.query_status(id, job),
@@ -217,16 +217,18 @@
             if let (false, Some(sibling)) = (is_forwarded, self.peer_with_store()) {
                 return self.forward(id, sibling, user_request);
             }
-            return self.answer_busy(id, RefusalReason::StoreUnreachable);
+            return self.answer_unavailable(id, RefusalReason::StoreUnreachable);
         }
         // Records that a later version may have written are neither read nor changed: the active
         // format must be known and supported.
         if !self.knows_format() {
-            return self.answer_busy(id, RefusalReason::FeatureInactive);
+            return self.answer_unavailable(id, RefusalReason::FeatureInactive);
         }
         match user_request {
             UserRequest::Submit(spec, _) => self.submit_unknown_job(id, *spec),
-            UserRequest::Malformed { job, reason, .. } => self.refuse(id, job, 400, &reason),
+            UserRequest::Malformed { job, reason, .. } => {
+                self.reject_unless_known(id, job, 400, &reason)
+            }
             UserRequest::Poll(job) => self.query_status(id, job),
             UserRequest::Abort(job) => self.read_job_to_abort(id, job),
         }
--- a/crates/core/src/api/status.rs
+++ b/crates/core/src/api/status.rs
@@ -18,7 +18,7 @@
     /// no read now.
     pub(crate) fn read_job(&mut self, id: RequestId, job: &str, pending: InFlight) {
         if !self.may_read(ReadPurpose::Request) {
-            return self.answer_busy(id, RefusalReason::ReadLimit);
+            return self.answer_unavailable(id, RefusalReason::ReadLimit);
         }
         self.look_up(job, pending);
     }
@@ -56,7 +56,7 @@
                 requests.into_iter().for_each(|id| self.answer_record(id, &job, pair.clone()))
             }
             Err(()) => {
-                let refuse = |id| self.answer_busy(id, RefusalReason::StoreFailed);
+                let refuse = |id| self.answer_unavailable(id, RefusalReason::StoreFailed);
                 requests.into_iter().for_each(refuse)
             }
         }
@@ -67,7 +67,7 @@
     fn answer_unrecorded(&mut self, id: RequestId, job: &str) {
         match (self.terminal_jobs.get(job), self.jobs.find(job)) {
             (Some(status), _) => self.answer_terminal(id, job, status),
-            (None, Some(_)) => self.answer_busy(id, RefusalReason::RecordInFlight),
+            (None, Some(_)) => self.answer_unavailable(id, RefusalReason::RecordInFlight),
             (None, None) => self.answer_error(id, 404, "no such job"),
         }
     }
@@ -76,7 +76,7 @@
     pub(super) fn answer_record(&mut self, id: RequestId, job: &str, pair: KeyValue) {
         let Some(record) = decode::<JobRecord>(&pair.value) else {
             log_unreadable_record(job);
-            return self.answer_busy(id, RefusalReason::RecordUnreadable);
+            return self.answer_unavailable(id, RefusalReason::RecordUnreadable);
         };
         // This controller may have learned of the job's end while the read was in flight.
         if let Some(status) = self.terminal_jobs.get(job) {
@@ -86,7 +86,7 @@
             RecordedStatus::Live => self.answer_live_record(id, job, record, pair.revision),
             terminal => {
                 if terminal == RecordedStatus::Aborted {
-                    self.learn_abort(job, pair.revision);
+                    self.apply_recorded_abort(job, pair.revision);
                 }
                 self.learn_terminal_state(job, terminal);
                 self.answer_terminal(id, job, terminal);
@@ -104,7 +104,7 @@
             None => answer_without_counts(job, JobStatus::Running),
         };
         match dependencies.filter(|dependencies| !dependencies.is_empty()) {
-            Some(dependencies) => self.walk(id, answer, dependencies),
+            Some(dependencies) => self.answer_after_dependency_walk(id, answer, dependencies),
             None => {
                 self.note_live_record(&answer.id, revision);
                 self.answer(id, Response::new(200, to_cbor(&answer)))
--- a/crates/core/src/api/status_queries.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -94,7 +94,7 @@
             known.filter(|job_index| self.jobs.get(*job_index).is_some_and(is_validatable));
         let Some(job_index) = validatable else { return self.read_status(id, job) };
         if self.status_queries.waiting_count >= self.context.config.max_waiting_status_queries() {
-            return self.answer_busy(id, RefusalReason::TooManyWaiting);
+            return self.answer_unavailable(id, RefusalReason::TooManyWaiting);
         }
         self.status_queries.push(job_index, id);
     }
@@ -104,7 +104,7 @@
         for id in requests {
             match &job {
                 Some(job) => self.read_status(id, job.clone()),
-                None => self.answer_busy(id, RefusalReason::RecordChanged),
+                None => self.answer_unavailable(id, RefusalReason::RecordChanged),
             }
         }
     }
@@ -143,14 +143,14 @@
 
     /// Returns how many guards one transaction may have.
     pub(crate) fn max_guards(&self) -> usize {
-        GUARDS_PER_OP * self.limits().txn_ops
+        GUARDS_PER_OP * self.store_limits().txn_ops
     }
 
     /// Returns the revisions of the records that determine the state of a job in memory: the job's
     /// own and those of its direct and transitive dependencies. Returns `None` if one of them can't
     /// be validated.
     fn revisions_behind_state(&self, job_index: JobIndex) -> Option<RevisionsByJob> {
-        let mut jobs = self.before(job_index)?;
+        let mut jobs = self.transitive_dependencies(job_index)?;
         jobs.push(job_index);
         let revision = |job_index: &JobIndex| {
             self.jobs.get(*job_index).filter(|job| is_validatable(job)).map(|job| job.revision)
@@ -186,7 +186,7 @@
             }
         }
         let body = to_cbor(&Transaction { guards, apply: Vec::new() });
-        let call = InFlight::Compare { compared: read, epoch: self.epoch() };
+        let call = InFlight::ValidatedRead { read, epoch: self.epoch() };
         self.call_store("POST", "/multi".into(), body, call);
     }
 
@@ -195,7 +195,7 @@
         requests: impl Iterator<Item = RequestId>,
         reason: RefusalReason,
     ) {
-        requests.for_each(|id| self.answer_busy(id, reason));
+        requests.for_each(|id| self.answer_unavailable(id, reason));
     }
 
     /// Handles the outcome of a validated read that was sent in `epoch`.
@@ -265,7 +265,9 @@
     ) {
         let is_changed = |job_index: &JobIndex| changed.contains(job_index);
         let is_outdated = is_changed(&job_index)
-            || self.before(job_index).is_none_or(|jobs| jobs.iter().any(is_changed));
+            || self
+                .transitive_dependencies(job_index)
+                .is_none_or(|jobs| jobs.iter().any(is_changed));
         let is_valid = |job: &&Job| job.state.is_accepted() && !is_outdated;
         let Some(answer) = self.jobs.get(job_index).filter(is_valid).map(live_answer) else {
             return self.read_statuses(job_index, requests);
@@ -286,7 +288,7 @@
 
 /// Returns whether the job in memory was built from a record whose revision is known.
 fn is_validatable(job: &Job) -> bool {
-    job.state.is_accepted() && !job.busy && (job.revision > 0 || job.page.is_some())
+    job.state.is_accepted() && !job.busy && (job.revision > 0 || job.batch_number.is_some())
 }
 
 /// Returns the answer for a job whose record was live when it was read. A job that has ended in
--- a/crates/core/src/api/status_reads.rs
+++ b/crates/core/src/api/status_reads.rs
@@ -193,7 +193,7 @@
     }
 
     fn refuse_queries(&mut self, queries: JobQueries, reason: RefusalReason) {
-        queries.requests.into_iter().for_each(|id| self.answer_busy(id, reason));
+        queries.requests.into_iter().for_each(|id| self.answer_unavailable(id, reason));
     }
 
     /// Refuses queries that have waited for too long, and sends the reads that the rate limit
@@ -222,7 +222,7 @@
 
     fn read_single_job(&mut self, queries: JobQueries) {
         let JobQueries { job, requests, .. } = queries;
-        self.look_up(&job.clone(), InFlight::Poll { requests, id: job });
+        self.look_up(&job.clone(), InFlight::StatusRead { requests, id: job });
     }
 
     /// Validates gathered jobs together, as many at a time as one transaction may have guards.
@@ -230,7 +230,7 @@
         let max_guards = self.max_guards();
         let mut in_batches = Vec::new();
         while !self.status_reads.gathered.waiting.is_empty()
-            && self.membership.store_reads().may_gather_status(self.context.now.steady_ms)
+            && self.membership.store_reads().may_read_for_status_batch(self.context.now.steady_ms)
         {
             self.status_reads.last_gathered_read_ms = self.context.now.steady_ms;
             let next = std::iter::from_fn(|| self.status_reads.gathered.pop_first());
@@ -242,7 +242,7 @@
             in_batches.extend(batched);
         }
         let lookups = in_batches.into_iter().map(|JobQueries { job, requests, .. }| {
-            (job.clone(), InFlight::Poll { requests, id: job })
+            (job.clone(), InFlight::StatusRead { requests, id: job })
         });
         self.look_up_gathered(lookups.collect());
     }
@@ -260,8 +260,8 @@
         };
         let guards = queries.iter().map(guard).collect();
         let body = to_cbor(&Transaction { guards, apply: Vec::new() });
-        self.force_read(ReadPurpose::StatusComparison);
-        let call = InFlight::CompareLive(LiveComparison { queries });
+        self.charge_read(ReadPurpose::StatusComparison);
+        let call = InFlight::LiveJobComparison(LiveComparison { queries });
         self.call_store("POST", "/multi".into(), body, call);
     }
 
--- a/crates/core/src/api/submit.rs
+++ b/crates/core/src/api/submit.rs
@@ -30,7 +30,7 @@
 
 /// The rejection of a submission, sent only if the job turns out not to be known.
 #[derive(Debug)]
-pub(crate) struct Refusal {
+pub(crate) struct Rejection {
     /// HTTP status code of the rejection.
     status: u16,
     /// Text of the reason in the response body.
@@ -48,8 +48,8 @@
     /// Answers a submission whose job is in memory, or has an entry in a batch record that can't be
     /// decoded. Returns false, without an answer, for any other job.
     pub(super) fn answer_if_submitted(&mut self, id: RequestId, job: &str) -> bool {
-        if self.job_batches.unreadable(job) {
-            self.answer_busy(id, RefusalReason::RecordUnreadable);
+        if self.job_batches.is_unreadable(job) {
+            self.answer_unavailable(id, RefusalReason::RecordUnreadable);
             return true;
         }
         let Some(known) = self.jobs.find(job).and_then(|job_index| self.jobs.get(job_index)) else {
@@ -57,7 +57,7 @@
         };
         match known.state {
             // The outcome of the first submission is not known yet.
-            JobState::Recording => self.answer_busy(id, RefusalReason::RecordInFlight),
+            JobState::Recording => self.answer_unavailable(id, RefusalReason::RecordInFlight),
             _ => self.query_status(id, job.to_string()),
         }
         true
@@ -70,7 +70,7 @@
         if spec.dependencies.is_empty() {
             self.submit_admitted(id, spec, false)
         } else {
-            self.admit(id, spec)
+            self.submit_after_dependency_check(id, spec)
         }
     }
 
@@ -81,7 +81,7 @@
         match self.admissibility(&spec) {
             Admissibility::Admissible => {}
             Admissibility::Inadmissible(reason) => {
-                self.refuse(id, spec.id, 422, reason);
+                self.reject_unless_known(id, spec.id, 422, reason);
                 return None;
             }
             Admissibility::Unknown => {
@@ -90,29 +90,40 @@
             }
         }
         if spec.dependencies.contains(&spec.id) {
-            self.refuse(id, spec.id, 422, "a job can't need itself");
+            self.reject_unless_known(id, spec.id, 422, "a job can't need itself");
             return None;
         }
         let record = self.job_record(spec);
         let fits_record = checked_size(&record) <= self.max_value_bytes();
         let spec = record.spec?;
         if !fits_record {
-            self.refuse(id, spec.id, 400, "too large to be kept: fewer prereqs or shorter names");
+            self.reject_unless_known(
+                id,
+                spec.id,
+                400,
+                "too large to be kept: fewer prereqs or shorter names",
+            );
             return None;
         }
         Some(spec)
     }
 
     /// Rejects a submission, unless a read of the job's record shows that the job is known.
-    pub(crate) fn refuse(&mut self, id: RequestId, job: String, status: u16, reason: &str) {
-        let refusal = Refusal { status, reason: reason.to_string() };
-        self.read_submitted_job(id, job, Some(refusal));
+    pub(crate) fn reject_unless_known(
+        &mut self,
+        id: RequestId,
+        job: String,
+        status: u16,
+        reason: &str,
+    ) {
+        let rejection = Rejection { status, reason: reason.to_string() };
+        self.read_submitted_job(id, job, Some(rejection));
     }
 
-    /// Reads the record of a job whose submission is to be rejected with `refusal` or, if that is
+    /// Reads the record of a job whose submission is to be rejected with `rejection` or, if that is
     /// `None`, can't be decided yet.
-    fn read_submitted_job(&mut self, id: RequestId, job: String, refusal: Option<Refusal>) {
-        let call = InFlight::Known { request: id, job: job.clone(), refusal };
+    fn read_submitted_job(&mut self, id: RequestId, job: String, rejection: Option<Rejection>) {
+        let call = InFlight::SubmittedJobRead { request: id, job: job.clone(), rejection };
         self.read_job(id, &job, call);
     }
 
@@ -122,24 +133,24 @@
         &mut self,
         id: RequestId,
         job: String,
-        refusal: Option<Refusal>,
+        rejection: Option<Rejection>,
         outcome: Outcome,
     ) {
         match self.read_outcome(outcome) {
             // The job may have been accepted while its record was being read.
             Ok(None) if self.jobs.find(&job).is_some() => {
-                self.answer_busy(id, RefusalReason::RecordInFlight)
+                self.answer_unavailable(id, RefusalReason::RecordInFlight)
             }
-            Ok(None) => match (self.terminal_jobs.get(&job), refusal) {
+            Ok(None) => match (self.terminal_jobs.get(&job), rejection) {
                 (Some(status), _) => self.answer_terminal(id, &job, status),
-                (None, Some(Refusal { status, reason })) => {
+                (None, Some(Rejection { status, reason })) => {
                     tracing::info!(job = %job, reason, "submission rejected");
                     self.answer_error(id, status, &reason)
                 }
-                (None, None) => self.answer_busy(id, RefusalReason::AdmissibilityUnknown),
+                (None, None) => self.answer_unavailable(id, RefusalReason::AdmissibilityUnknown),
             },
             Ok(Some(pair)) => self.answer_record(id, &job, pair),
-            Err(()) => self.answer_busy(id, RefusalReason::StoreFailed),
+            Err(()) => self.answer_unavailable(id, RefusalReason::StoreFailed),
         }
     }
 
@@ -151,7 +162,7 @@
             at_ms: self.context.now.wall_ms,
             done_chunks: Vec::new(),
             service: false,
-            share: None,
+            placement: None,
         }
     }
 
@@ -165,7 +176,7 @@
             return;
         }
         let Some(team) = self.context.config.team(&spec.team) else {
-            return self.answer_busy(id, RefusalReason::AdmissibilityUnknown);
+            return self.answer_unavailable(id, RefusalReason::AdmissibilityUnknown);
         };
         if !cancelled && self.belongs_in_batch(&spec) {
             if !self.add_to_intake(id, spec, team) {
@@ -182,7 +193,7 @@
     /// Writes the record of an accepted job as the leader, together with the job's first placement
     /// if the job can be placed now.
     fn record_submission(&mut self, id: RequestId, spec: JobSpec, team: usize) {
-        self.record_writer.note(WritePurpose::Accept, 1);
+        self.record_writer.count_changes(WritePurpose::Accept, 1);
         let record = self.job_record(spec.clone());
         let job_id = spec.id.clone();
         let priority = spec.priority;
@@ -191,23 +202,24 @@
         let job = self.new_job(spec, team, JobState::Recording, 0, record.at_ms);
         let job_index = self.jobs.insert(job);
         let placement = if is_ready { self.first_placement(job_index, priority) } else { None };
-        let placed = placement.as_ref().map_or(RecordLocation::default(), |write| write.placed);
+        let location = placement.as_ref().map_or(RecordLocation::default(), |write| write.location);
         let (mut guards, mut apply) = (vec![self.epoch_guard()], Vec::new());
-        if !placed.own {
+        if !location.sets_own_record {
             let key = job_key(&job_id);
             let value = encode(&record);
             apply.push(Change::Set { set: key.clone(), value, lease_id: None });
             guards.push(Guard { path: key, revision: 0 });
         }
         if let Some(placement) = placement {
-            placement.enter(&job_id, 0, &mut guards, &mut apply);
-            self.on_placement_sent(job_index, 0, placed);
+            placement.add_to_transaction(&job_id, 0, &mut guards, &mut apply);
+            self.on_placement_sent(job_index, 0, location);
         }
         if let Some(job) = self.jobs.get_mut(job_index) {
             job.busy = true;
         }
         let body = to_cbor(&Transaction { guards, apply });
-        let call = InFlight::Accept { request: id, job: job_index, placed, epoch: self.epoch() };
+        let call =
+            InFlight::AcceptWrite { request: id, job: job_index, location, epoch: self.epoch() };
         self.call_store("POST", "/multi".into(), body, call);
     }
 
@@ -226,11 +238,13 @@
         let changes_charged = if is_inline { 0.0 } else { 1.0 };
         let placement = self.place_before_acceptance(job_index, priority, is_inline);
         let changes_made = match &placement {
-            Some(write) if !write.placed.inline => write.changes() as f64,
+            Some(write) if !write.location.inline => write.changes() as f64,
             _ => 0.0,
         };
-        self.record_writer.writes.force(self.context.now.steady_ms, changes_made - changes_charged);
-        self.record_writer.note(WritePurpose::Deal, changes_made as usize);
+        self.record_writer
+            .write_limiter
+            .charge(self.context.now.steady_ms, changes_made - changes_charged);
+        self.record_writer.count_changes(WritePurpose::Placement, changes_made as usize);
         placement
     }
 
@@ -242,12 +256,12 @@
         priority: Priority,
         is_inline: bool,
     ) -> Option<PlacementWrite> {
-        if self.backlog().full(priority) || !self.place_job(job_index) {
+        if self.backlog().is_full(priority) || !self.place_job(job_index) {
             return None;
         }
-        let max_changes = self.limits().txn_ops - 1;
+        let max_changes = self.store_limits().txn_ops - 1;
         let fits = |write: &PlacementWrite| {
-            write.placed.inline || !is_inline && write.changes() <= max_changes
+            write.location.inline || !is_inline && write.changes() <= max_changes
         };
         let placement = self.placement_write(job_index, 0).filter(fits);
         if placement.is_none() {
@@ -262,12 +276,12 @@
         &mut self,
         id: RequestId,
         job_index: JobIndex,
-        placed: RecordLocation,
+        location: RecordLocation,
         outcome: Outcome,
     ) {
         if let Outcome::Answer(answer) = &outcome {
             if let (200, Ok(applied)) = (answer.status, from_cbor(&answer.body)) {
-                return self.on_accepted(id, job_index, placed, applied);
+                return self.on_accepted(id, job_index, location, applied);
             }
         }
         // The job is not known to be recorded, so it is removed from memory. If the write is
@@ -282,18 +296,18 @@
                     .is_some_and(|failed| failed.iter().any(|key| key == EPOCH_KEY))
                 {
                     self.step_down();
-                    return self.answer_busy(id, RefusalReason::EpochChanged);
+                    return self.answer_unavailable(id, RefusalReason::EpochChanged);
                 }
                 self.query_status(id, job_id)
             }
             Outcome::Answer(answer) => {
                 self.on_store_throttled(answer.status);
-                self.answer_busy(id, RefusalReason::StoreFailed)
+                self.answer_unavailable(id, RefusalReason::StoreFailed)
             }
-            Outcome::NotSent => self.answer_busy(id, RefusalReason::StoreFailed),
+            Outcome::NotSent => self.answer_unavailable(id, RefusalReason::StoreFailed),
             Outcome::Lost => {
                 self.track_indeterminate_submission(job_id);
-                self.answer_busy(id, RefusalReason::StoreFailed)
+                self.answer_unavailable(id, RefusalReason::StoreFailed)
             }
         }
     }
@@ -303,18 +317,18 @@
         &mut self,
         id: RequestId,
         job_index: JobIndex,
-        placed: RecordLocation,
+        location: RecordLocation,
         answer: TransactionAnswer,
     ) {
         self.note_store_answer();
         let Some(job) = self.jobs.get_mut(job_index) else {
-            return self.answer_busy(id, RefusalReason::EpochChanged);
+            return self.answer_unavailable(id, RefusalReason::EpochChanged);
         };
         job.revision = answer.store_revision;
         job.busy = false;
         let job_id = job.id.clone();
-        if placed != RecordLocation::default() {
-            self.on_placement_recorded(job_index, 0, placed, answer.store_revision);
+        if location != RecordLocation::default() {
+            self.on_placement_recorded(job_index, 0, location, answer.store_revision);
         }
         self.add_to_dependency_graph(job_index);
         self.set_job_state(job_index, JobState::Live);
@@ -338,8 +352,8 @@
         }
         // The lookup would be wasted if the rate limit did not allow the job to be recorded.
         let now_ms = self.context.now.steady_ms;
-        if self.record_writer.writes.available(now_ms, 0.0) < WRITES_WITHOUT_LEADER {
-            return self.answer_busy(id, RefusalReason::WriteLimit);
+        if self.record_writer.write_limiter.available(now_ms, 0.0) < WRITES_WITHOUT_LEADER {
+            return self.answer_unavailable(id, RefusalReason::WriteLimit);
         }
         let job = spec.id.clone();
         let call =
@@ -363,7 +377,7 @@
                 self.record_without_leader(id, spec, cancelled, Some(next_batch))
             }
             Ok(Some(pair)) => self.answer_record(id, &spec.id, pair),
-            Err(()) => self.answer_busy(id, RefusalReason::StoreFailed),
+            Err(()) => self.answer_unavailable(id, RefusalReason::StoreFailed),
         }
     }
 
@@ -377,8 +391,8 @@
         absent_batch: Option<u64>,
     ) {
         let now_ms = self.context.now.steady_ms;
-        if !self.record_writer.writes.take(now_ms, WRITES_WITHOUT_LEADER, 0.0) {
-            return self.answer_busy(id, RefusalReason::WriteLimit);
+        if !self.record_writer.write_limiter.take(now_ms, WRITES_WITHOUT_LEADER, 0.0) {
+            return self.answer_unavailable(id, RefusalReason::WriteLimit);
         }
         let job = spec.id.clone();
         let record = self.job_record(spec);
@@ -414,15 +428,17 @@
                 // which may or may not hold this job.
                 if !failed_guard_keys(&answer).is_some_and(|failed| failed.contains(&job_key(&job)))
                 {
-                    return self.answer_busy(id, RefusalReason::RecordChanged);
+                    return self.answer_unavailable(id, RefusalReason::RecordChanged);
                 }
                 self.read_status(id, job);
             }
             Outcome::Answer(answer) => {
                 self.on_store_throttled(answer.status);
-                self.answer_busy(id, RefusalReason::StoreFailed)
+                self.answer_unavailable(id, RefusalReason::StoreFailed)
+            }
+            Outcome::Lost | Outcome::NotSent => {
+                self.answer_unavailable(id, RefusalReason::StoreFailed)
             }
-            Outcome::Lost | Outcome::NotSent => self.answer_busy(id, RefusalReason::StoreFailed),
         }
     }
 
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -155,7 +155,7 @@
 
 /// Makes room for one more entry if the map holds `max_entries`. The oldest eighth of the entries
 /// is evicted at once, so that a full map is not searched for each new entry.
-pub(crate) fn forget_oldest<V>(
+pub(crate) fn evict_oldest<V>(
     map: &mut BTreeMap<String, V>,
     max_entries: usize,
     age: impl Fn(&V) -> u64,
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -199,7 +199,7 @@
     }
 
     /// Returns how long a worker waits for the answer to its heartbeat.
-    pub fn worker_patience_ms(&self) -> u64 {
+    pub fn worker_answer_timeout_ms(&self) -> u64 {
         ANSWER_IGNORED_AFTER_MS
     }
 
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -83,7 +83,7 @@
     }
 
     /// Answers at once that the request cannot be decided now, and when to retry it.
-    pub fn answer_busy(&mut self, id: RequestId, reason: RefusalReason) {
+    pub fn answer_unavailable(&mut self, id: RequestId, reason: RefusalReason) {
         self.refusals.count(id, reason, self.now.steady_ms);
         let body = to_cbor(&ErrorAnswer { error: "can't decide at present".into() });
         let mut response = Response::new(503, body);
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -87,7 +87,7 @@
     pub(crate) search_budget: SearchBudget,
     pub(crate) load: LoadState,
     /// Metrics of requests that had to wait, reported by the event loop.
-    pub(crate) intake: Vec<(String, f64)>,
+    pub(crate) request_queue_metrics: Vec<(String, f64)>,
     pub(crate) admission: AdmissionControl,
     pub(crate) epoch_began_ms: u64,
     pub(crate) attempts: u64,
@@ -106,7 +106,7 @@
     pub(crate) next_second_ms: u64,
     pub(crate) recorded_job_reads: RecordedJobReads,
     /// Number of heartbeats answered with a redirect.
-    pub(crate) redirected_workers: u64,
+    pub(crate) redirected_heartbeats: u64,
     /// Resources reserved for gangs, by machine.
     pub(crate) gang_holds: BTreeMap<MachineIndex, GangHold>,
     /// Number of duplicate heartbeats that were dropped.
@@ -160,7 +160,7 @@
             ratios: DemandRatios::default(),
             search_budget,
             load: LoadState::Normal,
-            intake: Vec::new(),
+            request_queue_metrics: Vec::new(),
             admission,
             epoch_began_ms: 0,
             attempts: 0,
@@ -178,7 +178,7 @@
             next_round_ms: 0,
             next_second_ms: 0,
             recorded_job_reads: RecordedJobReads::default(),
-            redirected_workers: 0,
+            redirected_heartbeats: 0,
             gang_holds: BTreeMap::new(),
             duplicates_dropped: 0,
         }
@@ -193,11 +193,11 @@
         }
         match event {
             Event::Tick => self.on_tick(),
-            Event::Client { id, request } => self.on_client(id, request),
+            Event::Client { id, request } => self.on_client_request(id, request),
             Event::Mesh { id, request } => self.on_mesh(id, request),
-            Event::Load { state, figures } => {
+            Event::Load { state, metrics } => {
                 self.search_budget.adapt_to_load(state);
-                (self.load, self.intake) = (state, figures);
+                (self.load, self.request_queue_metrics) = (state, metrics);
             }
             Event::Outcome { call, outcome } => {
                 if let Some(pending) = self.calls.take(call) {
@@ -223,7 +223,7 @@
         self.tick_membership();
         self.verify_leadership();
         self.tick_held_heartbeats();
-        self.tick_format();
+        self.read_format_keys_if_due();
         self.tick_machine_types();
         self.tick_lease_proxy();
         self.tick_recovery();
@@ -266,7 +266,7 @@
         if !self.leads() {
             return;
         }
-        self.settle_dependencies();
+        self.apply_terminal_states();
         self.flush_batch_intake();
         if std::mem::take(&mut self.drain_due) {
             self.drain();
@@ -286,7 +286,7 @@
             self.last_reprobe_ms = now;
             self.reprobe();
         }
-        self.dispatch_touched();
+        self.dispatch_due_machines();
         if self.preempt_due && now >= self.last_preemption_ms + batch_interval_ms {
             self.last_preemption_ms = now;
             self.preempt_due = false;
@@ -312,35 +312,37 @@
             InFlight::AbortWithoutLeader { request, id } => {
                 self.on_abort_without_leader(request, id, outcome)
             }
-            InFlight::Known { request, job, refusal } => {
-                self.on_submitted_job_read(request, job, refusal, outcome)
+            InFlight::SubmittedJobRead { request, job, rejection } => {
+                self.on_submitted_job_read(request, job, rejection, outcome)
             }
-            InFlight::WalkRead { request, job } => self.on_walk_read(request, job, outcome),
-            InFlight::Compare { compared, epoch } => {
-                self.on_validated_read(compared, epoch, outcome)
+            InFlight::DependencyWalkRead { request, job } => {
+                self.on_walk_read(request, job, outcome)
+            }
+            InFlight::ValidatedRead { read, epoch } => self.on_validated_read(read, epoch, outcome),
+            InFlight::StatusRead { requests, id } => self.on_status_read(requests, id, outcome),
+            InFlight::LiveJobComparison(comparison) => {
+                self.on_live_jobs_compared(comparison, outcome)
             }
-            InFlight::Poll { requests, id } => self.on_status_read(requests, id, outcome),
-            InFlight::CompareLive(compared) => self.on_live_jobs_compared(compared, outcome),
             InFlight::LookupBeforeSubmission { request, spec, cancelled } => {
                 self.on_lookup_before_submission(request, *spec, cancelled, outcome)
             }
             InFlight::Batch(call) => self.on_batch_call(call, outcome),
-            InFlight::Forward { request, sibling, work } => {
-                self.on_forwarded(request, sibling, *work, outcome)
+            InFlight::Forward { request, sibling, user_request } => {
+                self.on_forwarded(request, sibling, *user_request, outcome)
             }
-            InFlight::Types => self.on_machine_types(outcome),
-            InFlight::Accept { request, job, placed, epoch } => {
+            InFlight::MachineTypesRead => self.on_machine_types(outcome),
+            InFlight::AcceptWrite { request, job, location, epoch } => {
                 if epoch == current_epoch {
-                    self.on_accept(request, job, placed, outcome)
+                    self.on_accept(request, job, location, outcome)
                 } else {
-                    self.answer_busy(request, RefusalReason::EpochChanged)
+                    self.answer_unavailable(request, RefusalReason::EpochChanged)
                 }
             }
-            InFlight::AbortWrite { request, job, placed, epoch } => {
+            InFlight::AbortWrite { request, job, location, epoch } => {
                 if epoch == current_epoch {
-                    self.on_abort_write(request, job, placed, outcome)
+                    self.on_abort_write(request, job, location, outcome)
                 } else if let Some(request) = request {
-                    self.answer_busy(request, RefusalReason::EpochChanged)
+                    self.answer_unavailable(request, RefusalReason::EpochChanged)
                 }
             }
             // These outcomes concern the leader's in-memory state, which no longer exists if the
@@ -376,9 +378,9 @@
     }
 
     /// Answers at once that the request cannot be decided now, and when to retry it.
-    pub(crate) fn answer_busy(&mut self, id: RequestId, reason: RefusalReason) {
+    pub(crate) fn answer_unavailable(&mut self, id: RequestId, reason: RefusalReason) {
         self.track_answer(id, 503, Some(reason));
-        self.context.answer_busy(id, reason);
+        self.context.answer_unavailable(id, reason);
     }
 
     /// Tracks an answer and reports a violation of the invariant that, without a fault, no job is
@@ -410,13 +412,13 @@
 
     pub(crate) fn clear_leader_state(&mut self) {
         self.drop_status_queries();
-        self.forget_batches();
+        self.drop_batches();
         self.jobs = Jobs::default();
         self.machines = Machines::default();
         self.teams.iter_mut().for_each(|t| *t = TeamUsage::default());
-        self.record_writer = RecordWriter::new(self.limits());
-        self.admission = AdmissionControl::new(RecordWriter::write_rate(self.limits()));
-        self.dependency_graph.forget_graph();
+        self.record_writer = RecordWriter::new(self.store_limits());
+        self.admission = AdmissionControl::new(RecordWriter::write_rate(self.store_limits()));
+        self.dependency_graph.clear_graph();
         self.provisioner = Provisioner::new(&self.context.config);
         self.recovery = Recovery::default();
         self.ratios = DemandRatios::default();
@@ -435,8 +437,12 @@
     /// Schedules a dispatch for all machines with queued tasks, because some of these may have
     /// become due.
     fn dispatch_waiting_machines(&mut self) {
-        let waiting: Vec<MachineIndex> =
-            self.machines.iter().filter(|(_, m)| !m.queue.is_empty()).map(|(ix, _)| ix).collect();
+        let waiting: Vec<MachineIndex> = self
+            .machines
+            .iter()
+            .filter(|(_, m)| !m.probe_queue.is_empty())
+            .map(|(ix, _)| ix)
+            .collect();
         self.machines_to_dispatch.extend(waiting);
     }
 
@@ -457,8 +463,8 @@
     }
 
     /// Charges a read that is made regardless of the budget.
-    pub(crate) fn force_read(&mut self, purpose: ReadPurpose) {
-        self.membership.store_reads().force(self.context.now.steady_ms, purpose)
+    pub(crate) fn charge_read(&mut self, purpose: ReadPurpose) {
+        self.membership.store_reads().charge(self.context.now.steady_ms, purpose)
     }
 
     /// Pauses writes, and on status 429 also reads, after the key-value store has asked for a
@@ -468,23 +474,23 @@
         let pause_ms = self.context.rng.random_range(100..300);
         let now = self.context.now.steady_ms;
         if status == 429 {
-            self.membership.store_reads().close(now, pause_ms);
+            self.membership.store_reads().pause(now, pause_ms);
         }
-        self.record_writer.writes.close(now, pause_ms);
+        self.record_writer.write_limiter.pause(now, pause_ms);
     }
 }
 
 impl Controller {
     /// Sets the read and write budgets from the limits that currently apply.
-    pub(crate) fn fit_rate_limits(&mut self) {
-        let limits = self.limits().clone();
+    pub(crate) fn apply_rate_limits(&mut self) {
+        let limits = self.store_limits().clone();
         let controllers = self.context.config.platform.siblings.len() + 1;
         let reads = match self.membership.role() {
             Role::Recovering | Role::Leader => leader_share(limits.rps),
             _ => follower_share(limits.rps, controllers),
         };
         self.membership.store_reads().set_rate(reads);
-        self.record_writer.writes.set_rate(RecordWriter::write_rate(&limits));
+        self.record_writer.write_limiter.set_rate(RecordWriter::write_rate(&limits));
         self.admission.set_rate(RecordWriter::write_rate(&limits));
     }
 }
--- a/crates/core/src/fleet/commands.rs
+++ b/crates/core/src/fleet/commands.rs
@@ -61,13 +61,14 @@
         // A machine that is reached only through other controllers is tried directly once per
         // lease.
         let retry_due = now_ms > self.unreachable_since_ms + lease_ms;
-        let reached_indirectly =
-            self.cut && !retry_due && (self.via.is_some() || self.relayed_by.is_some());
+        let reached_indirectly = self.directly_unreachable
+            && !retry_due
+            && (self.lease_proxy.is_some() || self.relayed_by.is_some());
         let unreachable = !answered || reached_indirectly;
-        if unreachable && (!self.cut || retry_due) {
+        if unreachable && (!self.directly_unreachable || retry_due) {
             self.unreachable_since_ms = now_ms;
         }
-        self.cut = unreachable;
+        self.directly_unreachable = unreachable;
     }
 }
 
@@ -124,7 +125,7 @@
         if job.state == JobState::Live && starting {
             return Some(Order::Start { task: task_name(&job.id, key.task), attempt });
         }
-        if state.is_some_and(|state| state.machine() == Some((index, attempt))) {
+        if state.is_some_and(|state| state.machine_and_attempt() == Some((index, attempt))) {
             self.return_to_queue(key);
         }
         None
@@ -154,7 +155,7 @@
     /// Returns the route for commands to a machine. A machine that can't be reached directly is
     /// commanded through the controller that passes on its heartbeats.
     fn command_route(&self, index: MachineIndex) -> Route {
-        let unreachable = self.machines.get(index).filter(|machine| machine.cut);
+        let unreachable = self.machines.get(index).filter(|machine| machine.directly_unreachable);
         let relay = unreachable
             .and_then(|machine| machine.relayed_by)
             .filter(|sibling| self.peer_is_alive(*sibling));
@@ -250,7 +251,7 @@
         let Some(machine) = self.machines.get(index) else { return };
         match from_cbor::<Heartbeat>(&response.body) {
             Ok(heartbeat) if is_plausible(&heartbeat) && heartbeat.machine == machine.name => {
-                self.observe_heartbeat(index, heartbeat)
+                self.apply_heartbeat_status_if_newer(index, heartbeat)
             }
             _ => self.fence_unknown_command(index, fencing_token),
         }
--- a/crates/core/src/fleet/fault_attribution.rs
+++ b/crates/core/src/fleet/fault_attribution.rs
@@ -19,7 +19,7 @@
     /// be considered failing everywhere.
     Untried,
     /// A task of the job has run successfully on some machine.
-    Proven,
+    RunsWell,
     /// The job fails on every machine on which it is tried.
     FailingEverywhere,
 }
@@ -48,14 +48,14 @@
     /// Returns whether a task may be started now. A job that fails everywhere is tried one task at
     /// a time, after a pause.
     pub fn may_start_now(&self, now_ms: u64) -> bool {
-        !self.failing_everywhere() || self.bound == 0 && now_ms >= self.next_trial_ms
+        !self.failing_everywhere() || self.bound_tasks == 0 && now_ms >= self.next_trial_ms
     }
 
     /// Returns for how many of these tasks resources are demanded. A job that fails everywhere
     /// demands them for one task, and for none while that task is being tried.
-    pub fn asking(&self, tasks: u32) -> u32 {
+    pub fn demanded_tasks(&self, tasks: u32) -> u32 {
         match self.failing_everywhere() {
-            true => tasks.min(u32::from(self.bound == 0)),
+            true => tasks.min(u32::from(self.bound_tasks == 0)),
             false => tasks,
         }
     }
@@ -80,12 +80,12 @@
                     "job fails on every machine"
                 );
             }
-            JobHealth::Proven if old_health == JobHealth::FailingEverywhere => {
+            JobHealth::RunsWell if old_health == JobHealth::FailingEverywhere => {
                 tracing::info!(job = %job.id, "job no longer fails on every machine");
             }
             _ => {}
         }
-        self.attribute_failures_to_machines(index, health == JobHealth::Proven);
+        self.attribute_failures_to_machines(index, health == JobHealth::RunsWell);
     }
 
     /// Counts a job's failures against the machines on which it failed if `count`, else removes
--- a/crates/core/src/fleet/heartbeat_relay.rs
+++ b/crates/core/src/fleet/heartbeat_relay.rs
@@ -27,7 +27,8 @@
         heartbeat: &Heartbeat,
         body: Vec<u8>,
     ) -> bool {
-        let Some(leader) = self.live_leader_index().filter(|_| !self.leader_missed()) else {
+        let Some(leader) = self.live_leader_index().filter(|_| !self.leader_missed_heartbeat())
+        else {
             return false;
         };
         let mut message = self.mesh_message();
@@ -55,7 +56,7 @@
             }
             Outcome::Answer(_) => self.redirect(id),
             _ => {
-                if !self.serve_by_proxy(id, &heartbeat) {
+                if !self.serve_as_lease_proxy(id, &heartbeat) {
                     self.redirect(id)
                 }
             }
@@ -65,7 +66,7 @@
     /// Redirects a worker to the leader. The answer doesn't name a leader with which this
     /// controller has no contact; the worker then tries all controllers itself.
     pub(crate) fn redirect(&mut self, id: RequestId) {
-        self.redirected_workers += 1;
+        self.redirected_heartbeats += 1;
         let leader = self.live_leader_index().and(self.known_leader());
         self.answer(id, Response::new(421, to_cbor(&Redirect { leader })));
     }
--- a/crates/core/src/fleet/heartbeats.rs
+++ b/crates/core/src/fleet/heartbeats.rs
@@ -70,7 +70,7 @@
         if self.should_relay(&heartbeat) && self.relay_heartbeat(id, &heartbeat, body) {
             return;
         }
-        if self.serve_by_proxy(id, &heartbeat) {
+        if self.serve_as_lease_proxy(id, &heartbeat) {
             return;
         }
         self.redirect(id)
@@ -84,7 +84,7 @@
         heartbeat: Heartbeat,
         relayed_by: Option<usize>,
     ) {
-        let index = self.machine(&heartbeat.machine);
+        let index = self.find_or_add_machine(&heartbeat.machine);
         let Some(machine) = self.machines.get_mut(index) else { return };
         match machine.duplicates.record_heartbeat(message_number(&heartbeat)) {
             Freshness::New => {}
@@ -156,7 +156,11 @@
 
     /// Applies a machine's status from its answer to a call, or from a heartbeat that a lease proxy
     /// received, unless a newer message of the machine is known.
-    pub(crate) fn observe_heartbeat(&mut self, index: MachineIndex, heartbeat: Heartbeat) {
+    pub(crate) fn apply_heartbeat_status_if_newer(
+        &mut self,
+        index: MachineIndex,
+        heartbeat: Heartbeat,
+    ) {
         let is_new = self.machines.get_mut(index).is_some_and(|machine| {
             epoch_of(heartbeat.fencing_token) > epoch_of(machine.fencing_token)
                 || machine.duplicates.record_status(message_number(&heartbeat))
@@ -168,12 +172,12 @@
 
     /// Handles the status with which a machine has answered a call. The answer proves that the
     /// machine is alive now and that commands reach it.
-    pub(crate) fn observe_reply(&mut self, index: MachineIndex, heartbeat: Heartbeat) {
+    pub(crate) fn on_worker_status_answer(&mut self, index: MachineIndex, heartbeat: Heartbeat) {
         let now_ms = self.context.now.steady_ms;
         if let Some(machine) = self.machines.get_mut(index) {
             machine.record_command_answered(now_ms);
         }
-        self.observe_heartbeat(index, heartbeat);
+        self.apply_heartbeat_status_if_newer(index, heartbeat);
     }
 
     /// Returns the durations from which the rules for reachability are derived.
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -78,7 +78,7 @@
     /// Tasks placed on the machine, with their attempt numbers.
     pub tasks: BTreeMap<TaskKey, u64>,
     /// Tasks that have a probe in the machine's queue.
-    pub queue: Vec<TaskKey>,
+    pub probe_queue: Vec<TaskKey>,
     /// Expected wait in the queue (E\[W\]) in seconds, estimated anew each heartbeat interval.
     pub wait_s: f64,
     /// Tasks that an earlier leader may have started on the machine.
@@ -97,14 +97,14 @@
     pub pending_starts: Vec<(TaskKey, u64)>,
     /// Whether the machine is considered unreachable by direct commands: the last command to it
     /// was not answered, or it is reached through other controllers.
-    pub cut: bool,
+    pub directly_unreachable: bool,
     /// When the machine became unreachable by direct commands, or when a direct retry last failed.
     pub(super) unreachable_since_ms: u64,
     /// Index in the settings of the controller that relays the machine's heartbeats.
     pub(super) relayed_by: Option<usize>,
     /// Index in the settings of the lease proxy that passes on the machine's heartbeats through the
     /// key-value store.
-    pub via: Option<usize>,
+    pub lease_proxy: Option<usize>,
     /// Whether a command to the machine awaits its answer.
     pub(super) command_in_flight: bool,
     /// Tasks in the machine's newest heartbeat.
@@ -124,7 +124,7 @@
     /// Before this time, no start is sent to the machine.
     no_starts_until_ms: u64,
     /// When the machine's status was last queried; 0 if never.
-    pub inspected_ms: u64,
+    pub worker_status_queried_ms: u64,
 }
 
 impl Machine {
@@ -147,7 +147,7 @@
             known_since_ms: now_ms,
             interruption_at_ms: None,
             tasks: BTreeMap::new(),
-            queue: Vec::new(),
+            probe_queue: Vec::new(),
             wait_s: 0.0,
             unproven: Vec::new(),
             used: Resources::default(),
@@ -155,10 +155,10 @@
             services_by_priority: Default::default(),
             idle_since_ms: now_ms,
             pending_starts: Vec::new(),
-            cut: false,
+            directly_unreachable: false,
             unreachable_since_ms: 0,
             relayed_by: None,
-            via: None,
+            lease_proxy: None,
             command_in_flight: false,
             reported_tasks: Vec::new(),
             new_agent_epoch: false,
@@ -167,7 +167,7 @@
             quarantined: false,
             evict_from_ms: 0,
             no_starts_until_ms: 0,
-            inspected_ms: 0,
+            worker_status_queried_ms: 0,
         }
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Returns whether a task may be started on the machine now.
-    pub fn takes_work(&self, now_ms: u64) -> bool {
+    pub fn accepts_starts(&self, now_ms: u64) -> bool {
         self.usable() && now_ms >= self.no_starts_until_ms && self.reachability.accepts_new_work()
     }
 
@@ -234,8 +234,8 @@
         self.last_answered_ms = Some(now_ms);
         self.reachability.on_heartbeat_answered();
         self.relayed_by = relayed_by;
-        self.cut = self.cut && relayed_by.is_some();
-        self.via = None;
+        self.directly_unreachable = self.directly_unreachable && relayed_by.is_some();
+        self.lease_proxy = None;
     }
 
     /// Records that a superseded heartbeat is answered. The renewed lease begins no later than the
--- a/crates/core/src/fleet/machine_states.rs
+++ b/crates/core/src/fleet/machine_states.rs
@@ -10,7 +10,7 @@
 
 impl Controller {
     /// Returns the index of the machine with this name. A machine that is not known yet is added.
-    pub(crate) fn machine(&mut self, name: &str) -> MachineIndex {
+    pub(crate) fn find_or_add_machine(&mut self, name: &str) -> MachineIndex {
         if let Some(index) = self.machines.find(name) {
             return index;
         }
@@ -76,7 +76,7 @@
     /// Clears the queue of a machine that takes no more work. The tasks in it need new probes.
     pub(super) fn requeue_probes(&mut self, index: MachineIndex) {
         let Some(machine) = self.machines.get_mut(index) else { return };
-        let queue = std::mem::take(&mut machine.queue);
+        let queue = std::mem::take(&mut machine.probe_queue);
         if !queue.is_empty() {
             self.reprobe_due = true;
         }
--- a/crates/core/src/fleet/out_of_zone_workers.rs
+++ b/crates/core/src/fleet/out_of_zone_workers.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::capacity::forget_oldest;
+use crate::capacity::evict_oldest;
 
 /// Number of leases for which the heartbeats of a new worker are relayed.
 const RELAY_NEW_FOR_LEASES: u64 = 2;
@@ -53,7 +53,7 @@
         max_workers: usize,
     ) -> bool {
         if !self.workers.contains_key(machine) {
-            forget_oldest(&mut self.workers, max_workers, OutOfZoneWorker::last_change_ms);
+            evict_oldest(&mut self.workers, max_workers, OutOfZoneWorker::last_change_ms);
         }
         let worker = self
             .workers
--- a/crates/core/src/fleet/provisioning/capacity_pool.rs
+++ b/crates/core/src/fleet/provisioning/capacity_pool.rs
@@ -79,7 +79,7 @@
         self.groups
             .iter()
             .filter(|(group, _)| eligible(group))
-            .map(|(group, machines)| group.free().holds(need).saturating_mul(*machines))
+            .map(|(group, machines)| group.free().max_tasks(need).saturating_mul(*machines))
             .fold(0, u32::saturating_add)
     }
 
@@ -94,11 +94,11 @@
             return 0;
         }
         let fitting =
-            self.groups.iter().filter(|(group, _)| eligible(group) && group.free().fits(need));
+            self.groups.iter().filter(|(group, _)| eligible(group) && group.free().can_fit(need));
         let candidates: Vec<(MachineGroup, u32)> =
             fitting.map(|(group, machines)| (group.clone(), *machines)).collect();
         for (group, machines) in candidates {
-            let tasks_each = group.free().holds(need).max(1);
+            let tasks_each = group.free().max_tasks(need).max(1);
             let filled_machines = (tasks / tasks_each).min(machines);
             self.occupy(&group, filled_machines, need, tasks_each);
             tasks -= filled_machines * tasks_each;
--- a/crates/core/src/fleet/provisioning/cloud_list.rs
+++ b/crates/core/src/fleet/provisioning/cloud_list.rs
@@ -98,7 +98,7 @@
     }
 
     fn on_listed_failed(&mut self, listed: &ListedMachine) -> MachineIndex {
-        let index = self.machine(&listed.name);
+        let index = self.find_or_add_machine(&listed.name);
         self.provisioner.expected.remove(&listed.name);
         tracing::info!(machine = %listed.name, "machine failed according to the cloud's list");
         index
@@ -131,14 +131,14 @@
         } else if age_ms > deadline_ms {
             tracing::info!(machine = %listed.name, age_s = listed.age_s, "machine did not boot in time");
             self.provisioner.expected.remove(&listed.name);
-            let index = self.machine(&listed.name);
+            let index = self.find_or_add_machine(&listed.name);
             self.begin_release(index);
         }
     }
 
     fn on_listed_running(&mut self, listed: ListedMachine) {
         let zone = self.zone_index(&listed.zone);
-        let index = self.machine(&listed.name);
+        let index = self.find_or_add_machine(&listed.name);
         let Some(machine) = self.machines.get_mut(index) else { return };
         if machine.addr.is_none() {
             machine.addr = listed.addr.parse().ok();
@@ -153,8 +153,8 @@
             return;
         }
         let pause_ms = INSPECT_EVERY_INTERVALS * self.context.config.heartbeat_interval_ms();
-        if self.context.now.steady_ms >= machine.inspected_ms + pause_ms {
-            self.inspect(index);
+        if self.context.now.steady_ms >= machine.worker_status_queried_ms + pause_ms {
+            self.query_worker_status(index);
         }
     }
 
--- a/crates/core/src/fleet/provisioning/demand.rs
+++ b/crates/core/src/fleet/provisioning/demand.rs
@@ -101,7 +101,7 @@
     /// Returns whether a job would occupy scarce GPUs that it doesn't need. While GPUs are scarce,
     /// machines with GPUs are neither provisioned nor counted as capacity for such a job.
     pub(super) fn wastes_scarce_gpus(&self, spec: &JobSpec, capacity: &Resources) -> bool {
-        capacity.gpus > 0.0 && spec.gpus <= 0.0 && self.ratios.gpus_scarce()
+        capacity.gpus > 0.0 && spec.gpus <= 0.0 && self.ratios.are_gpus_scarce()
     }
 
     /// Returns for how many tasks of a job capacity is wanted, within its team's limit. The CPUs of
@@ -111,11 +111,11 @@
             job.tasks().filter(|(_, task)| task.state == TaskState::Waiting).count() as u32;
         let unplaced = unplaced_tasks(job).min(self.tasks_within_limit(job, *claimed_cpus));
         *claimed_cpus += f64::from(unplaced) * job.spec.cpus;
-        let wanted = job.asking(waiting + unplaced);
+        let wanted = job.demanded_tasks(waiting + unplaced);
         // Best-effort jobs use spare capacity: capacity is wanted for at most one task of such a
         // job, and only while none of its tasks is bound to a machine.
         match self.is_best_effort(job) {
-            true => wanted.min(u32::from(job.bound == 0)),
+            true => wanted.min(u32::from(job.bound_tasks == 0)),
             false => wanted,
         }
     }
@@ -171,7 +171,7 @@
         let has_capacity = |group: &&MachineGroup| {
             group.zone.is_some_and(|zone| tasks_in_zone[zone as usize] < max_per_zone)
                 && self.is_eligible(&job.spec, group)
-                && group.free().fits(&need)
+                && group.free().can_fit(&need)
         };
         let tasks_in_zone_of =
             |group: &&MachineGroup| group.zone.map_or(0, |zone| tasks_in_zone[zone as usize]);
@@ -181,7 +181,9 @@
     /// Returns the unmet demand of a gang: the tasks without capacity if all tasks start together,
     /// in a single zone if the job requires that. A gang with a placed task has no demand.
     fn unmet_gang(&self, job: &Job, pool: &mut CapacityPool) -> Option<UnmetDemand> {
-        if job.on > 0 || job.tasks().any(|(_, task)| task.state.machine().is_some()) {
+        if job.confirmed_tasks > 0
+            || job.tasks().any(|(_, task)| task.state.machine_and_attempt().is_some())
+        {
             return None;
         }
         let need = job.resources();
@@ -237,7 +239,7 @@
     /// production job is live.
     pub(super) fn warm_capacity(&self) -> Option<WarmCapacity> {
         let largest = self.largest_production_job()?;
-        let running: f64 = self.production_jobs().map(|job| f64::from(job.on)).sum();
+        let running: f64 = self.production_jobs().map(|job| f64::from(job.confirmed_tasks)).sum();
         let tasks = (running * self.context.config.operator.warm_share).ceil() as u32;
         Some(WarmCapacity { need: largest.resources(), tasks })
     }
@@ -268,7 +270,7 @@
 
 fn placed_tasks_by_zone(job: &Job, zones: usize) -> Vec<u32> {
     let mut tasks_in_zone = vec![0u32; zones];
-    for (_, task) in job.tasks().filter(|(_, task)| task.state.machine().is_some()) {
+    for (_, task) in job.tasks().filter(|(_, task)| task.state.machine_and_attempt().is_some()) {
         if let Some(zone) = task.zone {
             tasks_in_zone[zone as usize] += 1;
         }
--- a/crates/core/src/fleet/provisioning/scale_in.rs
+++ b/crates/core/src/fleet/provisioning/scale_in.rs
@@ -70,7 +70,7 @@
         for name in overdue {
             tracing::info!(machine = %name, "machine did not boot in time");
             self.provisioner.expected.remove(&name);
-            let index = self.machine(&name);
+            let index = self.find_or_add_machine(&name);
             self.begin_release(index);
         }
     }
@@ -100,7 +100,7 @@
     /// Deducts an idle machine from the capacity that should stay free for production tasks.
     fn keep_warm(&self, machine: &Machine, warm: &mut WarmCapacity) {
         let capacity = self.capacity_of(&machine.kind);
-        let tasks = capacity.map_or(0, |capacity| capacity.holds(&warm.need));
+        let tasks = capacity.map_or(0, |capacity| capacity.max_tasks(&warm.need));
         warm.tasks = warm.tasks.saturating_sub(tasks);
     }
 
@@ -110,7 +110,7 @@
         let ready = machine.state == MachineState::Ready;
         let idle = ready
             && !machine.may_hold_tasks()
-            && machine.queue.is_empty()
+            && machine.probe_queue.is_empty()
             && !machine.command_in_flight
             && now_ms as f64 > machine.idle_since_ms as f64 + max_idle_ms;
         let faulty = ready && machine.is_due_for_eviction(now_ms) && machine.tasks.is_empty();
--- a/crates/core/src/fleet/provisioning/scale_out.rs
+++ b/crates/core/src/fleet/provisioning/scale_out.rs
@@ -115,7 +115,7 @@
             gpus: machine_type.gpus,
             memory_gb: machine_type.memory_gb,
         };
-        let tasks_each = capacity.holds(&need);
+        let tasks_each = capacity.max_tasks(&need);
         if tasks_each == 0 || self.wastes_scarce_gpus(spec, &capacity) {
             return Vec::new();
         }
--- a/crates/core/src/fleet/reconciliation.rs
+++ b/crates/core/src/fleet/reconciliation.rs
@@ -147,13 +147,13 @@
         state: TaskState,
         reported: &HeartbeatTask,
     ) {
-        let own_attempt = state.machine() == Some((index, reported.attempt));
+        let own_attempt = state.machine_and_attempt() == Some((index, reported.attempt));
         match reported.cause {
             Some(ExitCause::Done) => {
                 self.clear_machine_failures(index);
                 match self.jobs.get(key.job).map(|job| job.spec.shape) {
-                    Some(JobKind::Gang) => self.gang_done(key.job),
-                    _ => self.task_done(key),
+                    Some(JobKind::Gang) => self.mark_gang_done(key.job),
+                    _ => self.mark_task_done(key),
                 }
             }
             _ if !own_attempt => {}
@@ -164,7 +164,7 @@
             // This leader did not stop the task. Another controller stops a task only if it knows
             // that the job has ended, so the job's record is read before any further start.
             Some(ExitCause::Stopped) if !matches!(state, TaskState::Stopping { .. }) => {
-                self.read_before_starts(key.job);
+                self.require_reread_before_starts(key.job);
                 self.return_to_queue(key);
             }
             Some(ExitCause::InsufficientResources) => {
@@ -204,12 +204,12 @@
         let (attempt, status) = (reported.attempt, reported.status);
         let running_since = |since_ms| TaskState::On { machine: index, attempt, status, since_ms };
         match state {
-            TaskState::Starting { .. } if state.machine() == Some((index, attempt)) => {
+            TaskState::Starting { .. } if state.machine_and_attempt() == Some((index, attempt)) => {
                 self.set_task_state(key, running_since(now_ms));
-                self.note_start(key);
+                self.record_task_start(key);
             }
             TaskState::On { status: old_status, since_ms, .. }
-                if state.machine() == Some((index, attempt)) =>
+                if state.machine_and_attempt() == Some((index, attempt)) =>
             {
                 let since_ms = if old_status == status { since_ms } else { now_ms };
                 if status == TaskStatus::Running {
@@ -234,7 +234,7 @@
         let steady = self.context.now.steady_ms >= running_since_ms + steady_ms;
         let service = self.jobs.get(key.job).is_some_and(|job| job.spec.shape == JobKind::Service);
         if steady && service {
-            self.set_job_health(key.job, JobHealth::Proven);
+            self.set_job_health(key.job, JobHealth::RunsWell);
         }
     }
 }
--- a/crates/core/src/fleet/reconciling_orders.rs
+++ b/crates/core/src/fleet/reconciling_orders.rs
@@ -57,7 +57,7 @@
                 !completed || chunk.stored_version >= version || job.state == JobState::Done
             }
             state => {
-                let own_attempt = state.machine() == Some((index, reported.attempt));
+                let own_attempt = state.machine_and_attempt() == Some((index, reported.attempt));
                 !own_attempt && !completed || job.state == JobState::Aborted
             }
         }
@@ -82,7 +82,7 @@
             return None;
         }
         let Some(task) = job.task(number) else { return Some(STOP_AT_ONCE_S) };
-        let own_attempt = task.state.machine() == Some((index, reported.attempt));
+        let own_attempt = task.state.machine_and_attempt() == Some((index, reported.attempt));
         match task.state {
             _ if aborted => Some(STOP_AT_ONCE_S),
             TaskState::Stopping { grace, .. } if own_attempt => match grace {
--- a/crates/core/src/fleet/resources.rs
+++ b/crates/core/src/fleet/resources.rs
@@ -32,14 +32,14 @@
     }
 
     /// Returns whether `need` fits into `self`, within the rounding tolerance.
-    pub fn fits(&self, need: &Resources) -> bool {
+    pub fn can_fit(&self, need: &Resources) -> bool {
         self.cpus + ROUNDING_TOLERANCE >= need.cpus
             && self.gpus + ROUNDING_TOLERANCE >= need.gpus
             && self.memory_gb + ROUNDING_TOLERANCE >= need.memory_gb
     }
 
     /// Returns how many tasks fit into `self` if each needs `need`.
-    pub fn holds(&self, need: &Resources) -> u32 {
+    pub fn max_tasks(&self, need: &Resources) -> u32 {
         let fitting = |free: f64, needed: f64| match needed > 0.0 {
             true => (free + ROUNDING_TOLERANCE) / needed,
             false => UNLIMITED_TASKS,
--- a/crates/core/src/fleet/silent_machines.rs
+++ b/crates/core/src/fleet/silent_machines.rs
@@ -126,8 +126,8 @@
         unlisted: bool,
     ) -> bool {
         let time_to_answer_ms = self.context.config.heartbeat_interval_ms() / 2;
-        let unanswered = machine.inspected_ms > machine.last_heard_ms
-            && self.context.now.steady_ms >= machine.inspected_ms + time_to_answer_ms;
+        let unanswered = machine.worker_status_queried_ms > machine.last_heard_ms
+            && self.context.now.steady_ms >= machine.worker_status_queried_ms + time_to_answer_ms;
         unanswered || machine.addr.is_none() || unlisted || self.mailbox_route(index).is_some()
     }
 
@@ -139,7 +139,7 @@
         let is_due = |machine: &Machine| {
             matches!(machine.state, MachineState::Ready | MachineState::Registering)
                 && now_ms > machine.last_heard_ms + pause_ms
-                && now_ms > machine.inspected_ms + pause_ms
+                && now_ms > machine.worker_status_queried_ms + pause_ms
                 && !machine.command_in_flight
         };
         let due: Vec<MachineIndex> = self
@@ -150,7 +150,7 @@
             .filter(|index| self.mailbox_route(*index).is_none())
             .collect();
         for index in due {
-            self.inspect(index);
+            self.query_worker_status(index);
         }
     }
 
--- a/crates/core/src/in_flight.rs
+++ b/crates/core/src/in_flight.rs
@@ -8,7 +8,7 @@
 
 use crate::api::status_queries::ValidatedRead;
 use crate::api::status_reads::LiveComparison;
-use crate::api::{Refusal, UserRequest};
+use crate::api::{Rejection, UserRequest};
 use crate::ids::JobIndex;
 use crate::storage::job_batches::BatchCall;
 use crate::storage::placement_records::RecordLocation;
@@ -23,35 +23,35 @@
     /// answer.
     HandoffJobRead { job: String, epoch: u64 },
     /// The write that accepts a job.
-    Accept { request: RequestId, job: JobIndex, placed: RecordLocation, epoch: u64 },
+    AcceptWrite { request: RequestId, job: JobIndex, location: RecordLocation, epoch: u64 },
     /// The write that accepts a job in the store without the leader.
     AcceptWithoutLeader { request: RequestId, id: String, cancelled: bool },
     /// The write that aborts a job.
-    AbortWrite { request: Option<RequestId>, job: JobIndex, placed: RecordLocation, epoch: u64 },
+    AbortWrite { request: Option<RequestId>, job: JobIndex, location: RecordLocation, epoch: u64 },
     /// A read of a job that is to be aborted in the store without the leader.
     AbortRead { request: RequestId, id: String },
     /// The write that aborts a job in the store without the leader.
     AbortWithoutLeader { request: RequestId, id: String },
-    /// A read of a submitted job, to answer a repeated submission or to refuse it.
-    Known { request: RequestId, job: String, refusal: Option<Refusal> },
+    /// A read of a submitted job, to answer a repeated submission or to reject it.
+    SubmittedJobRead { request: RequestId, job: String, rejection: Option<Rejection> },
     /// A read of a job that other jobs depend on and that is not in memory.
     DependencyRead { job: String, epoch: u64 },
     /// A read of a job in a walk along the dependency graph, on behalf of one request.
-    WalkRead { request: RequestId, job: String },
+    DependencyWalkRead { request: RequestId, job: String },
     /// A read for status queries of one job.
-    Poll { requests: Vec<RequestId>, id: String },
+    StatusRead { requests: Vec<RequestId>, id: String },
     /// A comparison that answers status queries of live jobs.
-    CompareLive(LiveComparison),
+    LiveJobComparison(LiveComparison),
     /// A read of a job that is to be accepted in the store without the leader.
     LookupBeforeSubmission { request: RequestId, spec: Box<JobSpec>, cancelled: bool },
     /// Reads and writes of job batches.
     Batch(BatchCall),
     /// A read that validates status answers given from memory.
-    Compare { compared: ValidatedRead, epoch: u64 },
+    ValidatedRead { read: ValidatedRead, epoch: u64 },
     /// A user's request that was forwarded to another controller.
-    Forward { request: RequestId, sibling: usize, work: Box<UserRequest> },
+    Forward { request: RequestId, sibling: usize, user_request: Box<UserRequest> },
     /// A notice to another controller that a job is aborted; nothing depends on its outcome.
     AbortNotice,
     /// A read of the machine types that the cloud offers.
-    Types,
+    MachineTypesRead,
 }
--- a/crates/core/src/jobs/chunk.rs
+++ b/crates/core/src/jobs/chunk.rs
@@ -34,7 +34,7 @@
 
 impl Chunk {
     /// Returns whether all tasks of the chunk are done.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.tasks.iter().all(|task| task.state.is_done())
     }
 }
@@ -49,7 +49,7 @@
                     state: TaskState::Unplaced,
                     probes: Vec::new(),
                     zone: None,
-                    slack: 0,
+                    times_passed_over: 0,
                     arrived: self.arrivals,
                     since_ms: self.context.now.steady_ms,
                     failures: 0,
--- a/crates/core/src/jobs/dependencies/mod.rs
+++ b/crates/core/src/jobs/dependencies/mod.rs
@@ -55,7 +55,7 @@
 
 impl DependencyGraph {
     /// Clears the graph, which only a leader holds. Walks continue, because requests wait for them.
-    pub fn forget_graph(&mut self) {
+    pub fn clear_graph(&mut self) {
         let walks = std::mem::take(&mut self.walks);
         *self = DependencyGraph { walks, ..DependencyGraph::default() };
     }
@@ -66,12 +66,12 @@
     }
 
     /// Returns the number of edges: the pending dependencies of all jobs in memory.
-    pub fn edges(&self) -> usize {
+    pub fn edge_count(&self) -> usize {
         self.dependents.values().map(BTreeSet::len).sum()
     }
 
     /// Returns the number of dependencies that are neither in memory nor known to have ended.
-    pub fn unknown(&self) -> usize {
+    pub fn unknown_count(&self) -> usize {
         self.unknown.len()
     }
 
@@ -169,7 +169,7 @@
 
     /// Applies recorded terminal states to the dependents, and propagates priorities and deadlines
     /// if the graph has changed, at most once per write batch interval.
-    pub(crate) fn settle_dependencies(&mut self) {
+    pub(crate) fn apply_terminal_states(&mut self) {
         while let Some((id, status)) = self.dependency_graph.unapplied_terminal_states.pop_front() {
             let Some(dependents) = self.dependency_graph.take_dependents(&id) else { continue };
             for dependent in dependents {
@@ -211,7 +211,7 @@
 
     /// Returns the jobs on which this job's start depends, directly or transitively, or `None` if
     /// one of them is not in memory.
-    pub(crate) fn before(&self, job_index: JobIndex) -> Option<Vec<JobIndex>> {
+    pub(crate) fn transitive_dependencies(&self, job_index: JobIndex) -> Option<Vec<JobIndex>> {
         let mut found = Vec::new();
         let mut seen = HashSet::from([job_index]);
         let mut unvisited = vec![job_index];
--- a/crates/core/src/jobs/dependencies/walks.rs
+++ b/crates/core/src/jobs/dependencies/walks.rs
@@ -69,20 +69,25 @@
     pub(super) fn expire_walks(&mut self) {
         for request in self.dependency_graph.expired_walks(self.context.now.steady_ms) {
             self.dependency_graph.walks.remove(&request);
-            self.answer_busy(request, RefusalReason::DependenciesUnknown);
+            self.answer_unavailable(request, RefusalReason::DependenciesUnknown);
         }
     }
 
     /// Answers a status query for a job that is live according to its record, after reading the
     /// records of its dependencies, `named`: the job is aborted if one of them is aborted, and
     /// queued while one of them has not ended.
-    pub(crate) fn walk(&mut self, request: RequestId, answer: JobAnswer, named: Vec<String>) {
+    pub(crate) fn answer_after_dependency_walk(
+        &mut self,
+        request: RequestId,
+        answer: JobAnswer,
+        named: Vec<String>,
+    ) {
         self.begin_walk(request, WalkPurpose::Status(answer), named)
     }
 
     /// Submits a job once all of its dependencies are known to have been accepted and not to be
     /// services.
-    pub(crate) fn admit(&mut self, request: RequestId, spec: JobSpec) {
+    pub(crate) fn submit_after_dependency_check(&mut self, request: RequestId, spec: JobSpec) {
         let unread =
             spec.dependencies.iter().filter(|id| !self.is_valid_dependency(id)).cloned().collect();
         self.begin_walk(request, WalkPurpose::Admission(Box::new(spec)), unread)
@@ -107,7 +112,7 @@
         let too_many = walks.len() >= self.context.config.max_dependency_walks();
         let too_large = ids * BYTES_PER_WALK_ID > self.context.config.max_held_bytes();
         if too_many || too_large && !walks.is_empty() {
-            return self.answer_busy(request, RefusalReason::TooManyWaiting);
+            return self.answer_unavailable(request, RefusalReason::TooManyWaiting);
         }
         let walk = DependencyWalk {
             purpose,
@@ -147,7 +152,7 @@
             if !self.may_read(ReadPurpose::Request) {
                 return self.refuse_undecided(request);
             }
-            let pending = InFlight::WalkRead { request, job: id.clone() };
+            let pending = InFlight::DependencyWalkRead { request, job: id.clone() };
             self.look_up(&id, pending);
         }
         self.end_walk_if_complete(request);
@@ -187,7 +192,7 @@
     /// Ends a walk and refuses its request, because the answer can't be decided now.
     fn refuse_undecided(&mut self, request: RequestId) {
         self.dependency_graph.walks.remove(&request);
-        self.answer_busy(request, RefusalReason::DependenciesUnknown);
+        self.answer_unavailable(request, RefusalReason::DependenciesUnknown);
     }
 
     /// Handles the outcome of reading a record for a walk.
@@ -211,7 +216,7 @@
             RecordedStatus::Aborted => {
                 self.learn_terminal_state(&id, RecordedStatus::Aborted);
                 if self.leads() {
-                    self.learn_abort(&id, pair.revision);
+                    self.apply_recorded_abort(&id, pair.revision);
                 }
                 if let Some(walk) = self.dependency_graph.walks.get_mut(&request) {
                     walk.found_aborted = true;
@@ -237,7 +242,7 @@
     fn refuse_admission(&mut self, request: RequestId, reason: &str) {
         let walk = self.dependency_graph.walks.remove(&request);
         if let Some(WalkPurpose::Admission(spec)) = walk.map(|walk| walk.purpose) {
-            self.refuse(request, spec.id, 422, reason);
+            self.reject_unless_known(request, spec.id, 422, reason);
         }
     }
 
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -62,7 +62,7 @@
     /// stored.
     pub revision: u64,
     /// Wall-clock time of the submission.
-    pub at_ms: u64,
+    pub submitted_ms: u64,
     /// Wall-clock time from which on the job could run: the time of its submission, or the time at
     /// which its last dependency was found to be done.
     pub ready_ms: u64,
@@ -87,20 +87,20 @@
     /// job's record has been reread.
     pub must_reread_record: bool,
     /// Number of the batch record that holds the job; `None` if the job has a record of its own.
-    pub page: Option<u64>,
+    pub batch_number: Option<u64>,
     /// Whether the job, if it is in a batch record, has to get a record of its own.
-    pub own: bool,
+    pub needs_own_record: bool,
     /// Zone chosen for the whole job, if its tasks have to run in the same zone.
     pub zone: Option<u16>,
     /// Number of tasks that are done.
     pub done: u32,
     /// Number of tasks that a heartbeat has confirmed on a machine, including those being stopped.
-    pub on: u32,
+    pub confirmed_tasks: u32,
     /// Number of tasks that are placed and wait for a machine.
     pub waiting: u32,
     /// Number of the task at which the next search for unplaced tasks begins; no earlier task is
     /// unplaced.
-    pub next: u32,
+    pub next_unplaced: u32,
     /// Monotonic time before which the job is not placed, because no machine could take its tasks.
     pub placement_from_ms: u64,
     /// Machines on which a task of the job has failed.
@@ -112,15 +112,15 @@
     /// Monotonic time of the next trial start.
     pub next_trial_ms: u64,
     /// Number of tasks that are bound: those that occupy a machine or are being started on one.
-    pub bound: u32,
+    pub bound_tasks: u32,
     /// Monotonic time at which the job was aborted; until then, the time at which it was loaded
     /// into memory.
-    pub aborted_ms: u64,
+    pub aborted_or_loaded_ms: u64,
     /// Monotonic time before which the job's record is not written, because the store refused it.
     pub deferred_until_ms: u64,
     /// Monotonic time at which the job's record was last reread; at first, the time at which the
     /// job was loaded into memory. Restarted when the job's last dependency is done.
-    pub read_ms: u64,
+    pub record_read_ms: u64,
     /// Number of deadline objectives that the job can no longer meet; updated in each heartbeat
     /// round.
     pub missed_objectives: u8,
@@ -147,7 +147,7 @@
             team,
             state,
             revision,
-            at_ms: submitted_ms,
+            submitted_ms,
             ready_ms: submitted_ms,
             pending_dependencies: BTreeSet::new(),
             deadline: None,
@@ -156,22 +156,22 @@
             done_chunks: Vec::new(),
             busy: false,
             must_reread_record: false,
-            page: None,
-            own: false,
+            batch_number: None,
+            needs_own_record: false,
             zone: None,
             done: 0,
-            on: 0,
+            confirmed_tasks: 0,
             waiting: 0,
-            next: 0,
+            next_unplaced: 0,
             placement_from_ms: 0,
             failed_on: Vec::new(),
             health: JobHealth::Untried,
             trials: 0,
             next_trial_ms: 0,
-            bound: 0,
-            aborted_ms: now_ms,
+            bound_tasks: 0,
+            aborted_or_loaded_ms: now_ms,
             deferred_until_ms: 0,
-            read_ms: now_ms,
+            record_read_ms: now_ms,
             missed_objectives: 0,
             ratio,
         };
@@ -227,12 +227,17 @@
         let status = match self.state {
             JobState::Done => JobStatus::Done,
             JobState::Aborted => JobStatus::Aborted,
-            _ if self.on > 0 => JobStatus::Running,
+            _ if self.confirmed_tasks > 0 => JobStatus::Running,
             _ => JobStatus::Queued,
         };
         let has_counts = matches!(status, JobStatus::Queued | JobStatus::Running);
         let count = |tasks: u32| has_counts.then_some(tasks);
-        JobAnswer { id: self.id.clone(), status, done: count(self.done), running: count(self.on) }
+        JobAnswer {
+            id: self.id.clone(),
+            status,
+            done: count(self.done),
+            running: count(self.confirmed_tasks),
+        }
     }
 
     /// Iterates over the tasks of all chunks in memory, with their numbers, in order.
@@ -256,8 +261,8 @@
     /// for it. The limit on chunks bounds the memory and the number of records that a large job
     /// array takes.
     pub fn may_open_chunk(&self) -> bool {
-        self.chunks.contains_key(&(self.next / TASKS_PER_CHUNK))
-            || self.chunks.values().filter(|chunk| !chunk.whole()).count() < MAX_OPEN_CHUNKS
+        self.chunks.contains_key(&(self.next_unplaced / TASKS_PER_CHUNK))
+            || self.chunks.values().filter(|chunk| !chunk.is_complete()).count() < MAX_OPEN_CHUNKS
     }
 
     /// Returns the ranges of done chunks, with the chunks in `more` added.
@@ -279,26 +284,34 @@
             *count = *count + u32::from(after) - u32::from(before);
         };
         adjust(&mut self.waiting, old.is_waiting(), new.is_waiting());
-        adjust(&mut self.on, old.is_confirmed_on_machine(), new.is_confirmed_on_machine());
+        adjust(
+            &mut self.confirmed_tasks,
+            old.is_confirmed_on_machine(),
+            new.is_confirmed_on_machine(),
+        );
         adjust(&mut self.done, old.is_done(), new.is_done());
-        adjust(&mut self.bound, old.machine().is_some(), new.machine().is_some());
+        adjust(
+            &mut self.bound_tasks,
+            old.machine_and_attempt().is_some(),
+            new.machine_and_attempt().is_some(),
+        );
     }
 }
 
 impl Controller {
-    /// Creates a job as it is loaded into memory, without chunks or pending dependencies. `at_ms`
-    /// is the wall-clock time of its submission.
+    /// Creates a job as it is loaded into memory, without chunks or pending dependencies.
+    /// `submitted_ms` is the wall-clock time of its submission.
     pub(crate) fn new_job(
         &self,
         spec: JobSpec,
         team: usize,
         state: JobState,
         revision: u64,
-        at_ms: u64,
+        submitted_ms: u64,
     ) -> Job {
         let ratio = self.ratio_of(&spec);
         // `quartzgate-loadtest service-report --logs` parses this log line and the line `begun`.
         tracing::debug!(job = %spec.id, class = %spec.class, tasks = spec.tasks, "job entered");
-        Job::new(spec, team, state, revision, at_ms, self.context.now.steady_ms, ratio)
+        Job::new(spec, team, state, revision, submitted_ms, self.context.now.steady_ms, ratio)
     }
 }
--- a/crates/core/src/jobs/snapshot.rs
+++ b/crates/core/src/jobs/snapshot.rs
@@ -50,7 +50,7 @@
 ) {
     let mut positions: BTreeMap<MachineIndex, u32> = BTreeMap::new();
     for (offset, task) in chunk.tasks.iter().enumerate() {
-        if !task.state.reserved() {
+        if !task.state.holds_reservation() {
             continue;
         }
         let number = first_task + offset as u32;
--- a/crates/core/src/jobs/task.rs
+++ b/crates/core/src/jobs/task.rs
@@ -29,7 +29,7 @@
 impl TaskState {
     /// Returns the machine that the task occupies, as far as this leader knows, and the attempt
     /// number.
-    pub fn machine(&self) -> Option<(MachineIndex, u64)> {
+    pub fn machine_and_attempt(&self) -> Option<(MachineIndex, u64)> {
         match *self {
             TaskState::Starting { machine, attempt }
             | TaskState::On { machine, attempt, .. }
@@ -40,7 +40,7 @@
 
     /// Returns whether the task counts towards the team's limit: it is placed and not provably
     /// ended.
-    pub fn reserved(&self) -> bool {
+    pub fn holds_reservation(&self) -> bool {
         !matches!(self, TaskState::Unplaced | TaskState::Done { .. } | TaskState::Dropped)
     }
 
@@ -85,7 +85,7 @@
     pub zone: Option<u16>,
     /// How many times a later task was bound before this one from a queue; reset when this task is
     /// bound.
-    pub slack: u32,
+    pub times_passed_over: u32,
     /// Sequence number of the task's arrival, increasing over all jobs.
     pub arrived: u64,
     /// Monotonic time of the latest change to another kind of state.
--- a/crates/core/src/jobs/transitions.rs
+++ b/crates/core/src/jobs/transitions.rs
@@ -23,14 +23,14 @@
         }
         job.count_transition(&old, &state);
         self.update_team_usage(key.job, &old, &state);
-        if old.machine() != state.machine() {
+        if old.machine_and_attempt() != state.machine_and_attempt() {
             self.update_machine_usage(key, &old, &state);
         }
         if state == TaskState::Dropped {
             self.record_writer.mark_job_dirty(key.job);
         }
         if state.is_done() && !old.is_done() {
-            self.set_job_health(key.job, JobHealth::Proven);
+            self.set_job_health(key.job, JobHealth::RunsWell);
         }
         if state.is_waiting() && !old.is_waiting() {
             self.enqueue(key);
@@ -46,15 +46,15 @@
         if old.is_unproven() != new.is_unproven() {
             usage.unproven.add(&resources, sign(new.is_unproven()));
         }
-        if old.reserved() != new.reserved() {
-            usage.reserved.add(&resources, sign(new.reserved()));
+        if old.holds_reservation() != new.holds_reservation() {
+            usage.reserved.add(&resources, sign(new.holds_reservation()));
             self.placement_due = true;
         }
-        if old.machine() != new.machine() {
-            if old.machine().is_some() {
+        if old.machine_and_attempt() != new.machine_and_attempt() {
+            if old.machine_and_attempt().is_some() {
                 usage.placed.add(&resources, -1.0);
             }
-            if new.machine().is_some() {
+            if new.machine_and_attempt().is_some() {
                 usage.placed.add(&resources, 1.0);
             }
         }
@@ -66,7 +66,7 @@
         let resources = job.resources();
         let priority = job.priority as usize;
         let preemptible = job.preemptible_fraction(job.priority);
-        if let Some((machine_index, _)) = old.machine() {
+        if let Some((machine_index, _)) = old.machine_and_attempt() {
             if let Some(machine) = self.machines.get_mut(machine_index) {
                 machine.tasks.remove(&key);
                 machine.used.add(&resources, -1.0);
@@ -79,7 +79,7 @@
             }
             self.machines_to_dispatch.insert(machine_index);
         }
-        if let Some((machine_index, attempt)) = new.machine() {
+        if let Some((machine_index, attempt)) = new.machine_and_attempt() {
             if let Some(machine) = self.machines.get_mut(machine_index) {
                 machine.tasks.insert(key, attempt);
                 machine.used.add(&resources, 1.0);
@@ -118,7 +118,7 @@
         tracing::info!(job = %job.id, "job aborted");
         self.clear_unattributed_failures(job_index);
         let Some(job) = self.jobs.get_mut(job_index) else { return };
-        job.aborted_ms = self.context.now.steady_ms;
+        job.aborted_or_loaded_ms = self.context.now.steady_ms;
         let is_idle = |task: &Task| matches!(task.state, TaskState::Waiting | TaskState::Unplaced);
         let idle_tasks: Vec<u32> =
             job.tasks().filter(|(_, task)| is_idle(task)).map(|(number, _)| number).collect();
@@ -137,7 +137,7 @@
             job = %job.id,
             class = %job.spec.class,
             tasks = job.spec.tasks,
-            age_ms = now_ms.saturating_sub(job.at_ms),
+            age_ms = now_ms.saturating_sub(job.submitted_ms),
             since_ready_ms = now_ms.saturating_sub(job.ready_ms),
             deadline_s = job.spec.deadline_s,
             dependencies = ?job.spec.dependencies,
@@ -150,7 +150,7 @@
     fn on_dependencies_done(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get_mut(job_index) else { return };
         job.ready_ms = self.context.now.wall_ms;
-        job.read_ms = self.context.now.steady_ms;
+        job.record_read_ms = self.context.now.steady_ms;
         self.record_writer.mark_job_dirty(job_index);
         self.placement_due = true;
         self.preempt_due = true;
@@ -159,7 +159,7 @@
     /// Schedules commands to the machines that hold tasks of a job that must no longer run.
     fn stop_tasks(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get(job_index) else { return };
-        let occupied = job.tasks().filter_map(|(_, task)| task.state.machine());
+        let occupied = job.tasks().filter_map(|(_, task)| task.state.machine_and_attempt());
         self.machines_to_command.extend(occupied.map(|(machine, _)| machine));
     }
 
@@ -188,7 +188,7 @@
 
     /// Marks a task as done, whichever source reported it. Idempotent. If this completes a job with
     /// dependents, expedites the next write.
-    pub(crate) fn task_done(&mut self, key: TaskKey) {
+    pub(crate) fn mark_task_done(&mut self, key: TaskKey) {
         let Some(job) = self.jobs.get_mut(key.job) else { return };
         if matches!(job.state, JobState::Done | JobState::Finishing) {
             return;
--- a/crates/core/src/latency.rs
+++ b/crates/core/src/latency.rs
@@ -53,7 +53,7 @@
     }
 
     /// Records a latency in milliseconds.
-    pub fn note(&mut self, span: LatencySpan, ms: u64) {
+    pub fn record(&mut self, span: LatencySpan, ms: u64) {
         self.spans[span as usize].saturating_record(ms);
     }
 
@@ -73,7 +73,7 @@
     /// Records the latency of a request that has been answered, if it was being measured.
     pub fn end(&mut self, id: RequestId, now_ms: u64) {
         if let Some((span, started_ms)) = self.in_progress.remove(&id) {
-            self.note(span, now_ms.saturating_sub(started_ms));
+            self.record(span, now_ms.saturating_sub(started_ms));
         }
     }
 
--- a/crates/core/src/lease_proxy/claim.rs
+++ b/crates/core/src/lease_proxy/claim.rs
@@ -83,7 +83,7 @@
         else {
             return;
         };
-        if !self.record_writer.writes.take(now, 1.0, 0.0) {
+        if !self.record_writer.write_limiter.take(now, 1.0, 0.0) {
             return;
         }
         self.lease_proxy.claim.retry_ms = now + self.context.config.heartbeat_interval_ms();
@@ -138,7 +138,7 @@
         let Some(revision) = self.membership.proxy_claim_revision(own_node) else { return };
         if self.lease_proxy.claim.state != ClaimState::None
             || now < self.lease_proxy.claim.retry_ms
-            || !self.record_writer.writes.take(now, 1.0, 0.0)
+            || !self.record_writer.write_limiter.take(now, 1.0, 0.0)
         {
             return;
         }
--- a/crates/core/src/lease_proxy/mailbox/delivery.rs
+++ b/crates/core/src/lease_proxy/mailbox/delivery.rs
@@ -75,10 +75,10 @@
 
     /// Applies a heartbeat received by a lease proxy, which is responsible for the worker's lease.
     fn observe_mailed_heartbeat(&mut self, peer: usize, heartbeat: Heartbeat) {
-        let index = self.machine(&heartbeat.machine);
-        self.observe_heartbeat(index, heartbeat);
+        let index = self.find_or_add_machine(&heartbeat.machine);
+        self.apply_heartbeat_status_if_newer(index, heartbeat);
         if let Some(machine) = self.machines.get_mut(index) {
-            machine.via = Some(peer);
+            machine.lease_proxy = Some(peer);
         }
         self.machines_to_command.insert(index);
     }
--- a/crates/core/src/lease_proxy/mailbox/sending.rs
+++ b/crates/core/src/lease_proxy/mailbox/sending.rs
@@ -53,7 +53,7 @@
     /// reached directly.
     pub(crate) fn mailbox_route(&self, machine: MachineIndex) -> Option<usize> {
         let machine = self.machines.get(machine)?;
-        let peer = machine.via.filter(|_| machine.cut)?;
+        let peer = machine.lease_proxy.filter(|_| machine.directly_unreachable)?;
         let node = &self.context.config.platform.siblings[peer].node;
         self.membership.has_proxy_claim(node).then_some(peer)
     }
@@ -96,7 +96,7 @@
         }
         let Some(peer) = self.mailbox.next_peer() else { return };
         let Some(conditions) = self.mailbox_write_conditions() else { return };
-        if self.record_writer.writes.take(now, 1.0, 0.0) {
+        if self.record_writer.write_limiter.take(now, 1.0, 0.0) {
             self.write_mailbox(peer, conditions);
         }
     }
--- a/crates/core/src/lease_proxy/proxied_jobs.rs
+++ b/crates/core/src/lease_proxy/proxied_jobs.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::capacity::forget_oldest;
+use crate::capacity::evict_oldest;
 use crate::config::Config;
 use crate::context::Context;
 use crate::controller::Controller;
@@ -84,7 +84,7 @@
     fn reserve(&mut self, job: &str, config: &Config) {
         if !self.statuses.contains_key(job) {
             let max_jobs = config.max_proxied_jobs();
-            forget_oldest(&mut self.statuses, max_jobs, |status| status.requested_ms);
+            evict_oldest(&mut self.statuses, max_jobs, |status| status.requested_ms);
         }
     }
 
--- a/crates/core/src/lease_proxy/proxied_workers.rs
+++ b/crates/core/src/lease_proxy/proxied_workers.rs
@@ -6,7 +6,7 @@
 use quartzgate_reachability::{DuplicateDetector, Freshness, MessageNumber};
 use quartzgate_wire::msg::Heartbeat;
 
-use crate::capacity::forget_oldest;
+use crate::capacity::evict_oldest;
 use crate::context::Context;
 
 /// Duplicate detection for one worker, and when its last heartbeat arrived.
@@ -28,7 +28,7 @@
     pub fn record_heartbeat(&mut self, heartbeat: &Heartbeat, context: &Context) -> Freshness {
         if !self.messages.contains_key(&heartbeat.machine) {
             let max_workers = context.config.max_proxied_workers();
-            forget_oldest(&mut self.messages, max_workers, |messages| messages.last_heard_ms);
+            evict_oldest(&mut self.messages, max_workers, |messages| messages.last_heard_ms);
         }
         let messages = self.messages.entry(heartbeat.machine.clone()).or_default();
         messages.last_heard_ms = context.now.steady_ms;
--- a/crates/core/src/lease_proxy/serve.rs
+++ b/crates/core/src/lease_proxy/serve.rs
@@ -42,7 +42,7 @@
 impl Controller {
     /// Answers or parks a worker's heartbeat on the leader's behalf; returns false if the worker
     /// must be redirected.
-    pub(crate) fn serve_by_proxy(&mut self, id: RequestId, heartbeat: &Heartbeat) -> bool {
+    pub(crate) fn serve_as_lease_proxy(&mut self, id: RequestId, heartbeat: &Heartbeat) -> bool {
         // A duplicate needs no proxy: no claim is made, no heartbeat mailed and no fencing token
         // raised for it.
         let freshness = self.lease_proxy.workers.record_heartbeat(heartbeat, &self.context);
@@ -50,7 +50,7 @@
             self.duplicates_dropped += 1;
             return false;
         }
-        match self.try_serve_by_proxy(id, heartbeat) {
+        match self.try_serve_as_lease_proxy(id, heartbeat) {
             ServeOutcome::Answered => true,
             // If the worker were redirected instead, its lease might expire in the meantime.
             ServeOutcome::Pending => {
@@ -72,7 +72,7 @@
         let now = self.context.now.steady_ms;
         for parked in self.lease_proxy.parked.take() {
             let request = parked.request;
-            match self.try_serve_by_proxy(request, &parked.heartbeat) {
+            match self.try_serve_as_lease_proxy(request, &parked.heartbeat) {
                 ServeOutcome::Answered => {}
                 ServeOutcome::Pending
                     if now < parked.deadline_ms && self.lease_proxy.parked.push(parked) => {}
@@ -81,8 +81,8 @@
         }
     }
 
-    fn try_serve_by_proxy(&mut self, id: RequestId, heartbeat: &Heartbeat) -> ServeOutcome {
-        if self.membership.role() != Role::Follower || !self.leader_missed() {
+    fn try_serve_as_lease_proxy(&mut self, id: RequestId, heartbeat: &Heartbeat) -> ServeOutcome {
+        if self.membership.role() != Role::Follower || !self.leader_missed_heartbeat() {
             return ServeOutcome::Refused;
         }
         let Some(epoch) = self.proven_epoch() else { return ServeOutcome::Refused };
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -71,7 +71,7 @@
         /// Load state that applies from now on.
         state: LoadState,
         /// Values of the metrics, by metric name.
-        figures: Vec<(String, f64)>,
+        metrics: Vec<(String, f64)>,
     },
     /// The outcome of a call.
     Outcome {
--- a/crates/core/src/membership/election.rs
+++ b/crates/core/src/membership/election.rs
@@ -154,7 +154,7 @@
             Guard { path: LEADER_KEY.into(), revision: candidacy.leader_revision },
             Guard { path: EPOCH_KEY.into(), revision: epoch_revision },
         ];
-        self.record_writer.writes.force(now, apply.len() as f64);
+        self.record_writer.write_limiter.charge(now, apply.len() as f64);
         let renewal_ms = self.context.config.lease_renewal_ms();
         // Do not campaign again before the outcome of this campaign is known.
         self.membership.election.due_ms = now + renewal_ms;
@@ -194,7 +194,7 @@
         self.membership.epoch_watch.clear_leader();
         self.membership.election.due_ms = now + config.controller_lease_ttl_ms() / 2;
         self.membership.epoch_watch.invalidate_until(now + config.lease_renewal_ms() / 2);
-        self.record_writer.writes.force(now, 1.0);
+        self.record_writer.write_limiter.charge(now, 1.0);
         let body = to_cbor(&Transaction {
             guards: vec![Guard { path: LEADER_KEY.into(), revision: leader_revision }],
             apply: vec![Change::Delete { delete: LEADER_KEY.into() }],
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -181,7 +181,7 @@
         let set =
             Change::Set { set: member_key(&node), value: encode(&node), lease_id: Some(lease_id) };
         let body = to_cbor(&Transaction { guards: Vec::new(), apply: vec![set] });
-        self.record_writer.writes.force(self.context.now.steady_ms, 1.0);
+        self.record_writer.write_limiter.charge(self.context.now.steady_ms, 1.0);
         self.membership.write_unconfirmed(&mut self.context, body);
     }
 }
--- a/crates/core/src/membership/mesh.rs
+++ b/crates/core/src/membership/mesh.rs
@@ -63,7 +63,7 @@
             (path, _) if path.starts_with(ABORTED_PATH) => {
                 self.on_abort_notice(id, path.trim_start_matches(ABORTED_PATH))
             }
-            (path, _) => self.on_user(id, &forward.method, path, forward.body, true),
+            (path, _) => self.on_user_request(id, &forward.method, path, forward.body, true),
         }
     }
 }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -288,7 +288,7 @@
     }
 
     /// Returns whether the leader has missed a heartbeat.
-    pub(crate) fn leader_missed(&self) -> bool {
+    pub(crate) fn leader_missed_heartbeat(&self) -> bool {
         let limit_ms = heartbeat_interval_ms(&self.context.config) * 5 / 4;
         self.leader_heard_ms()
             .is_some_and(|heard_ms| self.context.now.steady_ms > heard_ms + limit_ms)
--- a/crates/core/src/membership/role.rs
+++ b/crates/core/src/membership/role.rs
@@ -69,18 +69,18 @@
 
     fn enter_follower(&mut self, old: Role) {
         if old.holds_leadership() {
-            let rate = follower_share(self.limits().rps, self.membership.controllers());
+            let rate = follower_share(self.store_limits().rps, self.membership.controllers());
             self.membership.election.clear_epoch();
-            self.membership.store_reads.refill(rate);
+            self.membership.store_reads.reset(rate);
             self.clear_leader_state();
         }
         self.membership.epoch_watch.invalidate();
     }
 
     fn enter_recovering(&mut self) {
-        let rate = leader_share(self.limits().rps);
+        let rate = leader_share(self.store_limits().rps);
         self.clear_leader_state();
-        self.membership.store_reads.refill(rate);
+        self.membership.store_reads.reset(rate);
         self.membership.handoff_watch.invalidate();
         tracing::info!(epoch = self.epoch(), "leader elected: recovery started");
         self.start_recovery();
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -106,12 +106,12 @@
     fn job_metrics(&self, metrics: &mut Metrics) {
         let waiting_jobs = self.jobs.iter().filter(|(_, job)| job.state == JobState::Waiting);
         metrics.set_count("jobs_waiting_for_jobs", waiting_jobs.count() as u64);
-        metrics.set_count("chain_links", self.dependency_graph.edges() as u64);
-        metrics.set_count("chain_unknown", self.dependency_graph.unknown() as u64);
+        metrics.set_count("chain_links", self.dependency_graph.edge_count() as u64);
+        metrics.set_count("chain_unknown", self.dependency_graph.unknown_count() as u64);
         let (mut waiting, mut on_machines, mut failing_everywhere) = (0, 0, 0);
         for (_, job) in self.jobs.iter() {
             waiting += job.waiting;
-            on_machines += job.on;
+            on_machines += job.confirmed_tasks;
             failing_everywhere += u32::from(job.failing_everywhere());
         }
         metrics.set_count("jobs", self.jobs.len() as u64);
@@ -119,14 +119,14 @@
         metrics.set("tasks_waiting", waiting);
         metrics.set("tasks_on_machines", on_machines);
         metrics.set_count("pages", self.job_batches.count() as u64);
-        metrics.set_count("pages_jobs", self.job_batches.members() as u64);
+        metrics.set_count("pages_jobs", self.job_batches.member_count() as u64);
     }
 
     /// Sets, for each class, the age of the oldest runnable job of which no task has started.
     fn job_age_metrics(&self, metrics: &mut Metrics) {
         let mut oldest_ms: BTreeMap<&str, u64> = BTreeMap::new();
         let live = self.jobs.iter().filter(|(_, job)| job.state == JobState::Live);
-        for (_, job) in live.filter(|(_, job)| job.on == 0 && job.done == 0) {
+        for (_, job) in live.filter(|(_, job)| job.confirmed_tasks == 0 && job.done == 0) {
             let age_ms = self.context.now.wall_ms.saturating_sub(job.ready_ms);
             let oldest = oldest_ms.entry(&job.spec.class).or_default();
             *oldest = (*oldest).max(age_ms);
@@ -157,45 +157,45 @@
         metrics.set("machines_doubted", suspected);
         metrics.set_count("machines_expected", self.provisioner.expected() as u64);
         metrics.set_count("copies_dropped", self.duplicates_dropped);
-        metrics.set_count("workers_let_go", self.redirected_workers);
+        metrics.set_count("workers_let_go", self.redirected_heartbeats);
     }
 
     fn queue_metrics(&self, metrics: &mut Metrics) {
         let (mut queued, mut longest, mut longest_wait_s) = (0, 0, 0.0f64);
         for (_, machine) in self.machines.iter() {
-            queued += machine.queue.len();
-            longest = longest.max(machine.queue.len());
+            queued += machine.probe_queue.len();
+            longest = longest.max(machine.probe_queue.len());
             longest_wait_s = longest_wait_s.max(machine.wait_s);
         }
         metrics.set_count("probes_queued", queued as u64);
         metrics.set_count("queue_longest", longest as u64);
         metrics.set("wait_longest_s", longest_wait_s);
         metrics.set("ratio_highest", self.ratios.highest());
-        for (constraint, ratio) in self.ratios.named() {
+        for (constraint, ratio) in self.ratios.by_metric_name() {
             metrics.set(format!("ratio.{constraint}"), ratio);
         }
     }
 
     fn storage_metrics(&mut self, metrics: &mut Metrics) {
         let now_ms = self.context.now.steady_ms;
-        metrics.set("writes_left", self.record_writer.writes.available(now_ms, 0.0));
-        metrics.set("reads_left", self.membership.store_reads().left(now_ms));
+        metrics.set("writes_left", self.record_writer.write_limiter.available(now_ms, 0.0));
+        metrics.set("reads_left", self.membership.store_reads().available(now_ms));
         metrics.values.extend(self.membership.store_reads().metrics());
         for (purpose, name) in WritePurpose::ALL {
             metrics.set_count(format!("writes.{name}"), self.record_writer.changes_made(purpose));
         }
-        metrics.set_flag("writes_short", self.admission.short());
+        metrics.set_flag("writes_short", self.admission.is_write_capacity_short());
         metrics.set_count("records_behind", self.record_writer.unwritten_records() as u64);
     }
 
     fn request_metrics(&self, metrics: &mut Metrics) {
         let now_ms = self.context.now.steady_ms;
         metrics.set_count("turned_away", self.admission.rejections());
-        metrics.set_count("unanswered_overdue", self.query_tracker.overdue());
+        metrics.set_count("unanswered_overdue", self.query_tracker.overdue_refusals());
         metrics.set_seconds("question_oldest_s", self.context.latencies.oldest_wait_ms(now_ms));
         metrics.values.extend(self.context.latencies.metrics());
         metrics.values.extend(self.context.refusals.metrics());
         metrics.values.extend(self.forward_failures.metrics());
-        metrics.values.extend(self.intake.iter().cloned());
+        metrics.values.extend(self.request_queue_metrics.iter().cloned());
     }
 }
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -161,11 +161,11 @@
     /// Charges one more expected task to a candidate, weighted by how likely it is to run there.
     fn add_expected_task(&mut self, zone: usize, position: usize, weight: f64) {
         let (candidate, capacity) = (&mut self.list[position], &mut self.zones[zone]);
-        let fitting_before = candidate.spare.holds(&self.need);
+        let fitting_before = candidate.spare.max_tasks(&self.need);
         candidate.spare.add(&self.need, -weight);
         candidate.expected_tasks += weight;
         candidate.queued += 1;
-        let fitting = candidate.spare.holds(&self.need);
+        let fitting = candidate.spare.max_tasks(&self.need);
         capacity.fitting_tasks -= fitting_before - fitting;
         if candidate.has_image && fitting_before > 0 && fitting == 0 {
             capacity.with_image -= 1;
@@ -176,7 +176,7 @@
     fn score(&self, controller: &Controller, position: usize) -> OrderedFloat<f64> {
         let candidate = &self.list[position];
         let mut score = candidate.jitter;
-        if candidate.spare.fits(&self.need) {
+        if candidate.spare.can_fit(&self.need) {
             // The task fits now: prefer machines that have the image, then cheap ones, then full
             // ones (bin packing).
             score += match (candidate.has_image, candidate.slow_fetch) {
@@ -194,7 +194,7 @@
             score += 3.0 + if candidate.has_image { 0.0 } else { 2.0 };
             score += 0.4 * candidate.queued as f64;
         } else {
-            let base = if candidate.free.fits(&self.need) { 5.0 } else { 10.0 };
+            let base = if candidate.free.can_fit(&self.need) { 5.0 } else { 10.0 };
             score += base + candidate.wait_s + candidate.queued as f64;
         }
         OrderedFloat(score)
@@ -210,7 +210,7 @@
         let mut attainable = candidate.free;
         attainable.add(&self.need, -candidate.expected_tasks);
         attainable.add(&machine.preemptible_for(job.preemption_priority()), 1.0);
-        attainable.fits(&self.need)
+        attainable.can_fit(&self.need)
     }
 
     /// Scores all candidates, and computes the capacity of each zone.
@@ -221,7 +221,7 @@
             let candidate = &self.list[position];
             let zone = candidate.zone.map_or(unknown_zone, usize::from);
             let capacity = &mut self.zones[zone];
-            let fitting = candidate.spare.holds(&self.need);
+            let fitting = candidate.spare.max_tasks(&self.need);
             capacity.machines += 1;
             capacity.fitting_tasks += fitting;
             capacity.with_image += u32::from(candidate.has_image && fitting > 0);
@@ -263,7 +263,7 @@
             let is_allowed = (job.spec.spot || !machine.spot)
                 && wanted_zone.is_none_or(|zone| machine.zone == zone);
             let allowed_type = allowed_types.iter().find(|t| t.name == machine.kind);
-            let fits = |t: &&AllowedType| is_allowed && t.capacity.fits(&candidates.need);
+            let fits = |t: &&AllowedType| is_allowed && t.capacity.can_fit(&candidates.need);
             let Some(allowed_type) = allowed_type.filter(fits) else { continue };
             if !fits_beside_services(machine, &allowed_type.capacity, job) {
                 continue;
@@ -289,7 +289,7 @@
         let (free, spare) =
             self.free_and_spare(index, machine, capacity, &job.resources(), Some(job));
         let has_image = machine.images.contains(&job.image);
-        let gpus_scarce = self.ratios.gpus_scarce() && job.spec.gpus <= 0.0;
+        let are_gpus_scarce = self.ratios.are_gpus_scarce() && job.spec.gpus <= 0.0;
         Candidate {
             index,
             zone: machine.zone,
@@ -299,9 +299,9 @@
             has_image,
             slow_fetch: !has_image && allowed_type.slow_fetch,
             spot: machine.spot,
-            wastes_gpus: capacity.gpus > 0.0 && gpus_scarce,
+            wastes_gpus: capacity.gpus > 0.0 && are_gpus_scarce,
             used_fraction: machine.used.cpus / capacity.cpus.max(1e-9),
-            queued: machine.queue.len(),
+            queued: machine.probe_queue.len(),
             expected_tasks: 0.0,
             jitter: 0.0,
         }
@@ -318,7 +318,7 @@
         need: &Resources,
         job: Option<&Job>,
     ) -> (Resources, Resources) {
-        if !machine.takes_work(self.context.now.steady_ms) {
+        if !machine.accepts_starts(self.context.now.steady_ms) {
             return (Resources::default(), Resources::default());
         }
         let mut free = capacity.minus(&machine.used);
@@ -328,8 +328,8 @@
             (None, None) => {}
         }
         let mut spare = free;
-        for key in &machine.queue {
-            if !spare.fits(need) {
+        for key in &machine.probe_queue {
+            if !spare.can_fit(need) {
                 break;
             }
             let queued = self.jobs.get(key.job).filter(|job| !job.failing_everywhere());
@@ -364,5 +364,5 @@
 
 /// Returns whether a task of the job fits beside the machine's services, which never end.
 fn fits_beside_services(machine: &Machine, capacity: &Resources, job: &Job) -> bool {
-    capacity.minus(&machine.used_by_services(job.priority)).fits(&job.resources())
+    capacity.minus(&machine.used_by_services(job.priority)).can_fit(&job.resources())
 }
--- a/crates/core/src/placement/demand_ratios.rs
+++ b/crates/core/src/placement/demand_ratios.rs
@@ -28,13 +28,13 @@
     }
 
     /// Returns whether GPUs are scarce, so that they are reserved for tasks that need them.
-    pub fn gpus_scarce(&self) -> bool {
+    pub fn are_gpus_scarce(&self) -> bool {
         self.largest_gpu_task.is_some()
     }
 
     /// Returns the ratio of each constraint that some live job has, by the constraint's name in the
     /// metrics.
-    pub fn named(&self) -> Vec<(String, f64)> {
+    pub fn by_metric_name(&self) -> Vec<(String, f64)> {
         self.by_constraint.iter().map(|(name, ratio)| (name.to_string(), *ratio)).collect()
     }
 }
@@ -104,8 +104,8 @@
             .collect();
         let max = by_constraint.values().copied().fold(0.0, f64::max);
         let gpu_ratio = by_constraint.get(&Constraint::Gpu);
-        let gpus_scarce = gpu_ratio.is_some_and(|ratio| *ratio >= SCARCE_GPU_RATIO);
-        let largest_gpu_task = self.largest_gpu_task().filter(|_| gpus_scarce);
+        let are_gpus_scarce = gpu_ratio.is_some_and(|ratio| *ratio >= SCARCE_GPU_RATIO);
+        let largest_gpu_task = self.largest_gpu_task().filter(|_| are_gpus_scarce);
         self.ratios = DemandRatios { by_constraint, max, largest_gpu_task };
         self.update_job_urgency();
         self.update_machine_waits();
@@ -115,9 +115,9 @@
     fn demand(&self) -> BTreeMap<Constraint, f64> {
         let mut demand: BTreeMap<Constraint, f64> = BTreeMap::new();
         for (_, job) in self.jobs.iter().filter(|(_, job)| job.state == JobState::Live) {
-            let asking = job.asking(job.spec.tasks - job.done);
+            let demanded = job.demanded_tasks(job.spec.tasks - job.done);
             for (constraint, amount) in Self::constraints(&job.spec) {
-                *demand.entry(constraint).or_default() += amount * f64::from(asking);
+                *demand.entry(constraint).or_default() += amount * f64::from(demanded);
             }
         }
         demand
@@ -194,7 +194,7 @@
     /// estimated.
     fn missed_objectives(&self, job: &Job) -> u8 {
         let Some(deadline) = &job.deadline else { return 0 };
-        let age_s = self.context.now.wall_ms.saturating_sub(deadline.at_ms) as f64 / 1000.0;
+        let age_s = self.context.now.wall_ms.saturating_sub(deadline.due_ms) as f64 / 1000.0;
         let objectives = self.context.config.platform.params.objectives.iter();
         let of_class = objectives.filter(|objective| {
             objective.kind == "deadline" && objective.class.as_deref() == Some(&deadline.class)
@@ -248,7 +248,7 @@
         need: &Resources,
     ) -> bool {
         let capacity = self.capacity_of(&machine.kind);
-        capacity.is_some_and(|all| all.minus(&machine.used_by_services(priority)).fits(need))
+        capacity.is_some_and(|all| all.minus(&machine.used_by_services(priority)).can_fit(need))
     }
 
     /// Returns the expected wait E\[W\] in a machine's queue, in seconds.
@@ -259,7 +259,7 @@
         let load = fraction(machine.used.cpus, capacity.cpus)
             .max(fraction(machine.used.gpus, capacity.gpus))
             .max(fraction(machine.used.memory_gb, capacity.memory_gb));
-        let keys = machine.tasks.keys().chain(&machine.queue);
+        let keys = machine.tasks.keys().chain(&machine.probe_queue);
         let times_s = keys.filter_map(|key| {
             let job = self.jobs.get(key.job).filter(|job| !job.failing_everywhere())?;
             Some(self.remaining_s(job, job.task(key.task)?))
--- a/crates/core/src/placement/dispatch.rs
+++ b/crates/core/src/placement/dispatch.rs
@@ -26,7 +26,7 @@
 impl Controller {
     /// Binds tasks on the machines that are due for dispatch, and on the machines that become due
     /// meanwhile. The number of machines is bounded, so that one event does not take too long.
-    pub(crate) fn dispatch_touched(&mut self) {
+    pub(crate) fn dispatch_due_machines(&mut self) {
         let max_dispatches = 3 * self.machines_to_dispatch.len().max(8);
         for _ in 0..max_dispatches {
             let Some(machine_index) = self.machines_to_dispatch.pop_first() else { break };
@@ -50,7 +50,7 @@
             let Some(chosen) = choice.chosen else { return };
             for passed in choice.passed {
                 if let Some(task) = self.jobs.task_mut(passed) {
-                    task.slack += 1;
+                    task.times_passed_over += 1;
                 }
             }
             self.bind(chosen, machine_index);
@@ -61,7 +61,7 @@
     /// or no task in its queue fits.
     fn choose_from_queue(&self, machine_index: MachineIndex) -> Option<QueueChoice> {
         let machine = self.machines.get(machine_index)?;
-        if machine.queue.is_empty() || !machine.takes_work(self.context.now.steady_ms) {
+        if machine.probe_queue.is_empty() || !machine.accepts_starts(self.context.now.steady_ms) {
             return None;
         }
         let free = self.free_resources(machine);
@@ -71,15 +71,17 @@
         let held = self.gang_holds.get(&machine_index);
         let fits = |key: &TaskKey| {
             let job = self.jobs.get(key.job);
-            job.is_some_and(|job| self.without_gang_holds(free, held, job).fits(&job.resources()))
+            job.is_some_and(|job| {
+                self.without_gang_holds(free, held, job).can_fit(&job.resources())
+            })
         };
-        if !machine.queue.iter().any(fits) {
+        if !machine.probe_queue.iter().any(fits) {
             return None;
         }
-        let mut keys: Vec<TaskKey> = Vec::with_capacity(machine.queue.len());
-        let mut probes: Vec<QueuedProbe> = Vec::with_capacity(machine.queue.len());
+        let mut keys: Vec<TaskKey> = Vec::with_capacity(machine.probe_queue.len());
+        let mut probes: Vec<QueuedProbe> = Vec::with_capacity(machine.probe_queue.len());
         let mut better_machines: Vec<MachineIndex> = Vec::new();
-        for key in &machine.queue {
+        for key in &machine.probe_queue {
             let Some(job) = self.jobs.get(key.job) else { continue };
             let Some(task) = job.task(key.task) else { continue };
             // The tasks of a gang start together or not at all: `tick_gangs` starts them.
@@ -126,7 +128,7 @@
                 false => job.remaining_s() * f64::from(1 + task.failures.min(8)),
             },
             ratio: job.ratio,
-            slack: task.slack,
+            times_passed_over: task.times_passed_over,
             arrived: task.arrived,
         }
     }
@@ -172,9 +174,9 @@
         let need = job.resources();
         task.probes.iter().map(|probe| probe.machine).find(|other| {
             self.machines.get(*other).is_some_and(|machine| {
-                machine.takes_work(self.context.now.steady_ms)
+                machine.accepts_starts(self.context.now.steady_ms)
                     && machine.images.contains(&job.image)
-                    && self.resources_for(*other, machine, job).fits(&need)
+                    && self.resources_for(*other, machine, job).can_fit(&need)
             })
         })
     }
@@ -196,10 +198,10 @@
             job.trials += 1;
         }
         let Some(task) = self.jobs.task_mut(key) else { return };
-        task.slack = 0;
+        task.times_passed_over = 0;
         for probe in &task.probes {
             if let Some(machine) = self.machines.get_mut(probe.machine) {
-                machine.queue.retain(|queued| *queued != key);
+                machine.probe_queue.retain(|queued| *queued != key);
             }
         }
         self.set_task_state(key, TaskState::Starting { machine: machine_index, attempt });
--- a/crates/core/src/placement/free_capacity.rs
+++ b/crates/core/src/placement/free_capacity.rs
@@ -62,7 +62,7 @@
         for (index, machine) in self.machines.iter().filter(|(_, machine)| machine.usable()) {
             let Some(capacity) = self.capacity_of(&machine.kind) else { continue };
             let (_, spare) = self.free_and_spare(index, machine, &capacity, &minimum, None);
-            if !spare.fits(&minimum) {
+            if !spare.can_fit(&minimum) {
                 continue;
             }
             let mut not_reserved_for_gpu_tasks = spare;
@@ -90,7 +90,7 @@
         let respects_gpu_reserve = need.gpus <= 0.0 && job.priority < Priority::Production;
         for (group, members) in &free_capacity.groups {
             let is_allowed = self.allows(&job.spec, &group.kind, group.zone, group.spot);
-            if !members.max.fits(&need) || !is_allowed {
+            if !members.max.can_fit(&need) || !is_allowed {
                 continue;
             }
             for member in &members.machines {
@@ -100,7 +100,7 @@
                 } else {
                     &member.spare
                 };
-                if usable.fits(&need) {
+                if usable.can_fit(&need) {
                     found.push(member.machine);
                 }
                 if found.len() >= count {
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -209,7 +209,8 @@
         {
             return false;
         }
-        let reserved = job.tasks().filter(|(_, task)| task.state.reserved()).count() as u32;
+        let reserved =
+            job.tasks().filter(|(_, task)| task.state.holds_reservation()).count() as u32;
         let mut additional = Resources::default();
         additional.add(&job.resources(), f64::from(job.spec.tasks - reserved));
         self.within_quota(job.team, &additional)
@@ -227,7 +228,7 @@
         let need = job.resources();
         let mut candidates: Vec<GangCandidate> = Vec::new();
         for (index, machine) in self.machines.iter() {
-            if !machine.takes_work(now_ms)
+            if !machine.accepts_starts(now_ms)
                 || !self.allows(&job.spec, &machine.kind, machine.zone, machine.spot)
                 || job.failed_on.contains(&index)
             {
@@ -239,7 +240,7 @@
             candidates.push(GangCandidate {
                 machine: index,
                 zone: machine.zone,
-                fitting_tasks: free.holds(&need),
+                fitting_tasks: free.max_tasks(&need),
             });
         }
         candidates.sort_by_key(|candidate| Reverse(candidate.fitting_tasks));
@@ -281,7 +282,7 @@
             }
         }
         if let Some(job) = self.jobs.get_mut(job_index) {
-            job.next = tasks;
+            job.next_unplaced = tasks;
             job.zone = if together { places[0].zone } else { None };
         }
         for (task, place) in (0..).zip(places) {
@@ -347,8 +348,9 @@
             needed.entry(*machine).or_default().add(&need, 1.0);
         }
         needed.iter().all(|(index, resources)| {
-            let machine = self.machines.get(*index).filter(|machine| machine.takes_work(now_ms));
-            machine.is_some_and(|machine| self.free_resources(machine).fits(resources))
+            let machine =
+                self.machines.get(*index).filter(|machine| machine.accepts_starts(now_ms));
+            machine.is_some_and(|machine| self.free_resources(machine).can_fit(resources))
         })
     }
 
@@ -391,11 +393,11 @@
     }
 
     /// Marks all tasks of a gang as done, because one of them is done.
-    pub(crate) fn gang_done(&mut self, job_index: JobIndex) {
+    pub(crate) fn mark_gang_done(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get(job_index) else { return };
         let members: Vec<u32> = job.tasks().map(|(number, _)| number).collect();
         for task in members {
-            self.task_done(TaskKey { job: job_index, task });
+            self.mark_task_done(TaskKey { job: job_index, task });
         }
     }
 }
--- a/crates/core/src/placement/placer.rs
+++ b/crates/core/src/placement/placer.rs
@@ -35,7 +35,7 @@
 impl PlacementBacklog {
     /// Returns whether so many tasks of this priority and above wait in queues that no more need to
     /// be placed yet.
-    pub fn full(&self, priority: Priority) -> bool {
+    pub fn is_full(&self, priority: Priority) -> bool {
         let waiting: f64 = self.waiting_cpus.range(priority..).map(|(_, cpus)| cpus).sum();
         waiting > FULL_BACKLOG_FRACTION * self.usable_cpus
     }
@@ -117,7 +117,7 @@
         }
         let mut backlog = self.backlog();
         for (priority, job_index) in jobs {
-            if backlog.full(priority) {
+            if backlog.is_full(priority) {
                 continue;
             }
             if !self.search_budget.is_available(now_ms) {
@@ -137,7 +137,7 @@
         let now_ms = self.context.now.steady_ms;
         let is_open = |job: &Job| {
             job.state == JobState::Live
-                && job.next < job.spec.tasks
+                && job.next_unplaced < job.spec.tasks
                 && !job.failing_everywhere()
                 && now_ms >= job.placement_from_ms
         };
@@ -151,7 +151,7 @@
 
     /// Returns the CPUs that a job's waiting tasks ask for.
     fn waiting_cpus(&self, job_index: JobIndex) -> f64 {
-        let asked_cpus = |job: &Job| f64::from(job.asking(job.waiting)) * job.spec.cpus;
+        let asked_cpus = |job: &Job| f64::from(job.demanded_tasks(job.waiting)) * job.spec.cpus;
         self.jobs.get(job_index).map_or(0.0, asked_cpus)
     }
 
@@ -160,7 +160,7 @@
         let mut waiting_cpus: BTreeMap<Priority, f64> = BTreeMap::new();
         for (_, job) in self.jobs.iter().filter(|(_, job)| job.waiting > 0) {
             *waiting_cpus.entry(job.priority).or_default() +=
-                f64::from(job.asking(job.waiting)) * job.spec.cpus;
+                f64::from(job.demanded_tasks(job.waiting)) * job.spec.cpus;
         }
         let usable_cpus = self
             .machines
@@ -199,7 +199,7 @@
             return 1;
         }
         // A placement record with all probes of its tasks has to fit into one transaction.
-        let limits = self.limits();
+        let limits = self.store_limits();
         let transaction_bytes = limits.value_kb * 1024.0 * (limits.txn_ops - 1) as f64;
         let max_probes = transaction_bytes / (f64::from(TASKS_PER_CHUNK) * PROBE_BYTES);
         self.context.config.operator.probes.min((max_probes as usize).max(1))
@@ -233,7 +233,7 @@
                 break;
             }
             if let Some(job) = self.jobs.get_mut(job_index) {
-                job.next = task + 1;
+                job.next_unplaced = task + 1;
             }
             placed += 1;
         }
@@ -254,15 +254,15 @@
     fn next_task_to_place(&mut self, job_index: JobIndex) -> Option<u32> {
         loop {
             let job = self.jobs.get_mut(job_index)?;
-            if job.next >= job.spec.tasks {
+            if job.next_unplaced >= job.spec.tasks {
                 return None;
             }
-            let chunk = job.next / TASKS_PER_CHUNK;
-            if job.in_done_chunk(job.next) {
-                job.next = ((chunk + 1) * TASKS_PER_CHUNK).min(job.spec.tasks);
+            let chunk = job.next_unplaced / TASKS_PER_CHUNK;
+            if job.in_done_chunk(job.next_unplaced) {
+                job.next_unplaced = ((chunk + 1) * TASKS_PER_CHUNK).min(job.spec.tasks);
                 continue;
             }
-            let task = job.next;
+            let task = job.next_unplaced;
             if !job.chunks.contains_key(&chunk) {
                 if !job.may_open_chunk() {
                     return None;
@@ -330,7 +330,7 @@
         let mut counts = vec![0; self.context.config.platform.params.zones.len()];
         let Some(job) = self.jobs.get(key.job) else { return counts };
         for (number, task) in job.tasks() {
-            if number == key.task || !task.state.reserved() {
+            if number == key.task || !task.state.holds_reservation() {
                 continue;
             }
             match task.zone {
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -49,7 +49,7 @@
     /// Returns the waiting tasks that may preempt others, with their preemption priorities: highest
     /// priority first, then in the order of arrival.
     fn preemptors(&self) -> Vec<(Priority, TaskKey)> {
-        let bound = self.jobs.iter().filter(|(_, job)| job.bound > 0);
+        let bound = self.jobs.iter().filter(|(_, job)| job.bound_tasks > 0);
         let Some(lowest_bound) = bound.map(|(_, job)| job.priority).min() else {
             return Vec::new();
         };
@@ -137,7 +137,7 @@
         // Normal priority preempts only the lowest priority: this cheap test saves the costly one.
         let mut attainable = self.free_resources(machine);
         attainable.add(&machine.low(), 1.0);
-        let cannot_fit = priority == Priority::Normal && !attainable.fits(&job.resources());
+        let cannot_fit = priority == Priority::Normal && !attainable.can_fit(&job.resources());
         !cannot_fit && self.startable(job, key, task, machine_index)
     }
 
@@ -176,7 +176,7 @@
         victims.sort_by(|a, b| a.cost.total_cmp(&b.cost));
         let (mut cost, mut chosen) = (0.0, Vec::new());
         for victim in victims {
-            if free.fits(&need) {
+            if free.can_fit(&need) {
                 break;
             }
             free.add(&victim.resources, 1.0);
@@ -187,7 +187,7 @@
             cost += FETCH_COST_WEIGHT * job.spec.cpus * self.fetch_s(&job.spec, &machine.kind);
         }
         let plan = PreemptionPlan { cost, machine: machine_index, victims: chosen };
-        free.fits(&need).then_some(plan)
+        free.can_fit(&need).then_some(plan)
     }
 
     /// Returns the cost of stopping a task, in CPU seconds; 0 unless the task is running.
--- a/crates/core/src/placement/probes.rs
+++ b/crates/core/src/placement/probes.rs
@@ -33,7 +33,7 @@
         }
         for dropped in old.iter().filter(|o| !probes.iter().any(|p| p.machine == o.machine)) {
             if let Some(machine) = self.machines.get_mut(dropped.machine) {
-                machine.queue.retain(|queued| *queued != key);
+                machine.probe_queue.retain(|queued| *queued != key);
             }
         }
         task.probes = probes;
@@ -50,8 +50,8 @@
                 continue;
             }
             queued = true;
-            if !machine.queue.contains(&key) {
-                machine.queue.push(key);
+            if !machine.probe_queue.contains(&key) {
+                machine.probe_queue.push(key);
             }
             self.machines_to_dispatch.insert(probe.machine);
         }
--- a/crates/core/src/placement/queue.rs
+++ b/crates/core/src/placement/queue.rs
@@ -43,7 +43,7 @@
     /// Highest ratio of demand to supply among the task's constraints.
     pub ratio: f64,
     /// How many times the task was passed over.
-    pub slack: u32,
+    pub times_passed_over: u32,
     /// Sequence number of the task's arrival, over all jobs.
     pub arrived: u64,
 }
@@ -55,7 +55,7 @@
 
     /// Compares two probes; the one that binds first is less.
     fn compare(&self, other: &QueuedProbe, order: QueueOrder, slack_cap: u32) -> Ordering {
-        let is_capped = |probe: &QueuedProbe| probe.slack >= slack_cap;
+        let is_capped = |probe: &QueuedProbe| probe.times_passed_over >= slack_cap;
         let by_class = other.class().cmp(&self.class());
         by_class.then_with(|| match (is_capped(self), is_capped(other)) {
             (true, true) => self.arrived.cmp(&other.arrived),
@@ -105,7 +105,7 @@
             let passed = passed_by(queue, &positions, position);
             return Some(Pick { chosen: position, passed });
         }
-        if queue[position].slack >= cap {
+        if queue[position].times_passed_over >= cap {
             return None;
         }
     }
--- a/crates/core/src/placement/quota.rs
+++ b/crates/core/src/placement/quota.rs
@@ -17,11 +17,11 @@
     /// Returns whether a job is best-effort: it has the lowest priority and its team has no
     /// guaranteed quota.
     pub(crate) fn is_best_effort(&self, job: &Job) -> bool {
-        self.best_effort(job.team, job.priority)
+        self.is_best_effort_class(job.team, job.priority)
     }
 
     /// Returns whether jobs of a team at this priority are best-effort.
-    pub(crate) fn best_effort(&self, team: usize, priority: Priority) -> bool {
+    pub(crate) fn is_best_effort_class(&self, team: usize, priority: Priority) -> bool {
         let team = &self.context.config.platform.params.teams[team];
         priority == Priority::Low && team.cpus <= 0.0 && team.gpus <= 0.0
     }
--- a/crates/core/src/placement/reprobe.rs
+++ b/crates/core/src/placement/reprobe.rs
@@ -87,15 +87,15 @@
     }
 
     /// Returns the waiting tasks of a job that are not backing off, limited to the number for which
-    /// the job asks for machines ([`Job::asking`]).
+    /// the job asks for machines ([`Job::demanded_tasks`]).
     fn tasks_to_reprobe(&self, job_index: JobIndex) -> Option<Vec<TaskKey>> {
         let now_ms = self.context.now.steady_ms;
         let job = self.jobs.get(job_index)?;
         let is_ready =
             |task: &Task| task.state == TaskState::Waiting && task.not_before_ms <= now_ms;
         let waiting = job.tasks().filter(|(_, task)| is_ready(task));
-        let asking = waiting.take(job.asking(job.waiting) as usize);
-        Some(asking.map(|(task, _)| TaskKey { job: job_index, task }).collect())
+        let demanded = waiting.take(job.demanded_tasks(job.waiting) as usize);
+        Some(demanded.map(|(task, _)| TaskKey { job: job_index, task }).collect())
     }
 
     /// Returns whether a waiting task needs no new probes: a probed machine on which the job has
@@ -112,7 +112,7 @@
             let machine = self.machines.get(probe.machine);
             let Some(machine) = machine.filter(|machine| machine.usable()) else { continue };
             may_become_free |= self.may_become_free(machine, job.priority, &need);
-            is_free |= self.resources_for(probe.machine, machine, job).fits(&need)
+            is_free |= self.resources_for(probe.machine, machine, job).can_fit(&need)
                 && !job.failed_on.contains(&probe.machine);
         }
         let is_not_probed =
--- a/crates/core/src/placement/search_budget.rs
+++ b/crates/core/src/placement/search_budget.rs
@@ -8,7 +8,7 @@
 /// Fraction of the processor that placement may use for scanning machines.
 const PLACEMENT_CPU_FRACTION: f64 = 0.25;
 /// Fraction of [`PLACEMENT_CPU_FRACTION`] that is allowed under moderate load.
-const PRESSED_FRACTION: f64 = 0.5;
+const ELEVATED_FRACTION: f64 = 0.5;
 /// Fraction of [`PLACEMENT_CPU_FRACTION`] that is allowed while requests are shed.
 const SHEDDING_FRACTION: f64 = 0.2;
 
@@ -32,7 +32,7 @@
     pub fn adapt_to_load(&mut self, state: LoadState) {
         let fraction = match state {
             LoadState::Normal => 1.0,
-            LoadState::Pressed => PRESSED_FRACTION,
+            LoadState::Elevated => ELEVATED_FRACTION,
             LoadState::Shedding => SHEDDING_FRACTION,
         };
         self.scan_limiter.set_rate(self.max_scans_per_s * PLACEMENT_CPU_FRACTION * fraction);
@@ -46,6 +46,6 @@
 
     /// Charges the budget for scanning this many machines, even if that overdraws it.
     pub fn spend(&mut self, now_ms: u64, machines: usize) {
-        self.scan_limiter.force(now_ms, machines as f64);
+        self.scan_limiter.charge(now_ms, machines as f64);
     }
 }
--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -156,7 +156,7 @@
         self.note_store_answer();
         // No other controller can change the formats in this leader's epoch.
         if self.recovery.phase == Phase::Format {
-            self.see_format(&list.pairs);
+            self.update_activation_status(&list.pairs);
             if self.has_unsupported_format() {
                 return self.set_role(Role::Follower);
             }
@@ -211,7 +211,7 @@
         self.job_batches.restore(number, pair.revision);
         let Some(batch) = decode::<BatchRecord>(&pair.value) else {
             tracing::error!(number, "cannot decode batch record; its jobs will not run");
-            return self.job_batches.seal(number, None);
+            return self.job_batches.mark_read_only(number, None);
         };
         for id in batch.ids() {
             match batch.get(id) {
@@ -221,7 +221,7 @@
                 }
                 None => {
                     tracing::error!(job = %id, number, "cannot decode job in batch record; the job will not run");
-                    self.job_batches.seal(number, Some(id.clone()));
+                    self.job_batches.mark_read_only(number, Some(id.clone()));
                 }
             }
         }
@@ -236,12 +236,12 @@
         };
         let batched = self.recovery.batched_jobs.remove(&id);
         let revision = pair.revision;
-        let own_placement = record.share.take().map(|piece| (piece, None));
+        let own_placement = record.placement.take().map(|piece| (piece, None));
         // An aborted job's own record may lack its placement, which the batch record still
         // contains.
         let batch_placement =
             match record.status == RecordedStatus::Aborted && record.spec.is_some() {
-                true => batched.and_then(|job| Some((job.record.share?, Some(job.batch)))),
+                true => batched.and_then(|job| Some((job.record.placement?, Some(job.batch)))),
                 false => None,
             };
         let placement = batch_placement.or(own_placement).map(|(piece, batch)| InlinePlacement {
@@ -280,8 +280,8 @@
         for placement in std::mem::take(&mut self.recovery.inline_placements) {
             let Some(ix) = self.job_of_placement(&placement.job) else { continue };
             if let (Some(batch), Some(job)) = (placement.batch, self.jobs.get_mut(ix)) {
-                job.page = Some(batch);
-                self.job_batches.join(batch, ix);
+                job.batch_number = Some(batch);
+                self.job_batches.add_member(batch, ix);
             }
             self.load_inline(ix, &placement.piece, placement.revision);
         }
@@ -292,14 +292,14 @@
     fn restore_batched_jobs(&mut self) {
         for (id, job) in std::mem::take(&mut self.recovery.batched_jobs) {
             let BatchedJob { batch, mut record } = job;
-            let placement = record.share.take();
+            let placement = record.placement.take();
             let Some(ix) = self.insert_recorded(record, 0) else {
-                self.job_batches.seal(batch, Some(id));
+                self.job_batches.mark_read_only(batch, Some(id));
                 continue;
             };
-            self.job_batches.join(batch, ix);
+            self.job_batches.add_member(batch, ix);
             if let Some(job) = self.jobs.get_mut(ix) {
-                job.page = Some(batch);
+                job.batch_number = Some(batch);
             }
             self.record_writer.mark_job_dirty(ix);
             let placement = placement.map(|piece| InlinePlacement {
@@ -321,7 +321,7 @@
             }
             let Some(ix) = self.job_of_placement(id) else {
                 // The job has ended, so the record only takes up space in the store.
-                self.record_writer.remove(pair.path);
+                self.record_writer.schedule_deletion(pair.path);
                 continue;
             };
             let piece = read_placement(&pair.path, &pair.value, pair.revision);
@@ -387,7 +387,7 @@
         let proven = job.done > 0;
         let ix = self.jobs.insert(job);
         if proven {
-            self.set_job_health(ix, JobHealth::Proven);
+            self.set_job_health(ix, JobHealth::RunsWell);
         }
         Some(ix)
     }
@@ -406,7 +406,7 @@
             self.reconcile_machine(ix);
             let Some(machine) = self.machines.get(ix) else { continue };
             if machine.state == MachineState::Provisioning && machine.addr.is_some() {
-                self.inspect(ix);
+                self.query_worker_status(ix);
             }
         }
         self.placement_due = true;
--- a/crates/core/src/recovery/placements.rs
+++ b/crates/core/src/recovery/placements.rs
@@ -6,7 +6,7 @@
 use crate::ids::{JobIndex, MachineIndex, TaskKey};
 use crate::jobs::{Chunk, JobState, Probe, TaskState};
 use crate::storage::records::{
-    job_key, open_inline, piece_keys, AssembledPlacement, PlacementPiece, PlacementRecord,
+    decode_inline, job_key, piece_keys, AssembledPlacement, PlacementPiece, PlacementRecord,
     ProbeSet, TASKS_PER_CHUNK,
 };
 
@@ -25,7 +25,7 @@
                 entry.insert(piece);
                 true
             }
-            Entry::Occupied(mut entry) => entry.get_mut().join(piece),
+            Entry::Occupied(mut entry) => entry.get_mut().add_piece(piece),
         }
     }
 
@@ -36,7 +36,7 @@
     /// Splits into the placements with all pieces and the placements that still lack pieces.
     pub(super) fn split_complete(self) -> (BTreeMap<u32, AssembledPlacement>, PartialPlacements) {
         let (complete, by_chunk) =
-            self.by_chunk.into_iter().partition(|(_, placement)| placement.whole());
+            self.by_chunk.into_iter().partition(|(_, placement)| placement.is_complete());
         (complete, PartialPlacements { by_chunk })
     }
 
@@ -60,13 +60,13 @@
 
     /// Loads a placement stored inside its job's own record or inside a batch record.
     pub(super) fn load_inline(&mut self, ix: JobIndex, piece: &PlacementPiece, revision: u64) {
-        let Some(placement) = open_inline(piece, revision) else {
+        let Some(placement) = decode_inline(piece, revision) else {
             let key = self.jobs.get(ix).map(|job| job_key(&job.id));
             return self.on_unreadable_placement(ix, &key.unwrap_or_default());
         };
         self.load_chunk(ix, 0, placement);
         // The placement of a batched job is in the batch record, not in the job's own record.
-        if let Some(job) = self.jobs.get_mut(ix).filter(|job| job.page.is_some()) {
+        if let Some(job) = self.jobs.get_mut(ix).filter(|job| job.batch_number.is_some()) {
             job.chunks.values_mut().for_each(|chunk| chunk.inline = false);
         }
     }
@@ -87,13 +87,13 @@
         // The chunk has already been folded into the job's record, which counts its tasks.
         if job.in_done_chunk(number * TASKS_PER_CHUNK) {
             let keys: Vec<String> = piece_keys(&job.id, number, placement.piece_count).collect();
-            return keys.into_iter().for_each(|key| self.record_writer.remove(key));
+            return keys.into_iter().for_each(|key| self.record_writer.schedule_deletion(key));
         }
         let tasks = TaskRange::of_chunk(number, job.chunk_len(number));
         let chunk = self.recorded_chunk(tasks, &placement);
         let record = placement.record;
         let machines: Vec<MachineIndex> =
-            record.machines.iter().map(|name| self.machine(name)).collect();
+            record.machines.iter().map(|name| self.find_or_add_machine(name)).collect();
         self.insert_recorded_chunk(ix, number, chunk, &record);
         for (first, last) in &record.done {
             for task in tasks.intersection(*first, *last) {
@@ -109,7 +109,7 @@
             }
         }
         if let Some(job) = self.jobs.get_mut(ix) {
-            job.next = 0;
+            job.next_unplaced = 0;
         }
     }
 
--- a/crates/core/src/recovery/reconciliation.rs
+++ b/crates/core/src/recovery/reconciliation.rs
@@ -12,10 +12,10 @@
 
 impl Controller {
     /// Requests a heartbeat from a machine whose address is known.
-    pub(crate) fn inspect(&mut self, ix: MachineIndex) {
+    pub(crate) fn query_worker_status(&mut self, ix: MachineIndex) {
         let Some(machine) = self.machines.get_mut(ix) else { return };
         let Some(addr) = machine.addr else { return };
-        machine.inspected_ms = self.context.now.steady_ms;
+        machine.worker_status_queried_ms = self.context.now.steady_ms;
         let call = RecoveryCall::Inspect { machine: ix, epoch: self.epoch() };
         let timeout_ms = self.context.config.worker_timeout_ms();
         self.get_for_recovery(Peer::Worker(addr), "/inspect".into(), timeout_ms, call);
@@ -29,7 +29,7 @@
         let Ok(heartbeat) = from_cbor::<Heartbeat>(&response.body) else { return };
         let is_from_machine = is_plausible(&heartbeat) && heartbeat.machine == machine.name;
         if response.status == 200 && is_from_machine {
-            self.observe_reply(ix, heartbeat);
+            self.on_worker_status_answer(ix, heartbeat);
             self.machines_to_command.insert(ix);
         }
     }
--- a/crates/core/src/recovery/recorded_jobs.rs
+++ b/crates/core/src/recovery/recorded_jobs.rs
@@ -53,7 +53,7 @@
         if revision == 0 {
             return None;
         }
-        let inline_placement = record.share.take();
+        let inline_placement = record.placement.take();
         let ix = self.insert_recorded(record, revision)?;
         tracing::info!(job = %id, "added recorded job to memory");
         if let Some(job) = self.jobs.get_mut(ix) {
--- a/crates/core/src/storage/calls.rs
+++ b/crates/core/src/storage/calls.rs
@@ -57,7 +57,7 @@
                 if epoch != current_epoch => {}
             StorageCall::Flush { items, sent_ms, .. } => {
                 let latency_ms = self.context.now.steady_ms.saturating_sub(sent_ms);
-                self.context.latencies.note(LatencySpan::Write, latency_ms);
+                self.context.latencies.record(LatencySpan::Write, latency_ms);
                 self.on_flush(items, outcome)
             }
             StorageCall::RecordReread { item, .. } => self.on_record_reread(item, outcome),
--- a/crates/core/src/storage/feature_state.rs
+++ b/crates/core/src/storage/feature_state.rs
@@ -117,7 +117,7 @@
 
     /// Returns the store's limits to observe. Because the limits change without notice, these are
     /// the lowest announced ones as soon as all controllers observe them.
-    pub(crate) fn limits(&self) -> &StateLimits {
+    pub(crate) fn store_limits(&self) -> &StateLimits {
         match self.is_active(Feature::AnnouncedLimits) {
             true => &self.context.config.lowest,
             false => &self.context.config.platform.params.state,
@@ -127,20 +127,20 @@
     /// Returns the size in bytes of the largest value that may be written, as counted by
     /// [`checked_size`](crate::storage::records::checked_size).
     pub(crate) fn max_value_bytes(&self) -> usize {
-        (self.limits().value_kb * 1024.0) as usize
+        (self.store_limits().value_kb * 1024.0) as usize
     }
 
     /// Updates the activation status, and adjusts the rate limits if it has changed.
     fn set_activation_status(&mut self, status: ActivationStatus, revision: u64) {
         if self.feature_state.set_status(status, revision) {
             self.feature_state.log_status();
-            self.fit_rate_limits();
+            self.apply_rate_limits();
         }
     }
 
     /// Reads the keys when a read is due. Reads are less frequent while this controller consents to
     /// no further step; they then only show operators which other controllers block a step.
-    pub(crate) fn tick_format(&mut self) {
+    pub(crate) fn read_format_keys_if_due(&mut self) {
         let now = self.context.now.steady_ms;
         if !self.feature_state.is_read_due(&self.context.config.platform.node, now) {
             return;
@@ -161,7 +161,7 @@
     pub(super) fn on_format_keys_read(&mut self, outcome: Outcome) {
         self.feature_state.call_in_flight = false;
         let Some(list) = self.list_outcome(outcome) else { return };
-        self.see_format(&list.pairs);
+        self.update_activation_status(&list.pairs);
         // The settings can't name more controllers than one answer can list.
         if list.more || self.has_unsupported_format() {
             return;
@@ -209,7 +209,7 @@
     }
 
     /// Updates the activation status from a list of the format keys.
-    pub(crate) fn see_format(&mut self, pairs: &[KeyValue]) {
+    pub(crate) fn update_activation_status(&mut self, pairs: &[KeyValue]) {
         let gates = &self.feature_state.gates;
         let (status, revision) = match pairs.iter().find(|pair| pair.path == FORMAT_KEY) {
             Some(pair) => (gates.interpret(decode(&pair.value)), pair.revision),
@@ -237,7 +237,7 @@
     }
 
     fn write_format_keys(&mut self, transaction: Transaction, call: StorageCall) {
-        self.record_writer.writes.force(self.context.now.steady_ms, 1.0);
+        self.record_writer.write_limiter.charge(self.context.now.steady_ms, 1.0);
         self.call_from_storage("POST", "/multi".into(), to_cbor(&transaction), call);
     }
 
--- a/crates/core/src/storage/job_batches/batch_lookup.rs
+++ b/crates/core/src/storage/job_batches/batch_lookup.rs
@@ -205,10 +205,10 @@
     /// live as long as it has no record of its own.
     fn batched_record_in_memory(&self, job_id: &str) -> Option<JobRecord> {
         let job = self.jobs.find(job_id).and_then(|job| self.jobs.get(job))?;
-        if job.page.is_none() || job.state == JobState::Recording {
+        if job.batch_number.is_none() || job.state == JobState::Recording {
             return None;
         }
-        Some(JobRecord { at_ms: job.at_ms, ..self.job_record(job.spec.clone()) })
+        Some(JobRecord { at_ms: job.submitted_ms, ..self.job_record(job.spec.clone()) })
     }
 
     /// Verifies that a job is recorded nowhere. The leader has all batches in memory and none of
@@ -221,7 +221,7 @@
             Guard { path: job_key(&lookup.job_id), revision: 0 },
         ];
         let body = to_cbor(&Transaction { guards, apply: Vec::new() });
-        self.force_read(ReadPurpose::AbsenceCheck);
+        self.charge_read(ReadPurpose::AbsenceCheck);
         let call = BatchCall::VerifyAbsence { lookup, epoch: self.epoch() };
         self.call_store("POST", "/multi".into(), body, InFlight::Batch(call));
     }
@@ -269,7 +269,7 @@
     }
 
     fn call_for_scan(&mut self, target: String, call: BatchCall) {
-        self.force_read(ReadPurpose::BatchScan);
+        self.charge_read(ReadPurpose::BatchScan);
         let timeout_ms = SCAN_TIMEOUT_FACTOR * self.context.config.store_timeout_ms();
         let call = InFlight::Batch(call);
         self.call(Peer::State, "GET", target, Vec::new(), timeout_ms, call);
@@ -381,7 +381,7 @@
         let guard = |lookup: &BatchLookup| Guard { path: job_key(&lookup.job_id), revision: 0 };
         let guards = lookups.iter().map(guard).collect();
         let body = to_cbor(&Transaction { guards, apply: Vec::new() });
-        self.force_read(ReadPurpose::AbsenceCheck);
+        self.charge_read(ReadPurpose::AbsenceCheck);
         let call = InFlight::Batch(BatchCall::VerifyOwnKeysAbsent { lookups });
         self.call_store("POST", "/multi".into(), body, call);
     }
@@ -415,7 +415,7 @@
 
     fn reread_own_record(&mut self, lookup: BatchLookup) {
         let job_id = lookup.job_id.clone();
-        self.force_read(ReadPurpose::Reread);
+        self.charge_read(ReadPurpose::Reread);
         self.read_own_record(&job_id, InFlight::Batch(BatchCall::RereadJob(lookup)));
     }
 
--- a/crates/core/src/storage/job_batches/batch_writer.rs
+++ b/crates/core/src/storage/job_batches/batch_writer.rs
@@ -53,7 +53,7 @@
 
     fn require_own_record(&mut self, job: JobIndex) {
         if let Some(job) = self.jobs.get_mut(job) {
-            job.own = true;
+            job.needs_own_record = true;
         }
     }
 
@@ -80,8 +80,9 @@
             self.on_placement_sent(*member, 0, RecordLocation::default());
             self.record_writer.clear_dirty_chunk(*member, 0);
         }
-        self.record_writer.writes.force(self.context.now.steady_ms, 1.0);
-        self.record_writer.note(if is_new { WritePurpose::Accept } else { WritePurpose::Deal }, 1);
+        self.record_writer.write_limiter.charge(self.context.now.steady_ms, 1.0);
+        self.record_writer
+            .count_changes(if is_new { WritePurpose::Accept } else { WritePurpose::Placement }, 1);
         self.job_batches.set_batch_state(number, BatchState::Writing);
         let body = to_cbor(&Transaction { guards, apply });
         let call = BatchCall::Write { number, epoch: self.epoch() };
@@ -124,7 +125,7 @@
 
     /// Returns whether any member is about to get a record of its own.
     fn any_member_leaving(&self, members: &[JobIndex]) -> bool {
-        members.iter().any(|member| self.jobs.get(*member).is_some_and(|job| job.own))
+        members.iter().any(|member| self.jobs.get(*member).is_some_and(|job| job.needs_own_record))
     }
 
     fn batch_record(&mut self, members: &[JobIndex]) -> BatchRecord {
@@ -132,7 +133,7 @@
         for member in members {
             let placement = self.placement_record(*member, 0);
             let Some(job) = self.jobs.get(*member) else { continue };
-            record.add(&job.spec, job.at_ms, placement.map(|p| inline_piece(&p)));
+            record.add(&job.spec, job.submitted_ms, placement.map(|p| inline_piece(&p)));
         }
         record
     }
@@ -157,7 +158,7 @@
 
     fn answer_submissions_busy(&mut self, submissions: Vec<BatchSubmission>) {
         for submission in submissions {
-            self.answer_busy(submission.request, RefusalReason::StoreFailed);
+            self.answer_unavailable(submission.request, RefusalReason::StoreFailed);
         }
     }
 
@@ -242,7 +243,7 @@
     fn on_member_recorded(&mut self, member: JobIndex) {
         let Some(job) = self.jobs.get_mut(member) else { return };
         let is_accepted_now = job.state == JobState::Recording;
-        let uses_batch_record = !job.own;
+        let uses_batch_record = !job.needs_own_record;
         if let Some(chunk) = job.chunks.get_mut(&0).filter(|c| c.busy && uses_batch_record) {
             chunk.busy = false;
             chunk.stored_version = chunk.version;
@@ -261,7 +262,7 @@
 
     fn answer_accepted(&mut self, submission: BatchSubmission) {
         let Some(job) = self.jobs.get(submission.job) else {
-            return self.answer_busy(submission.request, RefusalReason::StoreFailed);
+            return self.answer_unavailable(submission.request, RefusalReason::StoreFailed);
         };
         let mut answer = job.answer();
         answer.done = None;
@@ -315,7 +316,7 @@
                 continue;
             }
             let Some(job) = self.jobs.get_mut(member) else { continue };
-            job.page = None;
+            job.batch_number = None;
             job.chunks.values_mut().for_each(|chunk| chunk.busy = false);
         }
         let now_ms = self.context.now.steady_ms;
@@ -397,7 +398,7 @@
                 number,
                 "a batch record holds unexpected jobs or can't be decoded; it is left unchanged"
             );
-            self.job_batches.seal(number, None);
+            self.job_batches.mark_read_only(number, None);
         }
     }
 
@@ -413,7 +414,7 @@
             }
             Some(_) => self.drop_job(member),
             None => {
-                self.job_batches.seal(number, Some(id));
+                self.job_batches.mark_read_only(number, Some(id));
                 self.drop_job(member);
             }
         }
@@ -443,7 +444,7 @@
             let Some(batch) = self.job_batches.batches.get(&number) else { continue };
             if batch.is_disposable() && number < self.job_batches.last_number {
                 self.job_batches.batches.remove(&number);
-                self.record_writer.remove(batch_key(number));
+                self.record_writer.schedule_deletion(batch_key(number));
             }
         }
     }
--- a/crates/core/src/storage/job_batches/intake.rs
+++ b/crates/core/src/storage/job_batches/intake.rs
@@ -96,11 +96,11 @@
         let now_ms = self.context.now.steady_ms;
         let window_ms = 2 * self.context.config.write_batch_ms();
         let threshold = self.context.config.operator.share_pages_below;
-        let rate = self.record_writer.writes.rate();
-        self.admission.short()
+        let rate = self.record_writer.write_limiter.rate();
+        self.admission.is_write_capacity_short()
             || !self.job_batches.intake.queue.is_empty()
             || self.job_batches.intake.batch_opened_since(now_ms, window_ms)
-            || self.record_writer.writes.available(now_ms, 0.0) < threshold * rate
+            || self.record_writer.write_limiter.available(now_ms, 0.0) < threshold * rate
             || threshold >= 1.0
     }
 
@@ -130,9 +130,9 @@
 
     /// Returns whether no further job of a team may wait for a batch or be in one.
     fn batches_are_full(&self, team: usize, priority: Priority) -> bool {
-        let factor = if self.best_effort(team, priority) { 1.0 } else { 2.0 };
-        let max_jobs = self.record_writer.writes.rate() * MAX_TERMINAL_WRITES_S * factor;
-        let jobs = self.job_batches.members() + self.job_batches.intake.queue.len();
+        let factor = if self.is_best_effort_class(team, priority) { 1.0 } else { 2.0 };
+        let max_jobs = self.record_writer.write_limiter.rate() * MAX_TERMINAL_WRITES_S * factor;
+        let jobs = self.job_batches.member_count() + self.job_batches.intake.queue.len();
         jobs >= max_jobs as usize
     }
 
@@ -144,7 +144,7 @@
             return;
         }
         if self.job_batches.is_creating_batch()
-            || self.record_writer.writes.available(now_ms, 0.0) < 1.0
+            || self.record_writer.write_limiter.available(now_ms, 0.0) < 1.0
         {
             return self.reject_late_submissions(now_ms);
         }
@@ -200,7 +200,7 @@
     /// Returns the maximum number of jobs in a batch. Each job adds a guard to the transaction that
     /// creates the record.
     fn max_jobs_per_batch(&self) -> usize {
-        (4 * self.limits().txn_ops).saturating_sub(4).max(1)
+        (4 * self.store_limits().txn_ops).saturating_sub(4).max(1)
     }
 
     /// Returns the number of bytes that a job's description saves in a batch record by sharing
@@ -220,8 +220,8 @@
         let backlog = self.backlog();
         for member in &members {
             let Some(job) = self.jobs.get_mut(*member) else { continue };
-            job.page = Some(number);
-            if !backlog.full(job.priority) {
+            job.batch_number = Some(number);
+            if !backlog.is_full(job.priority) {
                 self.place_job(*member);
             }
         }
--- a/crates/core/src/storage/job_batches/mod.rs
+++ b/crates/core/src/storage/job_batches/mod.rs
@@ -140,7 +140,7 @@
     }
 
     /// Returns the number of jobs in batches that have no record of their own yet.
-    pub fn members(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.batches.values().map(|batch| batch.members.len()).sum()
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// Adds a job to a batch that a new leader found in the store.
-    pub fn join(&mut self, number: u64, job: JobIndex) {
+    pub fn add_member(&mut self, number: u64, job: JobIndex) {
         if let Some(batch) = self.batches.get_mut(&number) {
             batch.members.insert(job);
         }
@@ -159,7 +159,7 @@
 
     /// Marks a batch as read-only, because one job's entry in its record, or all of the record,
     /// can't be decoded.
-    pub fn seal(&mut self, number: u64, job_id: Option<String>) {
+    pub fn mark_read_only(&mut self, number: u64, job_id: Option<String>) {
         if let Some(batch) = self.batches.get_mut(&number) {
             batch.read_only = true;
         }
@@ -167,7 +167,7 @@
     }
 
     /// Returns whether a batch record holds an entry of the job that can't be decoded.
-    pub fn unreadable(&self, job_id: &str) -> bool {
+    pub fn is_unreadable(&self, job_id: &str) -> bool {
         self.unreadable_jobs.contains(job_id)
     }
 
@@ -258,12 +258,12 @@
 
     /// Drops the leader's batches and the submissions for its next batch. Lookups do not depend on
     /// which controller leads, and continue.
-    pub(crate) fn forget_batches(&mut self) {
+    pub(crate) fn drop_batches(&mut self) {
         let dropped = std::mem::take(&mut self.job_batches);
         let batched = dropped.batches.into_values().flat_map(|batch| batch.submissions);
         let waiting = dropped.intake.into_submissions();
         for submission in batched.chain(waiting) {
-            self.answer_busy(submission.request, RefusalReason::EpochChanged);
+            self.answer_unavailable(submission.request, RefusalReason::EpochChanged);
         }
         self.job_batches.lookups = dropped.lookups;
     }
--- a/crates/core/src/storage/live_record_reads.rs
+++ b/crates/core/src/storage/live_record_reads.rs
@@ -25,7 +25,7 @@
                 return;
             }
             if let Some(job) = self.jobs.get_mut(job_index) {
-                job.read_ms = now;
+                job.record_read_ms = now;
             }
             let target = format!("/keys/{}", job_key(&job_id));
             let call = StorageCall::LiveRecordRead { job: job_id, epoch: self.epoch() };
@@ -40,9 +40,9 @@
             .jobs
             .iter()
             .filter(|(_, job)| {
-                job.state.is_accepted() && !job.busy && now > job.read_ms + interval_ms
+                job.state.is_accepted() && !job.busy && now > job.record_read_ms + interval_ms
             })
-            .map(|(job_index, job)| (job.read_ms, job_index))
+            .map(|(job_index, job)| (job.record_read_ms, job_index))
             .collect();
         due.sort_unstable();
         due.into_iter().map(|(_, job_index)| job_index).collect()
@@ -54,13 +54,13 @@
         if let Ok(Some(pair)) = self.read_outcome(outcome) {
             let status = decode::<JobRecord>(&pair.value).map(|record| record.status);
             if status == Some(RecordedStatus::Aborted) {
-                self.learn_abort(&job_id, pair.revision);
+                self.apply_recorded_abort(&job_id, pair.revision);
             }
         }
     }
 
     /// Marks a job as aborted after the leader has read an abort that was recorded without it.
-    pub(crate) fn learn_abort(&mut self, job_id: &str, revision: u64) {
+    pub(crate) fn apply_recorded_abort(&mut self, job_id: &str, revision: u64) {
         let Some(job_index) = self.jobs.find(job_id) else { return };
         if let Some(job) = self.jobs.get_mut(job_index) {
             job.revision = revision;
@@ -73,7 +73,7 @@
 
     /// Requires that a live job's record is reread before any further task of the job starts, and
     /// rereads it unless a call for the record is in flight already.
-    pub(crate) fn read_before_starts(&mut self, job_index: JobIndex) {
+    pub(crate) fn require_reread_before_starts(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get_mut(job_index).filter(|job| job.state == JobState::Live)
         else {
             return;
--- a/crates/core/src/storage/placement_records.rs
+++ b/crates/core/src/storage/placement_records.rs
@@ -26,7 +26,7 @@
     /// The placement is part of the job's own record.
     pub inline: bool,
     /// The write also sets the job's own record.
-    pub own: bool,
+    pub sets_own_record: bool,
 }
 
 /// A value to be set, and the revision that guards the write.
@@ -38,7 +38,7 @@
 /// A chunk's placement, ready to replace the recorded one.
 pub(crate) struct PlacementWrite {
     /// Location of the placement once the write has been executed.
-    pub placed: RecordLocation,
+    pub location: RecordLocation,
     /// Number of keys of the recorded placement.
     recorded_pieces: u32,
     recorded_revision: u64,
@@ -55,14 +55,20 @@
 impl PlacementWrite {
     /// Returns the number of keys that the write changes.
     pub fn changes(&self) -> usize {
-        let pieces = self.placed.pieces.max(self.recorded_pieces);
-        pieces as usize + usize::from(self.placed.own)
+        let pieces = self.location.pieces.max(self.recorded_pieces);
+        pieces as usize + usize::from(self.location.sets_own_record)
     }
 
     /// Adds the write to a transaction, in which all old and new keys of the placement and the
     /// job's own record change together.
-    pub fn enter(self, id: &str, chunk: u32, guards: &mut Vec<Guard>, apply: &mut Vec<Change>) {
-        let (new_pieces, recorded_pieces) = (self.placed.pieces, self.recorded_pieces);
+    pub fn add_to_transaction(
+        self,
+        id: &str,
+        chunk: u32,
+        guards: &mut Vec<Guard>,
+        apply: &mut Vec<Change>,
+    ) {
+        let (new_pieces, recorded_pieces) = (self.location.pieces, self.recorded_pieces);
         if let Some(own) = self.own_record {
             guards.push(Guard { path: job_key(id), revision: own.revision });
             apply.push(Change::Set { set: job_key(id), value: own.value, lease_id: None });
@@ -83,7 +89,7 @@
 fn unsplit_write(record: &PlacementRecord, chunk: &Chunk, max_bytes: usize) -> PlacementWrite {
     let bytes = json_size(record);
     PlacementWrite {
-        placed: RecordLocation { pieces: 1, ..RecordLocation::default() },
+        location: RecordLocation { pieces: 1, ..RecordLocation::default() },
         recorded_pieces: chunk.pieces,
         recorded_revision: chunk.revision,
         values: vec![encode(record)],
@@ -126,13 +132,13 @@
             return None;
         }
         let mut own_record = self.own_record(job);
-        own_record.share = Some(inline_piece(record));
+        own_record.placement = Some(inline_piece(record));
         let bytes = checked_size(&own_record);
         if bytes + ABORT_SPARE_BYTES > self.max_value_bytes() {
             return None;
         }
         Some(PlacementWrite {
-            placed: RecordLocation { pieces: 0, inline: true, own: true },
+            location: RecordLocation { pieces: 0, inline: true, sets_own_record: true },
             recorded_pieces: recorded.pieces,
             recorded_revision: recorded.revision,
             values: Vec::new(),
@@ -155,16 +161,16 @@
         // A placement that has outgrown the job's own record must be removed from that record.
         let leaves_own_record = self.may_inline_placement(job_index) && recorded.inline;
         // A job that leaves its batch record has no record of its own yet.
-        let leaves_batch = job.own && job.page.is_some();
+        let leaves_batch = job.needs_own_record && job.batch_number.is_some();
         let own_record = (leaves_own_record || leaves_batch)
             .then(|| GuardedValue { value: encode(&self.own_record(job)), revision: job.revision });
         let pieces = pack_placement(record, chunk, max_bytes);
         let own_record_bytes = if own_record.is_some() { max_bytes } else { 0 };
         PlacementWrite {
-            placed: RecordLocation {
+            location: RecordLocation {
                 pieces: pieces.len() as u32,
                 inline: false,
-                own: own_record.is_some(),
+                sets_own_record: own_record.is_some(),
             },
             recorded_pieces: recorded.pieces,
             recorded_revision: recorded.revision,
@@ -192,7 +198,7 @@
             JobState::Aborted | JobState::Aborting | JobState::AbortIndeterminate
         ) {
             record.status = RecordedStatus::Aborted;
-            record.end_within(self.max_value_bytes());
+            record.shrink_to_fit(self.max_value_bytes());
         }
         record
     }
@@ -203,10 +209,10 @@
         JobRecord {
             status: RecordedStatus::Live,
             spec: Some(job.spec.clone()),
-            at_ms: job.at_ms,
+            at_ms: job.submitted_ms,
             done_chunks: job.done_chunks_with(chunks),
             service: false,
-            share: None,
+            placement: None,
         }
     }
 
@@ -216,7 +222,7 @@
         if job.chunk_count() <= 1 {
             return false;
         }
-        let completed = job.chunks.iter().filter(|(_, chunk)| chunk.whole());
+        let completed = job.chunks.iter().filter(|(_, chunk)| chunk.is_complete());
         let completed: Vec<u32> = completed.map(|(number, _)| *number).collect();
         completed.is_empty()
             || checked_size(&self.folded_record(job, &completed)) <= self.max_value_bytes()
@@ -245,10 +251,10 @@
         &mut self,
         job_index: JobIndex,
         chunk: u32,
-        placed: RecordLocation,
+        location: RecordLocation,
     ) {
         let Some(job) = self.jobs.get_mut(job_index) else { return };
-        job.busy |= placed.own;
+        job.busy |= location.sets_own_record;
         if let Some(chunk) = job.chunks.get_mut(&chunk) {
             (chunk.dirty, chunk.busy) = (false, true);
         }
@@ -259,17 +265,17 @@
         &mut self,
         job_index: JobIndex,
         chunk: u32,
-        placed: RecordLocation,
+        location: RecordLocation,
         revision: u64,
     ) {
         let Some(job) = self.jobs.get_mut(job_index) else { return };
-        if placed.own {
+        if location.sets_own_record {
             (job.busy, job.revision) = (false, revision);
         }
         if let Some(chunk) = job.chunks.get_mut(&chunk) {
             (chunk.busy, chunk.stored_version) = (false, chunk.version);
-            (chunk.pieces, chunk.inline) = (placed.pieces, placed.inline);
-            chunk.revision = if placed.inline { 0 } else { revision };
+            (chunk.pieces, chunk.inline) = (location.pieces, location.inline);
+            chunk.revision = if location.inline { 0 } else { revision };
         }
     }
 }
--- a/crates/core/src/storage/rate_limiter.rs
+++ b/crates/core/src/storage/rate_limiter.rs
@@ -5,16 +5,16 @@
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     tokens_per_s: f64,
-    /// Negative while tokens taken by [`RateLimiter::force`] have not been replenished.
+    /// Negative while tokens taken by [`RateLimiter::charge`] have not been replenished.
     tokens: f64,
     refilled_ms: u64,
-    closed_until_ms: u64,
+    paused_until_ms: u64,
 }
 
 impl RateLimiter {
     /// Creates a full bucket.
     pub fn new(tokens_per_s: f64) -> Self {
-        RateLimiter { tokens_per_s, tokens: tokens_per_s, refilled_ms: 0, closed_until_ms: 0 }
+        RateLimiter { tokens_per_s, tokens: tokens_per_s, refilled_ms: 0, paused_until_ms: 0 }
     }
 
     /// Changes the rate. Tokens beyond the bucket's new capacity are dropped.
@@ -37,7 +37,7 @@
     /// Returns the number of tokens that may be taken now while `reserve`, a fraction of one
     /// second's worth, is left for more urgent uses.
     pub fn available(&mut self, now_ms: u64, reserve: f64) -> f64 {
-        if self.is_closed(now_ms) {
+        if self.is_paused(now_ms) {
             return 0.0;
         }
         self.refill(now_ms);
@@ -56,19 +56,19 @@
 
     /// Takes tokens for a call that can't wait, even if too few are left. Later refills make up for
     /// the deficit before tokens are available again.
-    pub fn force(&mut self, now_ms: u64, amount: f64) {
+    pub fn charge(&mut self, now_ms: u64, amount: f64) {
         self.refill(now_ms);
         self.tokens -= amount;
     }
 
     /// Returns whether no tokens are available because the service has refused a call.
-    pub fn is_closed(&self, now_ms: u64) -> bool {
-        now_ms < self.closed_until_ms
+    pub fn is_paused(&self, now_ms: u64) -> bool {
+        now_ms < self.paused_until_ms
     }
 
     /// Makes tokens unavailable for this duration, after the service has refused a call with 429 or
     /// 503.
-    pub fn close(&mut self, now_ms: u64, duration_ms: u64) {
-        self.closed_until_ms = self.closed_until_ms.max(now_ms + duration_ms);
+    pub fn pause(&mut self, now_ms: u64, duration_ms: u64) {
+        self.paused_until_ms = self.paused_until_ms.max(now_ms + duration_ms);
     }
 }
--- a/crates/core/src/storage/read_budget.rs
+++ b/crates/core/src/storage/read_budget.rs
@@ -98,7 +98,7 @@
     }
 
     /// Resets to a full budget of `reads_per_s` reads per second. The counts of reads are kept.
-    pub fn refill(&mut self, reads_per_s: f64) {
+    pub fn reset(&mut self, reads_per_s: f64) {
         *self = ReadBudget { reads_made: self.reads_made, ..ReadBudget::new(reads_per_s) };
     }
 
@@ -112,36 +112,36 @@
         let is_guaranteed =
             purpose == ReadPurpose::StatusQuery && self.take_guaranteed_status(now_ms);
         if is_guaranteed {
-            self.force(now_ms, purpose);
+            self.charge(now_ms, purpose);
         }
         is_guaranteed
     }
 
     /// Returns whether a read that serves many status queries may be made. The read is charged by
-    /// [`ReadBudget::force`] when it is sent.
-    pub fn may_gather_status(&mut self, now_ms: u64) -> bool {
+    /// [`ReadBudget::charge`] when it is sent.
+    pub fn may_read_for_status_batch(&mut self, now_ms: u64) -> bool {
         let reserve = ReadPurpose::StatusComparison.reserve();
         self.shared.available(now_ms, reserve) >= 1.0 || self.take_guaranteed_status(now_ms)
     }
 
     fn take_guaranteed_status(&mut self, now_ms: u64) -> bool {
-        !self.shared.is_closed(now_ms) && self.guaranteed_status.take(now_ms, 1.0, 0.0)
+        !self.shared.is_paused(now_ms) && self.guaranteed_status.take(now_ms, 1.0, 0.0)
     }
 
     /// Charges a read that is made in any case. If the budget is exceeded, later refills make up
     /// for the deficit before other reads are allowed.
-    pub fn force(&mut self, now_ms: u64, purpose: ReadPurpose) {
+    pub fn charge(&mut self, now_ms: u64, purpose: ReadPurpose) {
         self.reads_made[purpose as usize] += 1;
-        self.shared.force(now_ms, 1.0);
+        self.shared.charge(now_ms, 1.0);
     }
 
     /// Allows no reads for this duration, because the store has refused a call.
-    pub fn close(&mut self, now_ms: u64, duration_ms: u64) {
-        self.shared.close(now_ms, duration_ms);
+    pub fn pause(&mut self, now_ms: u64, duration_ms: u64) {
+        self.shared.pause(now_ms, duration_ms);
     }
 
     /// Returns the number of reads that may be made now.
-    pub fn left(&mut self, now_ms: u64) -> f64 {
+    pub fn available(&mut self, now_ms: u64) -> f64 {
         self.shared.available(now_ms, 0.0)
     }
 
--- a/crates/core/src/storage/record_writer.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -52,7 +52,7 @@
         job: JobIndex,
         chunk: u32,
         /// Location of the record once the write has been executed.
-        placed: RecordLocation,
+        location: RecordLocation,
     },
     /// Terminal state of a job, with the deletion of these chunks' placement records.
     Terminal { job: JobIndex, chunks: Vec<u32> },
@@ -71,7 +71,7 @@
     /// Abort of a job.
     Abort,
     /// Placements of tasks that may start once the placements are recorded.
-    Deal,
+    Placement,
     /// Completions of tasks.
     TaskCompletions,
     /// Folding of completed chunks into their job's record.
@@ -87,7 +87,7 @@
     pub const ALL: [(WritePurpose, &'static str); 7] = [
         (WritePurpose::Accept, "accept"),
         (WritePurpose::Abort, "abort"),
-        (WritePurpose::Deal, "deal"),
+        (WritePurpose::Placement, "deal"),
         (WritePurpose::TaskCompletions, "ends"),
         (WritePurpose::Fold, "fold"),
         (WritePurpose::TerminalState, "end"),
@@ -98,7 +98,7 @@
 /// The dirty records, which are older in the store than in memory, and the limits on writing them.
 pub(crate) struct RecordWriter {
     /// Limits this controller's changes per second.
-    pub writes: RateLimiter,
+    pub write_limiter: RateLimiter,
     /// Changes made since this process became the leader.
     changes_by_purpose: BTreeMap<WritePurpose, u64>,
     dirty_chunks: BTreeSet<(JobIndex, u32)>,
@@ -145,7 +145,7 @@
     /// Creates a writer without dirty records.
     pub fn new(limits: &StateLimits) -> Self {
         RecordWriter {
-            writes: RateLimiter::new(Self::write_rate(limits)),
+            write_limiter: RateLimiter::new(Self::write_rate(limits)),
             changes_by_purpose: BTreeMap::new(),
             dirty_chunks: BTreeSet::new(),
             dirty_jobs: BTreeSet::new(),
@@ -169,7 +169,7 @@
     }
 
     /// Adds to the number of changes made for this purpose, which the metrics report.
-    pub fn note(&mut self, purpose: WritePurpose, changes: usize) {
+    pub fn count_changes(&mut self, purpose: WritePurpose, changes: usize) {
         *self.changes_by_purpose.entry(purpose).or_default() += changes as u64;
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Schedules the deletion of a key that no controller writes any more.
-    pub fn remove(&mut self, path: String) {
+    pub fn schedule_deletion(&mut self, path: String) {
         self.deletions.insert(path, 0);
     }
 
@@ -272,9 +272,10 @@
         let grace_ms = self.context.config.lease_bound_ms() / 2;
         let mut unreachable_machines = BTreeSet::new();
         for (_, job) in self.jobs.iter() {
-            if job.state == JobState::Aborted && now > job.aborted_ms + grace_ms {
+            if job.state == JobState::Aborted && now > job.aborted_or_loaded_ms + grace_ms {
                 for (_, task) in job.tasks() {
-                    unreachable_machines.extend(task.state.machine().map(|(machine, _)| machine));
+                    unreachable_machines
+                        .extend(task.state.machine_and_attempt().map(|(machine, _)| machine));
                     unreachable_machines.extend(
                         task.probes
                             .iter()
--- a/crates/core/src/storage/record_writer/flush.rs
+++ b/crates/core/src/storage/record_writer/flush.rs
@@ -67,13 +67,13 @@
             return;
         }
         let now = self.context.now.steady_ms;
-        let max_per_transaction = self.limits().txn_ops;
-        let available = self.record_writer.writes.available(now, FLUSH_RESERVE) as usize;
+        let max_per_transaction = self.store_limits().txn_ops;
+        let available = self.record_writer.write_limiter.available(now, FLUSH_RESERVE) as usize;
         let limits =
             ChangeLimits { available: available.min(max_per_transaction), max_per_transaction };
         if limits.available == 0 {
             let writes_left = self.record_writer.completions_left || self.any_placement_waits();
-            return self.update_write_supply(writes_left);
+            return self.update_write_capacity(writes_left);
         }
         let mut draft = Draft::new(self.membership.epoch_revision());
         self.gather_records(limits, &mut draft);
@@ -122,14 +122,14 @@
         }
         let completions_left = completions_left && limits.is_rate_limited();
         self.record_writer.completions_left = completions_left;
-        self.update_write_supply(placements_left || completions_left);
+        self.update_write_capacity(placements_left || completions_left);
     }
 
     /// Adds terminal states of best-effort jobs, which use only spare changes, as their placements
     /// do.
     fn gather_best_effort_terminal_states(&mut self, limits: ChangeLimits, draft: &mut Draft) {
         let now = self.context.now.steady_ms;
-        let spare = self.record_writer.writes.available(now, BEST_EFFORT_RESERVE) as usize;
+        let spare = self.record_writer.write_limiter.available(now, BEST_EFFORT_RESERVE) as usize;
         self.gather_terminal_states(true, limits.available.min(spare), draft);
     }
 
@@ -139,7 +139,7 @@
         let deletions: Vec<(String, u64)> =
             self.record_writer.deletions.iter().map(|(p, r)| (p.clone(), *r)).collect();
         for (path, revision) in deletions {
-            let spare = self.record_writer.writes.available(now, CLEANUP_RESERVE) as usize;
+            let spare = self.record_writer.write_limiter.available(now, CLEANUP_RESERVE) as usize;
             if self.record_writer.must_send_alone(draft)
                 || draft.changes() >= limits.available.min(spare)
             {
@@ -149,7 +149,7 @@
                 draft.transaction.guards.push(Guard { path: path.clone(), revision });
             }
             draft.transaction.apply.push(Change::Delete { delete: path.clone() });
-            self.record_writer.note(WritePurpose::Cleanup, 1);
+            self.record_writer.count_changes(WritePurpose::Cleanup, 1);
             self.record_writer.deletions.remove(&path);
             draft.items.push(FlushItem::Deletion { path, revision });
         }
@@ -166,7 +166,7 @@
         }
         let dirty = !writer.dirty_chunks.is_empty() || !writer.dirty_jobs.is_empty();
         writer.batch_started_ms = dirty.then_some(now);
-        writer.writes.force(now, draft.changes() as f64);
+        writer.write_limiter.charge(now, draft.changes() as f64);
         writer.flush_in_flight = true;
         writer.single_record_flushes_left = writer.single_record_flushes_left.saturating_sub(1);
         let body = to_cbor(&draft.transaction);
