--- a/crates/core/src/storage/record_writer/outcomes.rs
+++ b/crates/core/src/storage/record_writer/outcomes.rs
@@ -94,8 +94,8 @@
 
     fn on_item_written(&mut self, item: FlushItem, revision: u64) {
         match item {
-            FlushItem::Chunk { job, chunk, placed } => {
-                self.on_placement_written(job, chunk, placed, revision)
+            FlushItem::Chunk { job, chunk, location } => {
+                self.on_placement_written(job, chunk, location, revision)
             }
             FlushItem::Terminal { job, chunks } => {
                 self.on_terminal_state_written(job, &chunks, revision)
@@ -109,13 +109,13 @@
         &mut self,
         job_index: JobIndex,
         chunk: u32,
-        placed: RecordLocation,
+        location: RecordLocation,
         revision: u64,
     ) {
-        self.on_placement_recorded(job_index, chunk, placed, revision);
+        self.on_placement_recorded(job_index, chunk, location, revision);
         // A job that has a record of its own no longer belongs to a batch record.
-        let with_own_record = self.jobs.get_mut(job_index).filter(|_| placed.own);
-        if let Some(batch) = with_own_record.and_then(|job| job.page.take()) {
+        let with_own_record = self.jobs.get_mut(job_index).filter(|_| location.sets_own_record);
+        if let Some(batch) = with_own_record.and_then(|job| job.batch_number.take()) {
             self.remove_from_batch(job_index, batch);
         }
         self.dispatch_probed_machines(job_index);
@@ -161,7 +161,7 @@
             .flat_map(|(number, chunk)| piece_keys(&job.id, *number, chunk.pieces))
             .collect();
         for path in paths {
-            self.record_writer.remove(path);
+            self.record_writer.schedule_deletion(path);
         }
         self.drop_job(job_index);
     }
@@ -169,9 +169,9 @@
     /// Marks the record of an item as dirty again after its write was not executed.
     pub(crate) fn requeue_write(&mut self, item: FlushItem) {
         match item {
-            FlushItem::Chunk { job: job_index, chunk, placed } => {
+            FlushItem::Chunk { job: job_index, chunk, location } => {
                 let Some(job) = self.jobs.get_mut(job_index) else { return };
-                job.busy &= !placed.own;
+                job.busy &= !location.sets_own_record;
                 if let Some(chunk) = job.chunks.get_mut(&chunk) {
                     // Tasks may wait for this record before they start.
                     (chunk.busy, chunk.blocks_starts) = (false, true);
--- a/crates/core/src/storage/record_writer/placements.rs
+++ b/crates/core/src/storage/record_writer/placements.rs
@@ -49,7 +49,7 @@
 
     fn purpose(self) -> WritePurpose {
         match self {
-            Urgency::BlocksStarts(_) | Urgency::BlocksBestEffortStarts => WritePurpose::Deal,
+            Urgency::BlocksStarts(_) | Urgency::BlocksBestEffortStarts => WritePurpose::Placement,
             Urgency::Overdue | Urgency::Deferrable => WritePurpose::TaskCompletions,
         }
     }
@@ -98,7 +98,8 @@
     pub(super) fn gather_placements(&mut self, limits: ChangeLimits, draft: &mut Draft) -> bool {
         let now = self.context.now.steady_ms;
         for dirty in self.dirty_chunks_in_order() {
-            let spare = self.record_writer.writes.available(now, dirty.urgency.reserve()) as usize;
+            let spare =
+                self.record_writer.write_limiter.available(now, dirty.urgency.reserve()) as usize;
             if self.record_writer.must_send_alone(draft)
                 || draft.changes() >= limits.available.min(spare)
                 || draft.bytes > MAX_TRANSACTION_BYTES
@@ -179,10 +180,10 @@
         {
             return ChunkAction::Wait;
         }
-        if let Some(number) = job.page.filter(|_| !job.own) {
+        if let Some(number) = job.batch_number.filter(|_| !job.needs_own_record) {
             return match job.chunk_count() {
                 // The job's terminal state will cover this placement.
-                _ if chunk.whole() => ChunkAction::Discard,
+                _ if chunk.is_complete() => ChunkAction::Discard,
                 1 => ChunkAction::RewriteBatch { number },
                 // A batch record holds only the first chunk of a job.
                 _ => ChunkAction::MoveOutOfBatch,
@@ -190,7 +191,7 @@
         }
         // The job's own record, with the placement of the first chunk, is written before the
         // placements of other chunks.
-        if job.page.is_some() && chunk_number > 0 {
+        if job.batch_number.is_some() && chunk_number > 0 {
             return ChunkAction::Wait;
         }
         ChunkAction::Write
@@ -204,7 +205,7 @@
         // job: nothing starts any more, and the terminal state covers the rest.
         let aborted = job.state == JobState::Aborted && chunk.revision == 0;
         // A completed chunk is folded into the job's record instead.
-        let folds = || chunk.revision > 0 && chunk.whole() && self.may_fold(job);
+        let folds = || chunk.revision > 0 && chunk.is_complete() && self.may_fold(job);
         chunk.dirty && !ended && !folds() && !aborted
     }
 
@@ -227,7 +228,7 @@
         let Some(write) = self.placement_write(job_index, chunk) else { return true };
         let id = self.jobs.get(job_index).map(|job| job.id.clone()).unwrap_or_default();
         if write.oversize || write.changes() > limits.max_per_transaction {
-            tracing::error!(job = %id, chunk, bytes = write.bytes, pieces = write.placed.pieces,
+            tracing::error!(job = %id, chunk, bytes = write.bytes, pieces = write.location.pieces,
                 "a placement record exceeds the store's limits; its write is deferred");
             self.defer_write(job_index, Some(chunk));
             return true;
@@ -241,12 +242,17 @@
             return false;
         }
         draft.bytes += write.bytes + KEYS_BYTES;
-        let placed = write.placed;
-        self.record_writer.note(urgency.purpose(), write.changes());
-        write.enter(&id, chunk, &mut draft.transaction.guards, &mut draft.transaction.apply);
-        self.on_placement_sent(job_index, chunk, placed);
+        let location = write.location;
+        self.record_writer.count_changes(urgency.purpose(), write.changes());
+        write.add_to_transaction(
+            &id,
+            chunk,
+            &mut draft.transaction.guards,
+            &mut draft.transaction.apply,
+        );
+        self.on_placement_sent(job_index, chunk, location);
         self.record_writer.clear_dirty_chunk(job_index, chunk);
-        draft.items.push(FlushItem::Chunk { job: job_index, chunk, placed });
+        draft.items.push(FlushItem::Chunk { job: job_index, chunk, location });
         true
     }
 }
--- a/crates/core/src/storage/record_writer/rereads.rs
+++ b/crates/core/src/storage/record_writer/rereads.rs
@@ -27,15 +27,15 @@
             // The placements that the write deletes may or may not exist any more.
             FlushItem::Terminal { job, chunks } | FlushItem::Fold { job, chunks } => {
                 for &chunk in chunks {
-                    let placed = RecordLocation::default();
-                    self.reread_record(FlushItem::Chunk { job: *job, chunk, placed });
+                    let location = RecordLocation::default();
+                    self.reread_record(FlushItem::Chunk { job: *job, chunk, location });
                 }
             }
-            FlushItem::Chunk { job, chunk, placed } => {
+            FlushItem::Chunk { job, chunk, location } => {
                 if let Some(c) = self.jobs.get_mut(*job).and_then(|j| j.chunks.get_mut(chunk)) {
                     c.busy = true;
                 }
-                if placed.own {
+                if location.sets_own_record {
                     self.reread_job(*job);
                 }
             }
@@ -129,7 +129,7 @@
     /// Handles the absence of a job's own record. Such a job must belong to a batch record, which
     /// implies that it is live.
     fn on_own_record_missing(&mut self, job_index: JobIndex) {
-        let in_batch = self.jobs.get(job_index).is_some_and(|job| job.page.is_some());
+        let in_batch = self.jobs.get(job_index).is_some_and(|job| job.batch_number.is_some());
         if !in_batch {
             return self.mark_unreadable(job_index);
         }
@@ -143,7 +143,7 @@
         let Some(job) = self.jobs.get_mut(job_index) else { return };
         (job.busy, job.revision) = (false, revision);
         if let Some(chunk) = job.chunks.get_mut(&0) {
-            chunk.inline = record.share.is_some();
+            chunk.inline = record.placement.is_some();
         }
         job.done_chunks = record.done_chunks;
         // A fold whose outcome was lost has deleted the placement records of these chunks.
--- a/crates/core/src/storage/record_writer/terminal_states.rs
+++ b/crates/core/src/storage/record_writer/terminal_states.rs
@@ -125,7 +125,7 @@
         if job.busy || job.chunks.values().any(|c| c.busy) || now < job.deferred_until_ms {
             return JobRecordAction::Wait;
         }
-        let off_machines = || job.tasks().all(|(_, task)| !task.state.reserved());
+        let off_machines = || job.tasks().all(|(_, task)| !task.state.holds_reservation());
         match job.state {
             JobState::Live if job.done >= job.spec.tasks => {
                 JobRecordAction::End(RecordedStatus::Done)
@@ -150,7 +150,7 @@
         draft: &mut Draft,
     ) -> bool {
         let now = self.context.now.steady_ms;
-        let writes = &mut self.record_writer.writes;
+        let writes = &mut self.record_writer.write_limiter;
         if status == RecordedStatus::Aborted && writes.available(now, ABORTED_RESERVE) < 1.0 {
             return true;
         }
@@ -176,8 +176,8 @@
         let before_deletions = draft.changes();
         self.record_writer.completion_queue.record_service(job.team, &job.spec.class);
         self.remove_placements(job_index, &chunks, &mut draft.transaction);
-        self.record_writer.note(WritePurpose::TerminalState, 1);
-        self.record_writer.note(WritePurpose::Cleanup, draft.changes() - before_deletions);
+        self.record_writer.count_changes(WritePurpose::TerminalState, 1);
+        self.record_writer.count_changes(WritePurpose::Cleanup, draft.changes() - before_deletions);
         draft.bytes += TERMINAL_STATE_BYTES + DELETION_BYTES * chunks.len();
         self.record_writer.clear_dirty_job(job_index);
         if let Some(job) = self.jobs.get_mut(job_index) {
@@ -195,10 +195,10 @@
         JobRecord {
             status,
             spec: None,
-            at_ms: job.at_ms,
+            at_ms: job.submitted_ms,
             done_chunks: Vec::new(),
             service: job.spec.shape == JobKind::Service && self.is_active(Feature::ServiceMark),
-            share: None,
+            placement: None,
         }
     }
 
@@ -210,7 +210,7 @@
         if !self.may_fold(job) || changes_left < 2 {
             return self.record_writer.clear_dirty_job(job_index);
         }
-        let foldable = |chunk: &Chunk| !chunk.busy && chunk.revision > 0 && chunk.whole();
+        let foldable = |chunk: &Chunk| !chunk.busy && chunk.revision > 0 && chunk.is_complete();
         let completed = job.chunks.iter().filter(|(_, chunk)| foldable(chunk));
         let max_keys = changes_left - 1;
         let chunks = chunks_within_key_limit(completed, max_keys);
@@ -229,7 +229,7 @@
             lease_id: None,
         });
         self.remove_placements(job_index, &chunks, &mut draft.transaction);
-        self.record_writer.note(WritePurpose::Fold, draft.changes() - changes_before);
+        self.record_writer.count_changes(WritePurpose::Fold, draft.changes() - changes_before);
         if let Some(job) = self.jobs.get_mut(job_index) {
             job.busy = true;
         }
--- a/crates/core/src/storage/records/batch.rs
+++ b/crates/core/src/storage/records/batch.rs
@@ -89,7 +89,7 @@
             at_ms: entry.at_ms,
             done_chunks: Vec::new(),
             service: false,
-            share: entry.placement,
+            placement: entry.placement,
         })
     }
 
--- a/crates/core/src/storage/records/job.rs
+++ b/crates/core/src/storage/records/job.rs
@@ -38,8 +38,8 @@
     pub service: bool,
     /// Placement of a job of one chunk, unless the placement has keys of its own. Present since
     /// format 3.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub share: Option<PlacementPiece>,
+    #[serde(rename = "share", default, skip_serializing_if = "Option::is_none")]
+    pub placement: Option<PlacementPiece>,
 }
 
 impl JobRecord {
@@ -50,7 +50,7 @@
 
     /// Shrinks the record of an ending job if it exceeds `max_bytes`. The description is retained
     /// while tasks may be on machines, but without the fields that are needed only to start tasks.
-    pub fn end_within(&mut self, max_bytes: usize) {
+    pub fn shrink_to_fit(&mut self, max_bytes: usize) {
         if checked_size(self) > max_bytes {
             if let Some(spec) = &mut self.spec {
                 spec.types = None;
--- a/crates/core/src/storage/records/mod.rs
+++ b/crates/core/src/storage/records/mod.rs
@@ -42,5 +42,5 @@
 };
 pub use placement::{PlacementPiece, PlacementRecord, ProbeSet, ZoneRange, TASKS_PER_CHUNK};
 pub use placement_packing::{
-    inline_piece, open_inline, pack_placement, read_placement, AssembledPlacement,
+    decode_inline, inline_piece, pack_placement, read_placement, AssembledPlacement,
 };
--- a/crates/core/src/storage/records/placement.rs
+++ b/crates/core/src/storage/records/placement.rs
@@ -46,7 +46,8 @@
     /// Epoch of the leader that wrote the record.
     pub epoch: u64,
     /// Number of keys over which the placement is split. All of them are always written together.
-    pub of: u32,
+    #[serde(rename = "of")]
+    pub piece_count: u32,
     /// Names of the machines to which `sets` refers.
     pub machines: Vec<String>,
     /// For each set of tasks: its first task, its last task, then indexes into `machines`.
--- a/crates/core/src/storage/records/placement_packing.rs
+++ b/crates/core/src/storage/records/placement_packing.rs
@@ -28,14 +28,14 @@
 
 impl AssembledPlacement {
     /// Returns whether all pieces have been read.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.pieces_read == self.piece_count
     }
 
     /// Adds another piece. Returns false if the piece does not belong to this placement.
-    pub fn join(&mut self, other: AssembledPlacement) -> bool {
+    pub fn add_piece(&mut self, other: AssembledPlacement) -> bool {
         let same_write = (self.revision, self.piece_count) == (other.revision, other.piece_count);
-        if !same_write || self.whole() {
+        if !same_write || self.is_complete() {
             return false;
         }
         let offset = self.record.machines.len() as u32;
@@ -76,8 +76,8 @@
 
 /// Decodes the placement that a job's own record or a batch record contains. Returns `None` if the
 /// placement is malformed.
-pub fn open_inline(piece: &PlacementPiece, revision: u64) -> Option<AssembledPlacement> {
-    let placement = decode_piece(piece, 0, revision).filter(AssembledPlacement::whole)?;
+pub fn decode_inline(piece: &PlacementPiece, revision: u64) -> Option<AssembledPlacement> {
+    let placement = decode_piece(piece, 0, revision).filter(AssembledPlacement::is_complete)?;
     Some(AssembledPlacement { inline: true, ..placement })
 }
 
@@ -88,7 +88,10 @@
 }
 
 fn decode_piece(piece: &PlacementPiece, chunk: u32, revision: u64) -> Option<AssembledPlacement> {
-    if piece.format != PACKED_FORMAT || piece.of == 0 || piece.of > TASKS_PER_CHUNK {
+    if piece.format != PACKED_FORMAT
+        || piece.piece_count == 0
+        || piece.piece_count > TASKS_PER_CHUNK
+    {
         return None;
     }
     let first_task = chunk.checked_mul(TASKS_PER_CHUNK)?;
@@ -99,7 +102,7 @@
         zones: decode_zones(piece)?,
         done: decode_done(piece, first_task)?,
     };
-    let piece_count = piece.of;
+    let piece_count = piece.piece_count;
     Some(AssembledPlacement { record, revision, piece_count, pieces_read: 1, inline: false })
 }
 
@@ -160,7 +163,7 @@
         }
     }
     let piece_count = pieces.len() as u32;
-    pieces.iter_mut().for_each(|piece| piece.of = piece_count);
+    pieces.iter_mut().for_each(|piece| piece.piece_count = piece_count);
     pieces
 }
 
@@ -188,7 +191,7 @@
     PlacementPiece {
         format: PACKED_FORMAT,
         epoch: record.epoch,
-        of: 1,
+        piece_count: 1,
         machines: machines.names,
         sets,
         done: record.done.iter().filter_map(|(from, to)| clip(*from, *to)).collect(),
--- a/crates/core/tests/golden/cluster.rs
+++ b/crates/core/tests/golden/cluster.rs
@@ -478,9 +478,9 @@
     }
 
     /// Tells a controller how loaded its process is, as the daemon does.
-    pub fn tell_load(&mut self, node: usize, state: LoadState, figures: &[(&str, f64)]) {
-        let figures = figures.iter().map(|(name, value)| (name.to_string(), *value)).collect();
-        self.feed(node, Event::Load { state, figures });
+    pub fn tell_load(&mut self, node: usize, state: LoadState, metrics: &[(&str, f64)]) {
+        let metrics = metrics.iter().map(|(name, value)| (name.to_string(), *value)).collect();
+        self.feed(node, Event::Load { state, metrics });
     }
 
     // Workers.
--- a/crates/core/tests/simulation/cluster/invariants.rs
+++ b/crates/core/tests/simulation/cluster/invariants.rs
@@ -279,7 +279,7 @@
                 found.push(format!("{id} stands nowhere"));
             }
             let record = own.and_then(|own| own.value.deserialized::<JobRecord>().ok());
-            let inline = record.is_some_and(|record| record.share.is_some());
+            let inline = record.is_some_and(|record| record.placement.is_some());
             if inline && self.state.keys.contains_key(&format!("shares/{id}/0/0")) {
                 found.push(format!("the share of {id} stands in two places"));
             }
--- a/crates/core/tests/simulation/format_upgrade.rs
+++ b/crates/core/tests/simulation/format_upgrade.rs
@@ -194,7 +194,7 @@
             }
             "shares" => {
                 let share = read_placement(&key, &value, 7).expect("a placement record");
-                assert!(share.whole());
+                assert!(share.is_complete());
                 assert_eq!(Value::serialized(&share.record).unwrap(), value, "{key}");
             }
             "view" if key == "view" => drop(value.deserialized::<EpochRecord>().unwrap()),
@@ -239,11 +239,11 @@
         };
         let mut whole = read(pieces.len() - 1);
         for n in 0..pieces.len() - 1 {
-            assert!(!whole.whole());
-            assert!(whole.join(read(n)));
+            assert!(!whole.is_complete());
+            assert!(whole.add_piece(read(n)));
         }
-        assert!(whole.whole());
-        assert!(!whole.join(read(0)), "a piece too many");
+        assert!(whole.is_complete());
+        assert!(!whole.add_piece(read(0)), "a piece too many");
         let by_task = |r: &PlacementRecord| {
             let mut all: Vec<(u32, Vec<String>)> = Vec::new();
             for set in &r.sets {
--- a/crates/core/tests/simulation/inline_placements.rs
+++ b/crates/core/tests/simulation/inline_placements.rs
@@ -40,14 +40,17 @@
         cluster.submit(leader, &job(&format!("wk-00000{n}"), JobKind::Array, 1));
         cluster.run_for_ms(700);
     }
-    assert!(job_record(&cluster, "wk-000007").share.is_some_and(|s| !s.sets.is_empty()));
+    assert!(job_record(&cluster, "wk-000007").placement.is_some_and(|s| !s.sets.is_empty()));
     cluster.run_for_ms(15_000);
     for n in 0..8 {
         let id = format!("wk-00000{n}");
         cluster.query(leader, &id);
         cluster.run_for_ms(20);
         assert_eq!(cluster.observed_status[&id], JobStatus::Done);
-        assert!(job_record(&cluster, &id).share.is_none(), "the record of a finished job is small");
+        assert!(
+            job_record(&cluster, &id).placement.is_none(),
+            "the record of a finished job is small"
+        );
     }
     assert_eq!((cluster.state.writes - before, separate_placement_records(&cluster)), (16, 0));
     cluster.check_invariants();
@@ -158,7 +161,7 @@
             let ended = job_record(&cluster, "wk-000001");
             let running = !cluster.live_tasks("wk-000001").is_empty();
             assert!(
-                !running || ended.share.is_some(),
+                !running || ended.placement.is_some(),
                 "the record still names the machines of its tasks"
             );
             cluster.crash_all_for_ms(300);
@@ -208,10 +211,10 @@
         cluster.submit_until_accepted(&job("wk-000002", JobKind::Array, 3));
         cluster.crash_all();
         let mut record = job_record(&cluster, "wk-000001");
-        let share = record.share.as_mut().unwrap();
+        let share = record.placement.as_mut().unwrap();
         match case {
             0 => share.sets[0][1] = 1_000,
-            _ => share.of = 2,
+            _ => share.piece_count = 2,
         }
         let damaged = Value::serialized(&record).unwrap();
         cluster.damage_value("jobs/wk-000001", damaged.clone());
--- a/crates/core/tests/unit/capacity_pool.rs
+++ b/crates/core/tests/unit/capacity_pool.rs
@@ -29,7 +29,7 @@
             let one_by_one: u32 = pool
                 .groups
                 .iter()
-                .flat_map(|(group, count)| (0..*count).map(|_| group.free().holds(&need)))
+                .flat_map(|(group, count)| (0..*count).map(|_| group.free().max_tasks(&need)))
                 .sum();
             let before = free_cpus(&pool);
             let unplaced = pool.place(&need, wanted, |_| true);
--- a/crates/core/tests/unit/queue.rs
+++ b/crates/core/tests/unit/queue.rs
@@ -2,9 +2,17 @@
 
 use super::*;
 
-fn probe(remaining_s: f64, ratio: f64, slack: u32, arrived: u64) -> QueuedProbe {
+fn probe(remaining_s: f64, ratio: f64, times_passed_over: u32, arrived: u64) -> QueuedProbe {
     let (priority, guaranteed, missed_objectives) = (Priority::Normal, false, 0);
-    QueuedProbe { priority, guaranteed, missed_objectives, remaining_s, ratio, slack, arrived }
+    QueuedProbe {
+        priority,
+        guaranteed,
+        missed_objectives,
+        remaining_s,
+        ratio,
+        times_passed_over,
+        arrived,
+    }
 }
 
 /// Guards the switch to scarcity past both thresholds, and the way back.
@@ -34,7 +42,7 @@
                 break;
             }
             assert_eq!(got.passed, vec![0]);
-            long.slack += 1;
+            long.times_passed_over += 1;
             passed += 1;
             assert!(passed <= 5, "passed again at the cap in {order:?}");
         }
@@ -55,7 +63,7 @@
     for order in [QueueOrder::ShortestFirst, QueueOrder::ScarcityFirst] {
         assert_eq!(pick(&queue, order, 5, |_| true).unwrap().chosen, 1);
         let mut capped = queue;
-        capped[0].slack = 5;
+        capped[0].times_passed_over = 5;
         assert_eq!(pick(&capped, order, 5, |_| true).unwrap().chosen, 0);
     }
 }
--- a/crates/core/tests/unit/read_budget.rs
+++ b/crates/core/tests/unit/read_budget.rs
@@ -8,7 +8,7 @@
 #[test]
 fn status_queries_keep_their_part_whatever_others_force() {
     let mut budget = ReadBudget::new(100.0);
-    (0..1_000).for_each(|_| budget.force(1, ReadPurpose::BatchScan));
+    (0..1_000).for_each(|_| budget.charge(1, ReadPurpose::BatchScan));
     let reads = reads_in_a_second(&mut budget, 1_000, ReadPurpose::StatusQuery);
     assert!((30..=60).contains(&reads), "{reads}");
     assert_eq!(reads_in_a_second(&mut budget, 1_000, ReadPurpose::Request), 0);
@@ -17,9 +17,9 @@
 #[test]
 fn a_pause_that_the_store_asked_for_holds_for_all() {
     let mut budget = ReadBudget::new(100.0);
-    budget.close(1_000, 500);
+    budget.pause(1_000, 500);
     assert!(!budget.take(1_400, ReadPurpose::StatusQuery));
-    assert!(!budget.may_gather_status(1_400));
+    assert!(!budget.may_read_for_status_batch(1_400));
     assert!(budget.take(1_500, ReadPurpose::StatusQuery));
 }
 
@@ -28,7 +28,7 @@
     let left_by = |purpose| {
         let mut budget = ReadBudget::new(100.0);
         while budget.take(1, purpose) {}
-        budget.left(1).round() as u32
+        budget.available(1).round() as u32
     };
     assert_eq!(left_by(ReadPurpose::Request), 10);
     assert_eq!(left_by(ReadPurpose::Dependency), 25);
--- a/crates/loadtest/src/simulation/mod.rs
+++ b/crates/loadtest/src/simulation/mod.rs
@@ -226,7 +226,7 @@
             at_ms: WALL_CLOCK_START_MS,
             done_chunks: Vec::new(),
             service: false,
-            share: None,
+            placement: None,
         };
         for number in 0..self.options.terminal_jobs {
             self.state_service.preload(format!("jobs/wk-9{number:08}"), encode(&record));
--- a/crates/overload/src/load.rs
+++ b/crates/overload/src/load.rs
@@ -7,7 +7,7 @@
     #[default]
     Normal,
     /// There is a standing queue: work that can be deferred gets less CPU time.
-    Pressed,
+    Elevated,
     /// Workers' heartbeats wait for too long: users' requests, except cancellations, are rejected
     /// without being queued.
     Shedding,
@@ -18,7 +18,7 @@
     pub fn name(self) -> &'static str {
         match self {
             LoadState::Normal => "normal",
-            LoadState::Pressed => "pressed",
+            LoadState::Elevated => "pressed",
             LoadState::Shedding => "shedding",
         }
     }
@@ -26,8 +26,8 @@
     /// Returns the state that is entered when the load has fallen.
     fn next_lower(self) -> LoadState {
         match self {
-            LoadState::Shedding => LoadState::Pressed,
-            LoadState::Pressed | LoadState::Normal => LoadState::Normal,
+            LoadState::Shedding => LoadState::Elevated,
+            LoadState::Elevated | LoadState::Normal => LoadState::Normal,
         }
     }
 }
@@ -43,7 +43,7 @@
 
 /// Fraction 1/n of a worker's heartbeat timeout: if the oldest request waits for so long throughout
 /// a window, there is a standing queue.
-const PRESSED_DIVISOR: u64 = 40;
+const ELEVATED_DIVISOR: u64 = 40;
 /// Fraction 1/n of a worker's heartbeat timeout: if heartbeats wait for so long, leases may expire.
 const SHEDDING_DIVISOR: u64 = 8;
 /// Number of measuring windows in a worker's heartbeat timeout.
@@ -58,8 +58,8 @@
 #[derive(Clone, Debug)]
 pub struct LoadMonitor {
     state: LoadState,
-    /// Shortest wait of the oldest request that leads to [`LoadState::Pressed`].
-    pressed_wait_ms: u64,
+    /// Shortest wait of the oldest request that leads to [`LoadState::Elevated`].
+    elevated_wait_ms: u64,
     /// Shortest wait of heartbeats that leads to [`LoadState::Shedding`].
     shedding_wait_ms: u64,
     window_ms: u64,
@@ -78,7 +78,7 @@
     pub fn new(worker_timeout_ms: u64) -> Self {
         LoadMonitor {
             state: LoadState::Normal,
-            pressed_wait_ms: worker_timeout_ms / PRESSED_DIVISOR,
+            elevated_wait_ms: worker_timeout_ms / ELEVATED_DIVISOR,
             shedding_wait_ms: worker_timeout_ms / SHEDDING_DIVISOR,
             window_ms: worker_timeout_ms / WINDOWS_PER_TIMEOUT,
             window_start_ms: 0,
@@ -136,8 +136,8 @@
     ) -> LoadState {
         if min_heartbeat_wait_ms >= self.shedding_wait_ms / divisor {
             LoadState::Shedding
-        } else if min_oldest_wait_ms >= self.pressed_wait_ms / divisor {
-            LoadState::Pressed
+        } else if min_oldest_wait_ms >= self.elevated_wait_ms / divisor {
+            LoadState::Elevated
         } else {
             LoadState::Normal
         }
--- a/crates/overload/tests/overload.rs
+++ b/crates/overload/tests/overload.rs
@@ -146,7 +146,7 @@
         "{heartbeats} served, the longest after {longest_wait_ms} ms"
     );
     assert!(rejected > 100_000, "too few requests of the flood were rejected: {rejected}");
-    assert_eq!(load.state(), LoadState::Pressed, "queries wait but heartbeats do not");
+    assert_eq!(load.state(), LoadState::Elevated, "queries wait but heartbeats do not");
 }
 
 /// When the load falls, the state returns to normal by itself within the stated time and does not
@@ -165,7 +165,7 @@
     run(&mut load, 1_000, 3);
     assert_eq!(load.state(), LoadState::Normal);
     run(&mut load, 1_000, 150);
-    assert_eq!(load.state(), LoadState::Pressed);
+    assert_eq!(load.state(), LoadState::Elevated);
     run(&mut load, 1_000, 900);
     assert_eq!(load.state(), LoadState::Shedding);
     // Waits between the thresholds for leaving and entering a state keep the state.
--- a/crates/quartzgate/src/event_loop.rs
+++ b/crates/quartzgate/src/event_loop.rs
@@ -92,7 +92,7 @@
         let inbound = InboundSettings {
             max_queued_per_class: max_sockets,
             heartbeat_interval_ms: config.heartbeat_interval_ms(),
-            heartbeat_timeout_ms: config.worker_patience_ms(),
+            heartbeat_timeout_ms: config.worker_answer_timeout_ms(),
         };
         let waiting = WaitingLimits {
             max_calls: config.max_queued_calls(),
--- a/crates/quartzgate/src/inbound.rs
+++ b/crates/quartzgate/src/inbound.rs
@@ -236,7 +236,7 @@
         }
         Some(Event::Load {
             state: self.load_monitor.state(),
-            figures: self.metrics(now_ms, connections),
+            metrics: self.metrics(now_ms, connections),
         })
     }
 
