--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -31,7 +31,8 @@
     /// of the resources that production uses.
     pub warm_share: f64,
     /// Whether this controller agrees to activate format 2 of the records, and thereby any later
-    /// one. Once all controllers agree, the first version can no longer be restored.
+    /// one. Once all controllers agree, the first version of the program can no longer be put back
+    /// into service.
     pub new_format: bool,
     /// Accepted jobs share batch records while less than this fraction of a second's write budget
     /// is left.
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -229,7 +229,7 @@
             && status == TaskStatus::Running
             && running_s % interval_s > job.spec.checkpoint_cost_s;
         let grace = may_checkpoint && is_worth_saving;
-        tracing::debug!(job = %job.id, task = key.task, why, "stopping the task");
+        tracing::debug!(job = %job.id, task = key.task, why, "stopping");
         self.set_task_state(key, TaskState::Stopping { machine, attempt, grace });
         self.machines_to_command.insert(machine);
     }
--- a/crates/core/src/storage/job_batches/batch_writer.rs
+++ b/crates/core/src/storage/job_batches/batch_writer.rs
@@ -34,8 +34,8 @@
     /// written now.
     pub(crate) fn rewrite_batch(&mut self, number: u64) {
         if self.job_batches.is_read_only(number) {
-            // A rewrite would lose the part that can't be decoded, so that the other jobs get
-            // records of their own.
+            // A rewrite would lose the part that can't be decoded, so the other jobs get records
+            // of their own.
             for member in self.job_batches.members_of(number) {
                 self.require_own_record(member);
             }
@@ -396,7 +396,7 @@
         if !recorded.is_some_and(|record| record.ids().all(is_known)) {
             tracing::error!(
                 number,
-                "a batch record holds unexpected jobs or can't be decoded; it is left unchanged"
+                "cannot decode batch record, or it holds unexpected jobs; it is left unchanged"
             );
             self.job_batches.mark_read_only(number, None);
         }
