--- a/crates/core/tests/simulation/failover.rs
+++ b/crates/core/tests/simulation/failover.rs
@@ -4,8 +4,8 @@
 use crate::cluster::{job, Cluster, LinkFault};
 use quartzgate_wire::msg::{HeartbeatTask, JobKind, TaskStatus};
 
-/// The state service refuses the leader alone: its lease expires, another controller leads, and
-/// tasks that the old leader kept running are not started again.
+/// The state service refuses only the leader: the leader's lease expires, another controller
+/// becomes leader, and tasks that the old leader kept running are not started again.
 #[test]
 fn leader_is_replaced_when_the_state_service_refuses_it() {
     for seed in 0..6 {
@@ -13,9 +13,9 @@
         cluster.run_for_ms(500);
         cluster.task_duration_ms.insert("wk-000001".into(), 9_000);
         cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 12));
-        let old = cluster.leader().unwrap();
-        cluster.state.refused_nodes.insert(old);
-        cluster.run_until_leader_changes(20_000, old);
+        let old_leader = cluster.leader().unwrap();
+        cluster.state.refused_nodes.insert(old_leader);
+        cluster.run_until_leader_changes(20_000, old_leader);
         cluster.run_for_ms(5_000);
         cluster.state.refused_nodes.clear();
         cluster.run_until_done("wk-000001", 120_000);
@@ -23,8 +23,8 @@
     }
 }
 
-/// Every write is conditional on the epoch record: writes of an old leader that the network held
-/// back meet a later epoch and fail.
+/// Every write is conditional on the epoch record, so that writes of an old leader that the network
+/// held back meet a later epoch and fail.
 #[test]
 fn delayed_writes_of_a_deposed_leader_fail() {
     for step in 0..10 {
@@ -33,9 +33,9 @@
         cluster.task_duration_ms.insert("wk-000001".into(), 900);
         cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 40));
         cluster.run_for_ms(step * 130);
-        let old = cluster.leader().unwrap();
-        cluster.cut_from_state_service(old, LinkFault::Hold);
-        cluster.run_until_leader_changes(20_000, old);
+        let old_leader = cluster.leader().unwrap();
+        cluster.cut_from_state_service(old_leader, LinkFault::Hold);
+        cluster.run_until_leader_changes(20_000, old_leader);
         cluster.run_for_ms(step * 3);
         cluster.heal_links();
         cluster.run_until_done("wk-000001", 120_000);
@@ -43,7 +43,7 @@
     }
 }
 
-/// Orders that the network held back and delivers after a failover meet a higher fencing token and
+/// Orders that the network holds back and delivers after a failover meet a higher fencing token and
 /// have no effect.
 #[test]
 fn delayed_orders_are_fenced_after_failover() {
@@ -52,34 +52,35 @@
         cluster.run_for_ms(500);
         cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 1));
         cluster.run_until_done("wk-000001", 20_000);
-        let old = cluster.leader().unwrap();
-        // The start orders are sent, and the network holds them.
-        for m in 0..4 {
-            cluster.cut_from_worker(old, format!("vm-{m:06}"), LinkFault::Hold);
+        let old_leader = cluster.leader().unwrap();
+        // The start orders are sent, but the network holds them back.
+        for machine in 0..4 {
+            cluster.cut_from_worker(old_leader, format!("vm-{machine:06}"), LinkFault::Hold);
         }
         cluster.task_duration_ms.insert("wk-000002".into(), 15_000);
         let spec = job("wk-000002", JobKind::Array, 8);
-        cluster.submit(old, &spec);
+        cluster.submit(old_leader, &spec);
         cluster.run_for_ms(600);
-        cluster.crash(old);
-        cluster.run_until_leader_changes(20_000, old);
+        cluster.crash(old_leader);
+        cluster.run_until_leader_changes(20_000, old_leader);
         cluster.run_until_running(40_000, "wk-000002", 8);
         cluster.heal_links();
         cluster.run_for_ms(3_000);
-        cluster.start_controller(old);
+        cluster.start_controller(old_leader);
         cluster.run_until_done("wk-000002", 60_000);
         cluster.check_invariants();
     }
 }
 
-/// The fencing token rises with every order whose outcome is unknown: a start that was held by the
-/// network does not run once its task has been started elsewhere by the same leader.
+/// The fencing token rises with every order whose outcome is unknown, so that a start that the
+/// network held back does not run once the same leader has started its task elsewhere.
 #[test]
 fn delayed_orders_are_fenced_without_failover() {
     for seed in 0..8 {
         let mut cluster = Cluster::new(1, 4, 0.0, 400 + seed);
         cluster.run_for_ms(2_000);
-        // Orders to two machines are held; heartbeats still pass, so that the leases are renewed.
+        // The network holds orders to two machines; heartbeats still pass, so that the leases are
+        // renewed.
         cluster.task_duration_ms.insert("wk-000001".into(), 4_000);
         let held = ["vm-000000", "vm-000002"];
         held.iter().for_each(|m| cluster.cut_from_worker(0, m.to_string(), LinkFault::Hold));
@@ -92,8 +93,8 @@
     }
 }
 
-/// Placements are recorded before tasks start: all controllers crash at any point between
-/// acceptance, record, start and completion, and nothing runs twice or is lost.
+/// Placements are recorded before tasks start: when all controllers crash at any point between
+/// acceptance, record, start and completion, no task runs twice or is lost.
 #[test]
 fn no_task_is_lost_or_duplicated_when_all_controllers_crash() {
     for step in 0..24 {
@@ -112,21 +113,21 @@
     }
 }
 
-/// A chunk is compacted while its last completions are not recorded yet. The write that compacts
-/// it must not recreate its placement record, or the next leader counts the chunk twice and
-/// reports the job done with tasks still to run.
+/// Guards against a chunk that is counted twice. A chunk is compacted while its last completions
+/// are not recorded yet. If the compacting write recreated the chunk's placement record, the next
+/// leader would count the chunk twice and report the job as done with tasks still to run.
 #[test]
 fn compacted_chunk_is_counted_once_after_failover() {
     for step in 0..6 {
         let mut cluster = Cluster::new(3, 50, 0.0, 560 + step);
         cluster.run_for_ms(1_500);
         cluster.task_duration_ms.insert("wk-000001".into(), 3_000);
-        for late in 64..96 {
-            cluster.task_duration_ms.insert(format!("wk-000001/{late}"), 20_000);
+        for index in 64..96 {
+            cluster.task_duration_ms.insert(format!("wk-000001/{index}"), 20_000);
         }
         let spec = job("wk-000001", JobKind::Array, 96);
         cluster.submit_until_accepted(&spec);
-        // The first chunk completes and is compacted, the second runs on.
+        // The first chunk completes and is compacted; the second is still running.
         cluster.run_for_ms(5_000 + step * 500);
         cluster.crash_all_for_ms(1_000);
         cluster.run_for_ms(3_000);
@@ -136,8 +137,9 @@
     }
 }
 
-/// The answer to a placement write is lost and the leader places other tasks: the next leader
-/// finds more reservations on record than the team's quota allows, and stays within the quota.
+/// The answer to a placement write is lost and the leader places other tasks, so that the next
+/// leader finds more reservations on record than the team's quota allows. The next leader must stay
+/// within the quota.
 #[test]
 fn quota_holds_when_unconfirmed_placements_exceed_the_limit() {
     for seed in 0..6 {
@@ -148,22 +150,22 @@
         for id in ["wk-000001", "wk-000002"] {
             cluster.task_duration_ms.insert(id.into(), 6_000);
         }
-        let unseen = job("wk-000001", JobKind::Array, 4);
-        cluster.submit(leader, &unseen);
+        let unconfirmed = job("wk-000001", JobKind::Array, 4);
+        cluster.submit(leader, &unconfirmed);
         cluster.run_for_ms(1_200);
         cluster.submit_until_accepted(&job("wk-000002", JobKind::Array, 4));
         cluster.run_until_running(8_000, "wk-000002", 4);
         cluster.crash_all_for_ms(1_000);
         cluster.run_for_ms(2_000);
-        cluster.submit_until_accepted(&unseen);
+        cluster.submit_until_accepted(&unconfirmed);
         cluster.run_until_done("wk-000001", 60_000);
         cluster.run_until_done("wk-000002", 60_000);
         cluster.check_invariants();
     }
 }
 
-/// Tasks on machines that the new leader cannot reach count against the team's quota until they
-/// are proven gone.
+/// Tasks on machines that the new leader cannot reach count against the team's quota until they are
+/// proven gone.
 #[test]
 fn quota_holds_when_failover_leaves_machines_unreachable() {
     for seed in 0..6 {
@@ -173,13 +175,13 @@
         cluster.task_duration_ms.insert("wk-000001".into(), 40_000);
         cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 12));
         cluster.run_until_running(5_000, "wk-000001", 4);
-        let old = cluster.leader().unwrap();
-        let near = cluster.live_tasks("wk-000001")[0].machine.clone();
-        for n in (0..3).filter(|n| *n != old) {
-            cluster.cut_from_worker(n, near.clone(), LinkFault::Drop);
-            cluster.cut_controllers(n, old, LinkFault::Drop);
+        let old_leader = cluster.leader().unwrap();
+        let machine = cluster.live_tasks("wk-000001")[0].machine.clone();
+        for n in (0..3).filter(|n| *n != old_leader) {
+            cluster.cut_from_worker(n, machine.clone(), LinkFault::Drop);
+            cluster.cut_controllers(n, old_leader, LinkFault::Drop);
         }
-        cluster.state.refused_nodes.insert(old);
+        cluster.state.refused_nodes.insert(old_leader);
         cluster.run_for_ms(45_000);
         cluster.heal_links();
         cluster.state.refused_nodes.clear();
@@ -188,33 +190,33 @@
     }
 }
 
-/// A deposed leader that learns of its successor's fencing token never commands with it.
-/// Regression: the token was taken from the answer to an inspection, and a leader back from a
-/// partition restarted aborted tasks.
+/// A deposed leader that learns of its successor's fencing token must never send orders with it.
+/// Regression test: a leader took the token from the answer to an inspection and, back from a
+/// partition, restarted aborted tasks.
 #[test]
 fn deposed_leader_never_adopts_a_newer_fencing_token() {
     let mut cluster = Cluster::new(3, 1, 0.0, 640);
     cluster.run_for_ms(2_000);
-    let old = cluster.leader().unwrap();
-    let mut report = cluster.heartbeat_of("vm-000000").unwrap();
-    cluster.cut_from_worker(old, "vm-000000".into(), LinkFault::Drop);
+    let old_leader = cluster.leader().unwrap();
+    let mut heartbeat = cluster.heartbeat_of("vm-000000").unwrap();
+    cluster.cut_from_worker(old_leader, "vm-000000".into(), LinkFault::Drop);
     cluster.run_for_ms(1_500);
-    // The machine has seen a later epoch, and holds a task that the old leader would stop.
-    let later = (report.fencing_token >> 24) + 1;
-    (report.fencing_token, report.seq) = (later << 24, report.seq + 100);
-    report.tasks = vec![HeartbeatTask {
+    // The machine has seen a later epoch and holds a task that the old leader would stop.
+    let later_epoch = (heartbeat.fencing_token >> 24) + 1;
+    (heartbeat.fencing_token, heartbeat.seq) = (later_epoch << 24, heartbeat.seq + 100);
+    heartbeat.tasks = vec![HeartbeatTask {
         task: "wk-000009/0".into(),
-        attempt: later << 24,
+        attempt: later_epoch << 24,
         status: TaskStatus::Running,
         cause: None,
         checkpointed: None,
     }];
-    let tokens = cluster.tokens_sent_after_inspection(old, &report);
-    assert!(tokens.iter().all(|t| t >> 24 < later), "commands with {tokens:x?}");
+    let tokens = cluster.tokens_sent_after_inspection(old_leader, &heartbeat);
+    assert!(tokens.iter().all(|t| t >> 24 < later_epoch), "sends orders with {tokens:x?}");
 }
 
-/// Record before start (invariant 3): a leader whose writes no longer succeed starts nothing on
-/// machines that the next leader would not know of.
+/// Record before start (invariant 3): a leader whose writes no longer succeed must not start tasks
+/// on machines that the next leader would not know.
 #[test]
 fn no_task_starts_on_an_unrecorded_machine_across_failover() {
     for seed in 0..4 {
@@ -222,18 +224,18 @@
         cluster.run_for_ms(1_500);
         cluster.task_duration_ms.insert("wk-000001".into(), 600_000);
         cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 1));
-        let old = cluster.leader().unwrap();
-        // Only the old leader is reached by the first machine, and only the others by the second.
-        cluster.cut_from_state_service(old, LinkFault::Drop);
-        let (first, second) = (cluster.add_worker(), cluster.add_worker());
-        cluster.workers.get_mut(&first).unwrap().controller = old;
-        cluster.workers.get_mut(&second).unwrap().controller = (old + 1) % 3;
+        let old_leader = cluster.leader().unwrap();
+        // The first machine reaches only the old leader, the second only the other controllers.
+        cluster.cut_from_state_service(old_leader, LinkFault::Drop);
+        let (first_machine, second_machine) = (cluster.add_worker(), cluster.add_worker());
+        cluster.workers.get_mut(&first_machine).unwrap().controller = old_leader;
+        cluster.workers.get_mut(&second_machine).unwrap().controller = (old_leader + 1) % 3;
         for n in 0..3 {
-            let unreachable = if n == old { &second } else { &first };
+            let unreachable = if n == old_leader { &second_machine } else { &first_machine };
             cluster.cut_from_worker(n, unreachable.clone(), LinkFault::Drop);
         }
         cluster.run_for_ms(1_200);
-        cluster.crash(old);
+        cluster.crash(old_leader);
         cluster.run_until(20_000, "the job runs", |cluster| {
             !cluster.live_tasks("wk-000001").is_empty()
         });
@@ -243,8 +245,8 @@
     }
 }
 
-/// Machines that are full of work and not yet in the cloud's lagging list are not returned by a
-/// new leader, even though it cannot query them and receives their heartbeats late.
+/// A new leader must not return machines that are fully used but not yet in the cloud's lagging
+/// list, even if it cannot query them and receives their heartbeats late.
 #[test]
 fn unlisted_machine_is_kept_after_failover() {
     let mut cluster = Cluster::new(3, 4, 0.0, 1790);
@@ -253,13 +255,13 @@
     cluster.unlisted_machines.extend(["vm-000002".to_string(), "vm-000003".to_string()]);
     cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 8));
     cluster.run_until_running(5_000, "wk-000001", 8);
-    let old = cluster.leader().unwrap();
-    cluster.crash(old);
-    let until = cluster.now + 4_500;
+    let old_leader = cluster.leader().unwrap();
+    cluster.crash(old_leader);
+    let hung_until_ms = cluster.now + 4_500;
     for machine in ["vm-000002", "vm-000003"] {
-        cluster.workers.get_mut(machine).unwrap().hung_until_ms = until;
+        cluster.workers.get_mut(machine).unwrap().hung_until_ms = hung_until_ms;
     }
-    cluster.run_until_leader_changes(10_000, old);
+    cluster.run_until_leader_changes(10_000, old_leader);
     cluster.run_for_ms(8_000);
     assert_eq!((cluster.workers.len(), cluster.live_tasks("wk-000001").len()), (4, 8));
     cluster.check_invariants();
--- a/crates/core/tests/simulation/fleet_size.rs
+++ b/crates/core/tests/simulation/fleet_size.rs
@@ -1,4 +1,5 @@
-//! The largest fleet that every limit allows for: nothing is dropped for a count.
+//! The largest fleet that every limit allows for: no limit on a count causes an entry to be
+//! dropped.
 
 use quartzgate_core::capacity::MIN_FLEET;
 use quartzgate_core::records::RecordedStatus;
@@ -8,7 +9,8 @@
 
 const JOB: &str = "wk-000001";
 
-/// A fleet that has registered with its leader, all of it in its first agent epoch.
+/// Returns a cluster whose machines have all registered with the leader and are in their first
+/// agent epoch.
 fn registered_fleet(seed: u64) -> Cluster {
     let mut cluster = Cluster::new(3, MIN_FLEET, 0.0, seed);
     cluster.keep_idle_machines = true;
@@ -32,7 +34,7 @@
     cluster.workers.values_mut().for_each(|worker| worker.controller = node);
 }
 
-/// No machine has lost its lease.
+/// Asserts that no machine has lost its lease or been returned.
 fn assert_no_lease_expired(cluster: &Cluster) {
     let expired = cluster.workers.values().filter(|worker| worker.agent_epoch > 1).count();
     assert_eq!(expired, 0, "agent epochs ended; violations: {:?}", cluster.violations);
@@ -43,15 +45,15 @@
     cluster.task_starts.values().map(Vec::len).sum()
 }
 
-/// Submits an array of 60 tasks that run for so long, and waits until all run.
+/// Submits an array of 60 tasks that each run for `task_duration_ms`, and waits until all run.
 fn run_array(cluster: &mut Cluster, task_duration_ms: u64) {
     cluster.task_duration_ms.insert(JOB.into(), task_duration_ms);
     cluster.submit_until_accepted(&job(JOB, JobKind::Array, 60));
     cluster.run_until_running(20_000, JOB, 60);
 }
 
-/// A leader that stalled for longer than a heartbeat interval has one of each machine, and
-/// holds them all until it knows that it still leads.
+/// A leader that stalled for longer than a heartbeat interval receives a heartbeat from every
+/// machine, and must hold them all until it knows that it still leads.
 #[test]
 fn stalled_leader_holds_a_heartbeat_of_every_machine() {
     let mut cluster = registered_fleet(30_001);
@@ -64,30 +66,37 @@
     cluster.check_invariants();
 }
 
-/// A follower to which a whole fleet turns sends the machines of the other zone to the leader
-/// after two leases: it remembers since when each of them has sent heartbeats there.
+/// A follower that receives the heartbeats of the whole fleet must redirect the machines of the
+/// other zone to the leader after two leases, for which it remembers since when each of them has
+/// sent heartbeats to it.
 #[test]
 fn follower_remembers_every_out_of_zone_worker() {
     let mut cluster = registered_fleet(30_002);
     let (leader, follower) = (cluster.leader().unwrap(), any_follower(&cluster));
-    // It begins with nothing remembered.
+    // The follower restarts, so that it remembers no machine.
     cluster.crash_for_ms(follower, 100);
     cluster.run_for_ms(1_500);
     send_all_heartbeats_to(&mut cluster, follower);
     cluster.run_for_ms(2 * LEASE_MS + 5_000);
     let of_other_zone = || cluster.workers.values().filter(|worker| worker.zone == "b");
-    let left = of_other_zone().filter(|worker| worker.controller == follower).count();
-    // Some come back to the follower later, and are within their two leases.
-    assert!(left < MIN_FLEET / 20, "{left} of the other zone are still at the follower");
-    let sent = of_other_zone().filter(|worker| worker.controller == leader).count();
-    assert!(sent > 3 * MIN_FLEET / 8, "only {sent} of the other zone are at the leader");
+    let at_follower = of_other_zone().filter(|worker| worker.controller == follower).count();
+    // Some machines return to the follower later and are still within their two leases.
+    assert!(
+        at_follower < MIN_FLEET / 20,
+        "{at_follower} machines of the other zone are still at the follower"
+    );
+    let at_leader = of_other_zone().filter(|worker| worker.controller == leader).count();
+    assert!(
+        at_leader > 3 * MIN_FLEET / 8,
+        "only {at_leader} machines of the other zone are at the leader"
+    );
     assert_no_lease_expired(&cluster);
     cluster.check_invariants();
 }
 
-/// A leader is cut from all workers and from its peers: one follower serves the whole fleet as
-/// its lease proxy. Heartbeats wait for its claim, none is redirected, and the completions of
-/// tasks on any machine reach the leader through the mailbox.
+/// The leader is cut from all workers and from its peers, and one follower serves the whole fleet
+/// as its lease proxy. Heartbeats wait for the follower's claim, none is redirected, and the
+/// completions of tasks on every machine reach the leader through the mailbox.
 #[test]
 fn lease_proxy_keeps_the_whole_fleet() {
     let mut cluster = registered_fleet(30_003);
@@ -113,7 +122,8 @@
     cluster.check_invariants();
 }
 
-/// Another controller takes the lead while every machine holds its lease, and none loses it.
+/// When another controller becomes leader while every machine holds its lease, no machine may lose
+/// its lease.
 #[test]
 fn failover_keeps_every_agent_epoch() {
     let mut cluster = registered_fleet(30_004);
@@ -129,7 +139,8 @@
     cluster.check_invariants();
 }
 
-/// All controllers crash at once and are back within a heartbeat interval.
+/// All controllers crash at once and restart within a heartbeat interval; no machine may lose its
+/// lease.
 #[test]
 fn restart_of_all_controllers_keeps_every_agent_epoch() {
     let mut cluster = registered_fleet(30_005);
@@ -143,7 +154,8 @@
     cluster.check_invariants();
 }
 
-/// As many status queries at once as there are machines are all answered, and measured.
+/// As many simultaneous status queries as there are machines in the largest fleet are all answered
+/// and counted in the latency metric.
 #[test]
 fn flood_of_status_queries_is_answered() {
     const QUERIES: &str = "latency_ms.poll.count";
@@ -164,8 +176,8 @@
     cluster.check_invariants();
 }
 
-/// Acceptances whose writes get no answer and are applied later, as many as the rate of writes
-/// allows within a lease bound: each job is found on record and runs.
+/// The writes of acceptances get no answer and are applied later, for as many jobs as the write
+/// rate allows within a lease bound. Each job must be found on record and must run.
 #[test]
 fn every_indeterminate_submission_is_found() {
     const JOBS: u32 = 560;
@@ -189,6 +201,6 @@
     let recorded: Vec<String> = ids().filter(|id| cluster.recorded_status(id).is_some()).collect();
     assert!(recorded.len() > 500, "only {} are recorded", recorded.len());
     let lost = recorded.iter().filter(|id| !cluster.completed_tasks.contains_key(*id)).count();
-    assert_eq!(lost, 0, "recorded jobs that nobody runs");
+    assert_eq!(lost, 0, "recorded jobs that were not run");
     cluster.check_invariants();
 }
--- a/crates/core/tests/simulation/machine_faults.rs
+++ b/crates/core/tests/simulation/machine_faults.rs
@@ -1,9 +1,9 @@
-//! Faulty machines, and jobs that fail wherever they run.
+//! Faulty machines, and jobs that fail on every machine.
 
 use crate::cluster::{job, Cluster};
 use quartzgate_wire::msg::JobKind;
 
-/// A machine that fails every task is quarantined, and the work is done elsewhere.
+/// A machine on which every task fails is quarantined, and its work is done elsewhere.
 #[test]
 fn faulty_machine_is_quarantined_when_all_its_tasks_fail() {
     let mut cluster = Cluster::new(3, 4, 0.0, 1300);
@@ -18,8 +18,9 @@
     cluster.check_invariants();
 }
 
-/// Fault attribution: jobs that fail wherever they run are retried seldom and do not cost healthy
-/// machines; other work proceeds beside them, and a machine that is really faulty is still found.
+/// Fault attribution: jobs that fail on every machine are retried seldom and do not cause healthy
+/// machines to be returned; other jobs proceed meanwhile, and a machine that is really faulty is
+/// still detected.
 #[test]
 fn healthy_machines_are_kept_when_misconfigured_jobs_fail() {
     for faulty in [false, true] {
@@ -32,7 +33,7 @@
             cluster.submit_until_accepted(&job(&id, JobKind::Array, 6));
         }
         cluster.run_for_ms(5_000);
-        let before: Vec<u32> = cluster.failing_jobs.values().copied().collect();
+        let failures_before: Vec<u32> = cluster.failing_jobs.values().copied().collect();
         for n in 1..5 {
             cluster.submit_until_accepted(&job(&format!("wk-00001{n}"), JobKind::Array, 8));
         }
@@ -46,8 +47,11 @@
             "only the faulty machine is returned"
         );
         assert_eq!(cluster.workers.contains_key("vm-000003"), !faulty);
-        for (failed, before) in cluster.failing_jobs.values().zip(before) {
-            assert!(failed - before <= 8, "{failed} failures, {before} of them early");
+        for (failed, failures_before) in cluster.failing_jobs.values().zip(failures_before) {
+            assert!(
+                failed - failures_before <= 8,
+                "{failed} failures, {failures_before} of them early"
+            );
         }
         for n in 1..5 {
             let abort = cluster.abort(0, &format!("wk-00000{n}"));
--- a/crates/core/tests/simulation/overlapping_faults.rs
+++ b/crates/core/tests/simulation/overlapping_faults.rs
@@ -1,5 +1,5 @@
-//! Two faults at a time, above all an outage of the state service that follows its refusal of the
-//! leader alone.
+//! Combinations of two faults, above all an outage of the state service that follows its refusal of
+//! the leader alone.
 
 use crate::cluster::{
     job, job_id, machine_name, Cluster, Endpoint, LinkFault, MidCallHang, RandomDelay, CANCEL_MS,
@@ -7,7 +7,7 @@
 };
 use quartzgate_wire::msg::{JobKind, JobStatus};
 
-/// A cluster with three jobs that run longer than any test here.
+/// Returns a cluster with three jobs that run longer than any test in this file.
 fn loaded_cluster(seed: u64) -> Cluster {
     let mut cluster = Cluster::activated(6, 0.0, seed, 1_000);
     cluster.scale_out_disabled = false;
@@ -21,20 +21,20 @@
     cluster
 }
 
-/// Aborts a job at these controllers in turn, as its user would; whether one confirmed it in
-/// time.
-fn abort_within(cluster: &mut Cluster, at: &[usize], id: &str, within_ms: u64) -> bool {
-    let end = cluster.now + within_ms;
+/// Requests an abort at these controllers in turn, as the job's user would, and returns whether one
+/// of them confirmed it in time.
+fn abort_within(cluster: &mut Cluster, nodes: &[usize], id: &str, within_ms: u64) -> bool {
+    let deadline_ms = cluster.now + within_ms;
     for turn in 0.. {
-        if cluster.now >= end {
+        if cluster.now >= deadline_ms {
             break;
         }
-        let request = cluster.abort(at[turn % at.len()], id);
-        let patience = (end - cluster.now).min(1_000);
-        let mut waited = 0;
-        while waited < patience && cluster.status_code(request) == 0 {
+        let request = cluster.abort(nodes[turn % nodes.len()], id);
+        let timeout_ms = (deadline_ms - cluster.now).min(1_000);
+        let mut waited_ms = 0;
+        while waited_ms < timeout_ms && cluster.status_code(request) == 0 {
             cluster.run_for_ms(10);
-            waited += 10;
+            waited_ms += 10;
         }
         if cluster.status_code(request) == 200 {
             return true;
@@ -44,39 +44,40 @@
     false
 }
 
-/// The state service refuses one controller, by silence or with 503.
-fn refuse_controller(cluster: &mut Cluster, who: usize, silent: bool) {
+/// Makes the state service refuse one controller, by silence or with 503.
+fn refuse_controller(cluster: &mut Cluster, node: usize, silent: bool) {
     match silent {
-        true => cluster.cut_from_state_service(who, LinkFault::Drop),
+        true => cluster.cut_from_state_service(node, LinkFault::Drop),
         false => {
-            cluster.state.refused_nodes.insert(who);
+            cluster.state.refused_nodes.insert(node);
         }
     }
 }
 
-/// The state service serves the controller again.
-fn serve_controller_again(cluster: &mut Cluster, who: usize) {
-    cluster.heal_link(&Endpoint::Controller(who), &Endpoint::StateService);
-    cluster.state.refused_nodes.remove(&who);
+/// Makes the state service serve a refused controller again.
+fn stop_refusing_controller(cluster: &mut Cluster, node: usize) {
+    cluster.heal_link(&Endpoint::Controller(node), &Endpoint::StateService);
+    cluster.state.refused_nodes.remove(&node);
 }
 
-/// How the workers' heartbeats reach the leader that is refused.
+/// How the workers' heartbeats reach the refused leader.
 #[derive(Clone, Copy)]
-enum Route {
+enum HeartbeatRoute {
     Direct,
     Relay,
-    /// Some of them directly, while a sibling renews the leases of the others.
+    /// Some workers send them directly, while a sibling renews the leases of the other workers as
+    /// their lease proxy.
     Proxy,
 }
 
-impl Route {
+impl HeartbeatRoute {
     /// Cuts all other routes to the leader.
-    fn partition(self, cluster: &mut Cluster, leader: usize) {
+    fn cut_other_routes(self, cluster: &mut Cluster, leader: usize) {
         let siblings = [(leader + 1) % 3, (leader + 2) % 3];
         match self {
-            Route::Relay => (0..6)
+            HeartbeatRoute::Relay => (0..6)
                 .for_each(|m| cluster.cut_from_worker(leader, machine_name(m), LinkFault::Drop)),
-            Route::Proxy => {
+            HeartbeatRoute::Proxy => {
                 for n in siblings {
                     cluster.cut_controllers(leader, n, LinkFault::Drop);
                     (0..3)
@@ -86,59 +87,64 @@
                     cluster.cut_from_worker(leader, machine_name(m), LinkFault::Drop)
                 });
             }
-            Route::Direct => {}
+            HeartbeatRoute::Direct => {}
         }
     }
 }
 
-/// Cases of each route: in steps of a quarter of a heartbeat interval they cover all times from
-/// at once to past the lease bound, in an order that mixes them with the other choices.
+/// Number of cases for each route. In steps of a quarter of the heartbeat interval, the cases cover
+/// the times from 0 to past the lease bound, in an order that mixes them with the other conditions.
 const CASES_PER_ROUTE: u64 = 44;
 
-/// Invariant of aborts: the state service refuses the leader alone, another controller confirms
-/// an abort, then the state service is down for everybody for longer than `cancel_s`, while the
-/// workers still send their heartbeats to the old leader. Varied: the time from the refusal to
-/// the confirmation (to past the lease bound) and on to the outage; 503 and silence; outages
-/// shorter and longer than the leases; a refusal that ends before, during and after the outage;
-/// the route of the heartbeats; a crash of the confirming controller; a machine that hangs late
-/// in its lease; a leader that stalls; clocks that differ (odd seeds). Jobs that were not aborted
-/// run again.
-fn check_abort_before_an_outage(route: Route) {
+/// Checks that a confirmed abort holds: the state service refuses only the leader, another
+/// controller confirms an abort, and then the state service is down for every controller for longer
+/// than `cancel_s`, while the workers still send their heartbeats to the old leader. Jobs that were
+/// not aborted must run again. The cases vary:
+/// - the time from the refusal to the confirmation (to past the lease bound) and on to the outage;
+/// - refusal with 503 and by silence;
+/// - outages shorter and longer than the leases;
+/// - a refusal that ends before, during and after the outage;
+/// - the route of the heartbeats;
+/// - a crash of the confirming controller, a machine that hangs late in its lease, a leader that
+///   stalls;
+/// - clocks that differ (odd seeds).
+fn check_abort_before_outage(route: HeartbeatRoute) {
     let mut confirmed = 0;
     for case in 0..CASES_PER_ROUTE {
         let mut cluster = loaded_cluster(12_000 + 3 * case + route as u64);
         cluster.scale_in_disabled = case % 5 != 0;
-        let old = cluster.leader().unwrap();
-        let (one, other) = ((old + 1) % 3, (old + 2) % 3);
-        route.partition(&mut cluster, old);
+        let old_leader = cluster.leader().unwrap();
+        let (sibling, other_sibling) = ((old_leader + 1) % 3, (old_leader + 2) % 3);
+        route.cut_other_routes(&mut cluster, old_leader);
         let silent = case % 2 == 1;
-        refuse_controller(&mut cluster, old, silent);
-        // From at once to past the lease bound, in steps of less than a heartbeat interval.
+        refuse_controller(&mut cluster, old_leader, silent);
+        // The time since the refusal is 0 to past the lease bound, in steps of less than a
+        // heartbeat interval.
         cluster.run_for_ms(case * 37 % 66 * (REPORT_MS / 4) + case % 7);
-        let is_confirmed = abort_within(&mut cluster, &[one, other], &job_id(1), 2_500);
+        let is_confirmed = abort_within(&mut cluster, &[sibling, other_sibling], &job_id(1), 2_500);
         cluster.run_for_ms([0, 1, 40, 400, REPORT_MS][case as usize % 5]);
         cluster.state.down = true;
         confirmed += u64::from(is_confirmed);
-        let began = cluster.now;
+        let outage_began_ms = cluster.now;
         match case / 2 % 4 {
-            0 => cluster.crash_for_ms(one, 200),
+            0 => cluster.crash_for_ms(sibling, 200),
             1 => cluster.hang_machine(&machine_name(case as usize % 6), LEASE_MS),
-            2 => cluster.stall(old, LEASE_MS + 3_000 + case % 400),
+            2 => cluster.stall(old_leader, LEASE_MS + 3_000 + case % 400),
             _ => {}
         }
-        let outage = if case % 4 == 0 { LEASE_MS / 2 } else { CANCEL_MS + 4_000 };
+        let outage_ms = if case % 4 == 0 { LEASE_MS / 2 } else { CANCEL_MS + 4_000 };
         match case / 5 % 3 {
-            0 => serve_controller_again(&mut cluster, old),
+            0 => stop_refusing_controller(&mut cluster, old_leader),
             1 => {
-                cluster.run_for_ms(outage / 2);
-                serve_controller_again(&mut cluster, old);
+                cluster.run_for_ms(outage_ms / 2);
+                stop_refusing_controller(&mut cluster, old_leader);
             }
             _ => {}
         }
-        cluster.run_for_ms((began + outage).saturating_sub(cluster.now));
+        cluster.run_for_ms((outage_began_ms + outage_ms).saturating_sub(cluster.now));
         cluster.state.down = false;
         cluster.run_for_ms(REPORT_MS);
-        serve_controller_again(&mut cluster, old);
+        stop_refusing_controller(&mut cluster, old_leader);
         cluster.run_for_ms(CANCEL_MS);
         cluster.check_invariants();
         cluster.heal_links();
@@ -146,9 +152,9 @@
         if is_confirmed {
             assert!(cluster.live_tasks(&job_id(1)).is_empty(), "case {case}");
             for n in 0..3 {
-                let poll = cluster.query(n, &job_id(1));
+                let request = cluster.query(n, &job_id(1));
                 cluster.run_for_ms(1_500);
-                assert!(cluster.status_code(poll) != 404);
+                assert!(cluster.status_code(request) != 404);
             }
             assert_eq!(cluster.observed_status[&job_id(1)], JobStatus::Aborted);
         }
@@ -163,35 +169,40 @@
 
 /// Heartbeats reach the refused leader directly.
 #[test]
-fn abort_holds_when_an_outage_follows_leader_refusal_with_direct_heartbeats() {
-    check_abort_before_an_outage(Route::Direct);
+fn abort_holds_in_outage_after_refusal_with_direct_heartbeats() {
+    check_abort_before_outage(HeartbeatRoute::Direct);
 }
 
 /// Heartbeats reach the refused leader through its siblings.
 #[test]
-fn abort_holds_when_an_outage_follows_leader_refusal_with_relayed_heartbeats() {
-    check_abort_before_an_outage(Route::Relay);
+fn abort_holds_in_outage_after_refusal_with_relayed_heartbeats() {
+    check_abort_before_outage(HeartbeatRoute::Relay);
 }
 
 /// A sibling renews the leases of half of the workers for the refused leader.
 #[test]
-fn abort_holds_when_an_outage_follows_leader_refusal_with_a_lease_proxy() {
-    check_abort_before_an_outage(Route::Proxy);
+fn abort_holds_in_outage_after_refusal_with_a_lease_proxy() {
+    check_abort_before_outage(HeartbeatRoute::Proxy);
 }
 
-/// The controller that confirms an abort notifies the others over the mesh: a leader that the
-/// state service refuses stops the tasks within a round, not when leases expire.
+/// Guards against aborted tasks that run until their leases expire. The controller that confirms an
+/// abort notifies the others over the mesh; a leader that the state service refuses must then stop
+/// the tasks within a round.
 #[test]
 fn refused_leader_stops_aborted_tasks_when_a_sibling_notifies_it() {
-    let mut gone = Vec::new();
+    let mut stop_times_ms = Vec::new();
     for case in 0..24u64 {
         let mut cluster = loaded_cluster(12_700 + case);
         cluster.scale_in_disabled = true;
-        let old = cluster.leader().unwrap();
-        refuse_controller(&mut cluster, old, case % 2 == 1);
+        let old_leader = cluster.leader().unwrap();
+        refuse_controller(&mut cluster, old_leader, case % 2 == 1);
         cluster.run_for_ms(case * 23);
-        if !abort_within(&mut cluster, &[(old + 1 + case as usize / 2 % 2) % 3], &job_id(1), 1_500)
-        {
+        if !abort_within(
+            &mut cluster,
+            &[(old_leader + 1 + case as usize / 2 % 2) % 3],
+            &job_id(1),
+            1_500,
+        ) {
             continue;
         }
         cluster.state.down = true;
@@ -199,37 +210,38 @@
         cluster.run_until(2 * REPORT_MS, "the tasks of the aborted job are gone", |cluster| {
             cluster.live_tasks(&job_id(1)).is_empty()
         });
-        gone.push(cluster.now - confirmed_at);
+        stop_times_ms.push(cluster.now - confirmed_at);
         cluster.run_for_ms(CANCEL_MS);
         cluster.state.down = false;
-        serve_controller_again(&mut cluster, old);
+        stop_refusing_controller(&mut cluster, old_leader);
         cluster.run_until_running(90_000, &job_id(2), 3);
         cluster.assert_no_accepted_job_is_lost();
     }
-    gone.sort_unstable();
-    println!("ms from the confirmation until all tasks were gone: {gone:?}");
-    assert!(gone.len() > 16, "{gone:?}");
+    stop_times_ms.sort_unstable();
+    println!("ms from the confirmation until all tasks were gone: {stop_times_ms:?}");
+    assert!(stop_times_ms.len() > 16, "{stop_times_ms:?}");
 }
 
-/// The leader confirms an abort and crashes before carrying it out; its successor begins recovery,
-/// and the state service fails while the workers send heartbeats to the successor, which does not
-/// know yet what was aborted.
+/// Guards against a recovering leader that keeps aborted tasks alive. The leader confirms an abort
+/// and crashes before carrying it out; its successor begins recovery, and the state service fails
+/// while the workers send heartbeats to the successor, which does not know yet which jobs are
+/// aborted.
 #[test]
 fn recovering_leader_renews_no_lease_during_an_outage() {
     for case in 0..60u64 {
         let mut cluster = loaded_cluster(12_500 + case);
         cluster.scale_in_disabled = true;
-        // Recovery takes many reads.
+        // Recovery takes many reads, as each list returns only one key.
         cluster.state.max_list_keys = Some(1);
-        let old = cluster.leader().unwrap();
-        (0..6).for_each(|m| cluster.cut_from_worker(old, machine_name(m), LinkFault::Drop));
+        let old_leader = cluster.leader().unwrap();
+        (0..6).for_each(|m| cluster.cut_from_worker(old_leader, machine_name(m), LinkFault::Drop));
         cluster.run_for_ms(REPORT_MS * 3);
-        let request = cluster.abort(old, &job_id(1));
+        let request = cluster.abort(old_leader, &job_id(1));
         while cluster.status_code(request) != 200 {
             cluster.run_for_ms(1);
         }
-        cluster.crash(old);
-        cluster.run_until_leader_changes(20_000, old);
+        cluster.crash(old_leader);
+        cluster.run_until_leader_changes(20_000, old_leader);
         cluster.run_for_ms(1 + case % 12);
         cluster.state.down = true;
         cluster.run_for_ms(CANCEL_MS + LEASE_MS);
@@ -237,15 +249,16 @@
         cluster.check_invariants();
         cluster.heal_links();
         cluster.scale_in_disabled = false;
-        cluster.start_controller(old);
+        cluster.start_controller(old_leader);
         cluster.run_until_running(90_000, &job_id(2), 3);
         cluster.assert_no_accepted_job_is_lost();
     }
 }
 
-/// The write of an abort gets no answer and is applied late: the leader reads that the job lives,
-/// another controller reads that it is aborted, and then the leader loses the state service. The
-/// leader stops the tasks because an abort was requested, whatever becomes of the record.
+/// Guards against an abort without effect. The write of the abort gets no answer and is applied
+/// late: the leader reads that the job is live, another controller reads that it is aborted, and
+/// then the leader loses the state service. The leader must stop the tasks because an abort was
+/// requested, whatever becomes of the record.
 #[test]
 fn abort_takes_effect_when_its_write_is_applied_late() {
     for case in 0..40u64 {
@@ -254,37 +267,39 @@
         (cluster.scale_in_disabled, cluster.keep_idle_machines) = (true, true);
         cluster.task_duration_ms = (1..3).map(|n| (job_id(n), 600_000)).collect();
         cluster.submit_until_accepted(&job(&job_id(2), JobKind::Service, 3));
-        // Its placement has records of its own, whose writes leave the job record as it is.
+        // The placement of this job is in records of its own, whose writes do not change the job
+        // record.
         cluster.submit_until_accepted(&job(&job_id(1), JobKind::Array, 70));
         cluster.run_until(20_000, "all tasks run", |cluster| {
             cluster.live_tasks(&job_id(1)).len() == 9 && cluster.live_tasks(&job_id(2)).len() == 3
         });
-        let old = cluster.leader().unwrap();
-        let other = (old + 1) % 3;
-        let late = 2_500 + case * 170;
-        cluster.state.delayed_writes = Some(RandomDelay { share: 1.0, from_ms: late, to_ms: late });
-        cluster.abort(old, &job_id(1));
+        let old_leader = cluster.leader().unwrap();
+        let sibling = (old_leader + 1) % 3;
+        let delay_ms = 2_500 + case * 170;
+        cluster.state.delayed_writes =
+            Some(RandomDelay { share: 1.0, from_ms: delay_ms, to_ms: delay_ms });
+        cluster.abort(old_leader, &job_id(1));
         cluster.run_for_ms(100);
         cluster.state.delayed_writes = None;
-        // The leader reaches the state service and its workers, and no sibling.
-        for n in (0..3).filter(|n| *n != old) {
-            cluster.cut_controllers(old, n, LinkFault::Drop);
+        // The leader reaches the state service and its workers, but no sibling.
+        for n in (0..3).filter(|n| *n != old_leader) {
+            cluster.cut_controllers(old_leader, n, LinkFault::Drop);
         }
-        cluster.run_for_ms(late - 100);
+        cluster.run_for_ms(delay_ms - 100);
         for _ in 0..20 {
             if cluster.observed_status[&job_id(1)] == JobStatus::Aborted {
                 break;
             }
-            cluster.query(other, &job_id(1));
+            cluster.query(sibling, &job_id(1));
             cluster.run_for_ms(50);
         }
         // Then the leader loses the state service too, before it rereads its live jobs.
         cluster.run_for_ms(case % 8 * 600);
-        refuse_controller(&mut cluster, old, false);
+        refuse_controller(&mut cluster, old_leader, false);
         cluster.state.down = true;
         cluster.run_for_ms(CANCEL_MS + LEASE_MS);
         cluster.state.down = false;
-        serve_controller_again(&mut cluster, old);
+        stop_refusing_controller(&mut cluster, old_leader);
         cluster.heal_links();
         cluster.check_invariants();
         cluster.abort_until_confirmed(&job_id(1));
@@ -295,14 +310,14 @@
     }
 }
 
-/// Short and long jobs, some of them aborted and all of them queried at every controller, while
-/// `inject` is called each fifth of a second. All that was not aborted is done in the end.
+/// Runs short and long jobs, aborts some of them and queries all of them at every controller, while
+/// `inject` is called every 200 ms. Every job that was not aborted must be done in the end.
 fn run_jobs_under_fault(seed: u64, mut inject: impl FnMut(&mut Cluster, u64)) {
     let mut cluster = Cluster::activated(8, 0.0, seed, 1_000);
     cluster.scale_out_disabled = false;
     let spec = |n: u32| job(&job_id(n), JobKind::Array, 1 + n % 3);
     for n in 0..12 {
-        // Tasks of one job end far apart.
+        // The tasks of one job end at very different times.
         cluster.task_duration_ms.insert(format!("{}/1", job_id(n)), 12_000 + u64::from(n) * 700);
     }
     for turn in 0..90u64 {
@@ -343,38 +358,39 @@
     cluster.assert_no_accepted_job_is_lost();
 }
 
-/// The state service is seconds late: answers arrive out of order, users repeat unanswered
-/// requests at other controllers, and nobody gets an older answer than before.
+/// Guards against an answer that is older than an earlier one. Answers of the state service are up
+/// to 2.5 s late and arrive out of order, and users repeat unanswered requests at other
+/// controllers.
 #[test]
-fn answers_never_go_back_under_a_slow_state_service() {
+fn answers_never_regress_when_the_state_service_is_slow() {
     for case in 0..18u64 {
-        let slow = [300, 900, 2_500][case as usize % 3];
+        let latency_ms = [300, 900, 2_500][case as usize % 3];
         run_jobs_under_fault(12_800 + case, |cluster, turn| {
-            cluster.state.extra_latency_ms = if (10..60).contains(&turn) { slow } else { 0 };
+            cluster.state.extra_latency_ms = if (10..60).contains(&turn) { latency_ms } else { 0 };
         });
     }
 }
 
-/// Writes of every kind of record get no answer and are applied 2 to 12 s later, after newer ones,
-/// also after their writer has crashed and restarted: acceptances, completions, aborts,
-/// placements, batches, proxy claims, the epoch record.
+/// Checks that jobs complete when writes of every kind of record get no answer and are applied 2 to
+/// 12 s later, after newer writes, also after their writer has crashed and restarted: acceptances,
+/// completions, aborts, placements, batch records, proxy claims, the epoch record.
 #[test]
-fn jobs_complete_when_delayed_writes_outlive_their_writer() {
+fn jobs_complete_when_writes_are_applied_after_newer_ones() {
     for case in 0..24u64 {
         run_jobs_under_fault(12_900 + case, |cluster, turn| {
             let share = [0.1, 0.3, 0.6][case as usize % 3];
-            let late = RandomDelay { share, from_ms: 2_000, to_ms: 12_000 };
-            cluster.state.delayed_writes = (5..65).contains(&turn).then_some(late);
+            let delay = RandomDelay { share, from_ms: 2_000, to_ms: 12_000 };
+            cluster.state.delayed_writes = (5..65).contains(&turn).then_some(delay);
             if turn % 20 == 15 + case % 5 {
-                let who = cluster.leader().map_or(0, |l| (l + case as usize / 3 % 2) % 3);
-                cluster.crash_for_ms(who, 200);
+                let node = cluster.leader().map_or(0, |l| (l + case as usize / 3 % 2) % 3);
+                cluster.crash_for_ms(node, 200);
             }
         });
     }
 }
 
-/// A failover is interrupted at each of its writes and at each of the first writes after it: all
-/// controllers crash, and restart within a fraction of a second or after a while.
+/// Checks a failover that is interrupted at each of its writes and at each of the first writes
+/// after it: all controllers crash, and restart within a fraction of a second or after seconds.
 #[test]
 fn recovery_survives_a_crash_of_all_controllers_at_each_write() {
     for case in 0..36u64 {
@@ -383,9 +399,9 @@
         cluster.submit(leader, &job(&job_id(10), JobKind::Array, 4));
         cluster.run_for_ms(3 + case % 40);
         cluster.crash_for_ms(leader, [200, 5_000][case as usize % 2]);
-        let stop = cluster.state.writes + case / 2;
+        let crash_at_write = cluster.state.writes + case / 2;
         for _ in 0..3_000 {
-            if cluster.state.writes >= stop {
+            if cluster.state.writes >= crash_at_write {
                 break;
             }
             cluster.run_for_ms(1);
@@ -405,22 +421,23 @@
     }
 }
 
-/// A machine hangs between two orders of one call and continues late in its lease, when the task
-/// of the second order has been aborted or started elsewhere.
+/// Guards against an order that takes effect too late. A machine hangs between two orders of one
+/// call and continues late in its lease, when the task of the second order has been aborted or
+/// started elsewhere.
 #[test]
 fn no_stale_order_takes_effect_when_a_machine_hangs_mid_call() {
-    let mut hung = 0;
+    let mut hung_machines = 0;
     for case in 0..36u64 {
         let mut cluster = Cluster::new(3, 4, 0.0, 13_100 + case);
         cluster.run_for_ms(2_000);
         cluster.scale_in_disabled = case % 2 == 0;
         cluster.scale_out_disabled = false;
         cluster.task_duration_ms = (1..4).map(|n| (job_id(n), 9_000)).collect();
-        let hang = 500 + case * (LEASE_MS / 30);
+        let hang_ms = 500 + case * (LEASE_MS / 30);
         for m in 0..2 {
             let worker = cluster.workers.get_mut(&machine_name(m)).unwrap();
             let after_orders = case as usize / 2 % 2;
-            worker.hang_mid_call = Some(MidCallHang { after_orders, for_ms: hang });
+            worker.hang_mid_call = Some(MidCallHang { after_orders, for_ms: hang_ms });
         }
         for n in 1..4 {
             cluster.submit(n as usize % 3, &job(&job_id(n), JobKind::Array, 3));
@@ -442,7 +459,7 @@
             let worker = cluster.workers.get(&machine_name(*machine));
             worker.is_none_or(|worker| worker.hang_mid_call.is_none())
         };
-        hung += (0..2).filter(has_hung).count();
+        hung_machines += (0..2).filter(has_hung).count();
     }
-    assert!(hung > 36, "{hung} machines hung within a call");
+    assert!(hung_machines > 36, "{hung_machines} machines hung within a call");
 }
--- a/crates/core/tests/simulation/overload.rs
+++ b/crates/core/tests/simulation/overload.rs
@@ -1,10 +1,10 @@
-//! Bursts of queries and submissions beyond what the state service can take.
+//! Bursts of queries and submissions beyond the capacity of the state service.
 
 use crate::cluster::{job, Cluster, LinkFault, StateLimits};
 use quartzgate_wire::msg::{JobKind, JobStatus};
 
-/// Under a burst of status queries the queries share fresh reads, every one is answered, and a
-/// terminal state that was decided elsewhere is not missed.
+/// During a burst of status queries, the queries share fresh reads, each one is answered, and a
+/// terminal state that another controller has recorded is not missed.
 #[test]
 fn status_queries_share_reads_under_a_query_burst() {
     let mut cluster = Cluster::new(3, 4, 0.0, 1650);
@@ -23,7 +23,7 @@
     cluster.run_for_ms(1_000);
     assert!(requests.iter().all(|request| cluster.status_code(*request) == 200));
     assert!(cluster.state.requests - reads < 300, "{} reads", cluster.state.requests - reads);
-    // An abort that the leader has not learned of is found by the very next query.
+    // The very next query finds an abort that the leader has not learned of.
     cluster.cut_controllers(leader, (leader + 1) % 3, LinkFault::Drop);
     cluster.cut_controllers(leader, (leader + 2) % 3, LinkFault::Drop);
     cluster.state.handoff_watch_silent = true;
@@ -37,20 +37,21 @@
     cluster.check_invariants();
 }
 
-/// Submits small jobs to one controller, so many each tenth of a second.
+/// Submits `per_round` small jobs to one controller every 100 ms, in `rounds` rounds; returns the
+/// requests with the names of their jobs.
 fn submit_flood(
     cluster: &mut Cluster,
     node: usize,
-    first: u32,
-    tenths: u32,
-    each: u32,
+    first_number: u32,
+    rounds: u32,
+    per_round: u32,
 ) -> Vec<(usize, String)> {
     let mut requests = Vec::new();
-    for n in 0..tenths * each {
-        let id = format!("wk-{:06}", first + n);
+    for n in 0..rounds * per_round {
+        let id = format!("wk-{:06}", first_number + n);
         cluster.task_duration_ms.insert(id.clone(), 300);
         requests.push((cluster.submit(node, &job(&id, JobKind::Array, 1)), id));
-        if n % each == each - 1 {
+        if n % per_round == per_round - 1 {
             cluster.run_for_ms(100);
         }
     }
@@ -59,8 +60,8 @@
 }
 
 /// More jobs arrive than can be recorded: accepted jobs are still started and completed, urgent
-/// work is accepted at once, refused submissions are told at once when to retry, and everything
-/// returns to normal after the flood.
+/// jobs are accepted at once, refused submissions receive a retry time at once, and after the flood
+/// the controllers return to normal.
 #[test]
 fn accepted_jobs_complete_under_a_submission_flood() {
     let mut cluster = Cluster::new(3, 12, 0.0, 41);
@@ -69,27 +70,30 @@
         Some(StateLimits { max_value_bytes: usize::MAX, max_changes: 12, changes_per_s: 40.0 });
     cluster.run_for_ms(2_500);
     let leader = cluster.leader().unwrap();
-    // Three times as many jobs as the state service accepts writes.
-    let first = submit_flood(&mut cluster, leader, 1, 40, 12);
+    // Submits three times as many jobs as the state service accepts writes.
+    let first_requests = submit_flood(&mut cluster, leader, 1, 40, 12);
     let service = cluster.submit(leader, &job("wk-900000", JobKind::Service, 2));
-    let more = submit_flood(&mut cluster, leader, 1_000, 20, 12);
+    let later_requests = submit_flood(&mut cluster, leader, 1_000, 20, 12);
     assert_eq!(cluster.metrics_of(leader)["writes_short"], 1.0);
     assert_eq!(cluster.status_code(service), 201, "urgent work is accepted at once");
-    let requests: Vec<_> = first.into_iter().chain(more).collect();
-    let of = |cluster: &Cluster, status| {
+    let requests: Vec<_> = first_requests.into_iter().chain(later_requests).collect();
+    let count_with_status = |cluster: &Cluster, status| {
         requests.iter().filter(|(request, _)| cluster.status_code(*request) == status).count()
     };
-    let (accepted, away) = (of(&cluster, 201), of(&cluster, 429));
-    assert_eq!(accepted + away, requests.len(), "every request is answered at once");
-    let later = |a: usize| cluster.user_requests[a].answer.as_ref().and_then(|r| r.retry_after_s);
-    let told: Vec<u32> = requests.iter().filter_map(|(a, _)| later(*a)).collect();
-    assert_eq!(told.len(), away);
+    let (accepted, refused) = (count_with_status(&cluster, 201), count_with_status(&cluster, 429));
+    assert_eq!(accepted + refused, requests.len(), "every request is answered at once");
+    let retry_after_s = |request: usize| {
+        cluster.user_requests[request].answer.as_ref().and_then(|r| r.retry_after_s)
+    };
+    let retry_times_s: Vec<u32> =
+        requests.iter().filter_map(|(request, _)| retry_after_s(*request)).collect();
+    assert_eq!(retry_times_s.len(), refused);
     assert!(
-        told.iter().max() >= Some(&4) && told.iter().min() == Some(&1),
+        retry_times_s.iter().max() >= Some(&4) && retry_times_s.iter().min() == Some(&1),
         "the retry times are not spread"
     );
-    let done = cluster.completed_tasks.values().filter(|d| !d.is_empty()).count();
-    assert!(done * 3 > accepted, "{done} of {accepted} accepted jobs are done");
+    let completed = cluster.completed_tasks.values().filter(|d| !d.is_empty()).count();
+    assert!(completed * 3 > accepted, "{completed} of {accepted} accepted jobs have completed");
     cluster.run_for_ms(6_000);
     assert_eq!(cluster.metrics_of(leader)["writes_short"], 0.0, "writes are sufficient again");
     for (_, id) in
@@ -97,16 +101,16 @@
     {
         assert!(
             cluster.completed_tasks.get(id).is_some_and(|d| d.len() == 1),
-            "{id} was left behind"
+            "{id} has not completed"
         );
     }
     cluster.check_invariants();
 }
 
-/// What the leader refuses for lack of write capacity is not recorded by a follower instead, which
-/// would cost three times as many writes.
+/// A submission that the leader refuses for lack of write capacity must not be recorded by a
+/// follower instead, which would cost three times as many writes.
 #[test]
-fn follower_respects_the_leaders_refusals_under_a_submission_flood() {
+fn follower_respects_leader_refusals_under_a_submission_flood() {
     let mut cluster = Cluster::new(3, 12, 0.0, 42);
     cluster.disable_job_batches();
     cluster.state.limits =
@@ -114,10 +118,14 @@
     cluster.run_for_ms(2_500);
     let follower = (cluster.leader().unwrap() + 1) % 3;
     let requests = submit_flood(&mut cluster, follower, 1, 50, 12);
-    let away = requests.iter().filter(|(request, _)| cluster.status_code(*request) == 429).count();
-    assert!(away > 100, "{away} were refused");
+    let refused =
+        requests.iter().filter(|(request, _)| cluster.status_code(*request) == 429).count();
+    assert!(refused > 100, "{refused} submissions were refused");
     let entries = cluster.state.write_log.iter();
-    let past = entries.filter(|written| written.key.starts_with("inbox/")).count();
-    assert_eq!(past, 0, "recorded although the leader had no writes left");
+    let handoff_entries = entries.filter(|written| written.key.starts_with("inbox/")).count();
+    assert_eq!(
+        handoff_entries, 0,
+        "a follower recorded jobs although the leader had no writes left"
+    );
     cluster.check_invariants();
 }
--- a/crates/core/tests/simulation/process_stalls.rs
+++ b/crates/core/tests/simulation/process_stalls.rs
@@ -1,9 +1,9 @@
-//! Controllers that stall while their clocks run on.
+//! Process stalls: controllers that make no progress while their clocks continue.
 
 use crate::cluster::{job, Cluster, CANCEL_MS};
 use quartzgate_wire::msg::JobKind;
 
-/// A cluster with a long array and a service with `spread`.
+/// Returns a cluster with a short array, a long array and a service with `spread`.
 fn busy_cluster(seed: u64) -> Cluster {
     let mut cluster = Cluster::new(3, 6, 0.0, seed);
     cluster.run_for_ms(500);
@@ -17,31 +17,31 @@
     cluster
 }
 
-/// A controller stalls while its clocks run on, for less and for more than its own lease and the
-/// workers' leases, between rounds and within one, as leader and as follower: aborts and
-/// submissions in the meantime take effect, and nothing runs twice.
+/// A controller stalls while its clocks continue, for less and for more than its own lease and the
+/// workers' leases, between rounds and within one, as leader and as follower. Aborts and
+/// submissions during the stall must take effect, and no task may run twice.
 #[test]
 fn no_task_is_duplicated_when_a_controller_stalls() {
-    for (seed, pause) in [1_500, 2_500, 5_000, 9_000, 16_000, 25_000].into_iter().enumerate() {
+    for (seed, stall_ms) in [1_500, 2_500, 5_000, 9_000, 16_000, 25_000].into_iter().enumerate() {
         for case in 0..8u64 {
             let mut cluster = busy_cluster(1500 + 10 * seed as u64 + case);
             cluster.run_for_ms(400 * case);
-            let old = cluster.leader().unwrap();
-            let who = if case % 2 == 0 { old } else { (old + 1) % 3 };
+            let leader = cluster.leader().unwrap();
+            let node = if case % 2 == 0 { leader } else { (leader + 1) % 3 };
             match case / 2 % 2 {
-                0 => cluster.stall(who, pause),
-                _ => cluster.stall_in_round(who, pause),
+                0 => cluster.stall(node, stall_ms),
+                _ => cluster.stall_in_round(node, stall_ms),
             }
-            // In some cases it stalls again as soon as it runs on.
+            // In some cases the controller stalls again soon after it resumes.
             if case >= 4 {
-                cluster.run_for_ms(pause + 30);
-                cluster.stall_in_round(who, pause);
+                cluster.run_for_ms(stall_ms + 30);
+                cluster.stall_in_round(node, stall_ms);
             }
-            let request = cluster.abort((who + 1) % 3, "wk-000003");
+            let request = cluster.abort((node + 1) % 3, "wk-000003");
             cluster.run_for_ms(300);
             let spec = job("wk-000004", JobKind::Array, 3);
-            cluster.submit((who + 2) % 3, &spec);
-            cluster.run_for_ms(pause);
+            cluster.submit((node + 2) % 3, &spec);
+            cluster.run_for_ms(stall_ms);
             if cluster.status_code(request) != 200 {
                 cluster.abort_until_confirmed("wk-000003");
             }
@@ -58,38 +58,41 @@
     }
 }
 
-/// After a stall the leader does not act on what it knew before: it commands no worker and answers
-/// no heartbeat before it has read the epoch record again, and it takes its own silence for nobody
-/// else's.
+/// Guards against a leader that acts on outdated knowledge after a stall. It must send no order to
+/// a worker and answer no heartbeat before it has reread the epoch record, and must not take its
+/// own silence for that of other processes.
 #[test]
 fn stalled_leader_sends_no_orders_before_it_rereads_the_epoch() {
     let mut cluster = busy_cluster(1600);
     cluster.run_for_ms(2_000);
     let leader = cluster.leader().unwrap();
     let actions = cluster.actions_on_heartbeat_after_stall(leader, 5_000, "vm-000001");
-    assert!(actions.iter().any(|t| t.starts_with("/keys?starts=view")), "{actions:?}");
-    let forbidden = |t: &String| t == "answer 200" || t == "/orders" || t == "/machines/return";
+    assert!(actions.iter().any(|action| action.starts_with("/keys?starts=view")), "{actions:?}");
+    let forbidden = |action: &String| {
+        action == "answer 200" || action == "/orders" || action == "/machines/return"
+    };
     assert!(!actions.iter().any(forbidden), "{actions:?}");
-    // The others stall longer than their leases: the leader still leads, and work goes on.
+    // The other controllers stall for longer than their leases: the leader still leads, and work
+    // continues.
     let mut cluster = busy_cluster(1610);
     let leader = cluster.leader().unwrap();
     cluster.run_until(5_000, "all tasks run", |cluster| cluster.live_tasks("wk-000001").len() >= 6);
-    let machines = cluster.workers.len();
+    let machine_count = cluster.workers.len();
     (0..3).for_each(|n| cluster.stall(n, if n == leader { 3_000 } else { 9_000 }));
     cluster.run_until_done("wk-000001", 60_000);
     assert_eq!(
         cluster.workers.len(),
-        machines,
-        "no machine is returned for the silence of the leader"
+        machine_count,
+        "no machine is returned because of the leader's silence"
     );
-    // Nor does time count during which machines were idle because the leader stalled.
+    // Time during which machines were idle because the leader stalled does not count either.
     cluster.run_for_ms(21_000);
     (0..3).for_each(|n| cluster.stall(n, if n == leader { 5_000 } else { 9_000 }));
     cluster.run_for_ms(5_500);
     assert_eq!(
         cluster.workers.len(),
-        machines,
-        "no machine is returned because the leader stalled"
+        machine_count,
+        "no machine is returned as idle because the leader stalled"
     );
     cluster.check_invariants();
 }
--- a/crates/core/tests/simulation/state_service_faults.rs
+++ b/crates/core/tests/simulation/state_service_faults.rs
@@ -3,16 +3,16 @@
 use crate::cluster::{job, Cluster, CANCEL_MS};
 use quartzgate_wire::msg::JobKind;
 
-/// Writes that are applied without an answer are found by reading: nothing is lost, repeated or
-/// reported wrongly.
+/// Writes that are applied without an answer are detected by reading: no job or task is lost,
+/// repeated or reported wrongly.
 #[test]
 fn unanswered_writes_lose_and_duplicate_nothing() {
-    for swallowed in 1..8 {
-        let mut cluster = Cluster::new(3, 4, 0.0, 700 + u64::from(swallowed));
+    for unanswered in 1..8 {
+        let mut cluster = Cluster::new(3, 4, 0.0, 700 + u64::from(unanswered));
         cluster.run_for_ms(1_000);
-        cluster.state.unanswered_writes = swallowed;
+        cluster.state.unanswered_writes = unanswered;
         cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 6));
-        cluster.state.unanswered_writes = swallowed;
+        cluster.state.unanswered_writes = unanswered;
         cluster.run_until_done("wk-000001", 60_000);
         cluster.submit_until_accepted(&job("wk-000002", JobKind::Service, 2));
         cluster.state.unanswered_writes = 2;
@@ -23,8 +23,9 @@
     }
 }
 
-/// During an outage of the state service, requests are answered at once: 503 with Retry-After for
-/// what is not known, and the final state of finished jobs. Nothing is lost afterwards.
+/// During an outage of the state service, requests are answered at once: with 503 and Retry-After
+/// where the answer is not known, and with the terminal state of finished jobs. No job is lost
+/// afterwards.
 #[test]
 fn requests_are_answered_at_once_during_an_outage() {
     let mut cluster = Cluster::new(3, 4, 0.0, 1100);
@@ -36,12 +37,17 @@
     cluster.state.down = true;
     cluster.run_for_ms(6_000);
     let leader = cluster.leader().unwrap();
-    let (ended, live) = (cluster.query(leader, "wk-000001"), cluster.query(leader, "wk-000002"));
-    let fresh = cluster.submit(leader, &job("wk-000003", JobKind::Array, 2));
+    let (ended_query, live_query) =
+        (cluster.query(leader, "wk-000001"), cluster.query(leader, "wk-000002"));
+    let submission = cluster.submit(leader, &job("wk-000003", JobKind::Array, 2));
     let ready = cluster.send_request(leader, "GET", "/ready", Vec::new());
     cluster.run_for_ms(100);
     assert_eq!(
-        (cluster.status_code(ended), cluster.status_code(live), cluster.status_code(fresh)),
+        (
+            cluster.status_code(ended_query),
+            cluster.status_code(live_query),
+            cluster.status_code(submission)
+        ),
         (200, 503, 503)
     );
     assert_eq!(cluster.status_code(ready), 200);
@@ -52,7 +58,7 @@
     cluster.check_invariants();
 }
 
-/// An unreadable record (invariant 15) stops only its own job, and nothing overwrites it.
+/// An unreadable record (invariant 15) stops only its own job and is not overwritten.
 #[test]
 fn unreadable_record_stops_only_its_job() {
     let mut cluster = Cluster::new(3, 2, 0.0, 1780);
@@ -68,8 +74,8 @@
     cluster.run_until_done("wk-000002", 20_000);
     cluster.run_for_ms(20_000);
     assert_eq!(cluster.state.keys["shares/wk-000001/0/0"].value, garbage);
-    let poll = cluster.query(0, "wk-000001");
+    let request = cluster.query(0, "wk-000001");
     cluster.run_for_ms(500);
-    assert!([200, 503].contains(&cluster.status_code(poll)));
+    assert!([200, 503].contains(&cluster.status_code(request)));
     cluster.check_invariants();
 }
