--- a/crates/stand-ins/src/lib.rs
+++ b/crates/stand-ins/src/lib.rs
@@ -1,7 +1,6 @@
-//! Stand-ins for the services that quartzgate talks to, for load tests and fault tests.
+//! In-memory stand-ins for the services that quartzgate calls, for load tests and fault tests.
 //!
-//! They hold their state in memory, do no input or output and read no clock: times are
-//! milliseconds that are passed in.
+//! The stand-ins perform no I/O and read no clock: callers pass the time in, in milliseconds.
 #![warn(missing_docs)]
 
 mod state_service;
--- a/crates/stand-ins/src/state_service.rs
+++ b/crates/stand-ins/src/state_service.rs
@@ -1,5 +1,5 @@
-//! The state service: a key-value store with revisions, compare-and-swap, leases and a log of
-//! changes.
+//! The state service: a key-value store with revisions, compare-and-swap transactions, leases and
+//! a change log.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,10 +11,10 @@
 };
 use quartzgate_wire::{from_cbor, to_cbor};
 
-/// Keys in one answer to a list request that names no limit.
+/// Maximum number of keys in the answer to a list request without a limit.
 const DEFAULT_LIST_LIMIT: usize = 1_000;
-/// Changes that are kept for watches.
-const KEPT_CHANGES: usize = 10_000;
+/// Maximum number of changes kept in the change log for watches.
+const MAX_LOGGED_CHANGES: usize = 10_000;
 
 /// A value with the revision of its last change.
 struct StoredValue {
@@ -28,53 +28,53 @@
     expires_ms: u64,
 }
 
-/// What the service says to a request.
+/// How the state service responds to a request.
 pub enum Reply {
-    /// Its answer.
+    /// The answer, which is available at once.
     Answer(Response),
-    /// A watch, which is answered once there are changes or its time is up.
+    /// A watch, to be answered when there are changes or when `block_ms` has passed.
     Watch {
-        /// Prefix of the keys.
+        /// Prefix of the watched keys.
         prefix: String,
-        /// Changes after this revision are told.
+        /// Revision after which changes are reported.
         since: u64,
-        /// How long it may block.
+        /// Longest time for which the watch may block, in milliseconds.
         block_ms: u64,
     },
 }
 
-/// Keys and values in memory.
+/// The state service, with all its state in memory.
 #[derive(Default)]
 pub struct StateService {
     entries: BTreeMap<String, StoredValue>,
     revision: u64,
     leases: BTreeMap<u64, Lease>,
-    last_lease: u64,
+    last_lease_id: u64,
     log: VecDeque<ChangeEvent>,
 }
 
 impl StateService {
-    /// Number of keys.
+    /// Returns the number of stored keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no key.
+    /// Returns whether no key is stored.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Writes a value as if it had been there since the first revision.
+    /// Writes a value with the first revision, without a lease or an entry in the change log.
     pub fn preload(&mut self, key: String, value: Value) {
         self.entries.insert(key, StoredValue { value, revision: 1, lease_id: None });
     }
 
-    /// A value, if its key exists.
+    /// Returns the value of a key; `None` if the key does not exist.
     pub fn value(&self, key: &str) -> Option<&Value> {
         self.entries.get(key).map(|stored| &stored.value)
     }
 
-    /// Handles a request.
+    /// Handles a request. Leases that it grants or renews run from `now_ms`.
     pub fn handle(&mut self, now_ms: u64, method: &str, target: &str, body: &[u8]) -> Reply {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let response = match path {
@@ -91,38 +91,38 @@
         Reply::Answer(response)
     }
 
-    /// The answer to a watch: changes under a prefix since a revision, or 410 if they are not all
-    /// known any more; `None` while there are none.
+    /// Returns the answer to a watch: the changes of keys with a prefix after a revision, or 410 if
+    /// the change log may no longer hold all of them; `None` while there are no changes.
     pub fn changes(&self, prefix: &str, since: u64) -> Option<Response> {
-        let is_truncated = self.log.len() >= KEPT_CHANGES;
+        let is_truncated = self.log.len() >= MAX_LOGGED_CHANGES;
         if is_truncated && self.log.front().is_some_and(|first| since < first.revision) {
             return Some(Response::new(410, Vec::new()));
         }
-        let is_told = |event: &&ChangeEvent| {
+        let is_requested = |event: &&ChangeEvent| {
             let key = event.set.as_ref().or(event.delete.as_ref());
             event.revision > since && key.is_some_and(|key| key.starts_with(prefix))
         };
-        let log: Vec<ChangeEvent> = self.log.iter().filter(is_told).cloned().collect();
+        let log: Vec<ChangeEvent> = self.log.iter().filter(is_requested).cloned().collect();
         (!log.is_empty()).then(|| ok(&ChangeLog { store_revision: self.revision, log }))
     }
 
-    /// The body of a watch that ended without changes.
+    /// Returns the answer to a watch that ended without changes.
     pub fn no_changes(&self) -> Response {
         ok(&ChangeLog { store_revision: self.revision, log: Vec::new() })
     }
 
-    /// Removes the keys whose leases have ended.
+    /// Removes expired leases and the keys attached to them.
     pub fn expire_leases(&mut self, now_ms: u64) {
-        let ended: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, lease)| now_ms >= lease.expires_ms)
             .map(|(id, _)| *id)
             .collect();
-        ended.into_iter().for_each(|id| self.end_lease(id));
+        expired.into_iter().for_each(|id| self.remove_lease(id));
     }
 
-    /// Gives every lease its full time again, as after an outage.
+    /// Restarts the full time to live of every lease, as after an outage of the service.
     pub fn restart_leases(&mut self, now_ms: u64) {
         for lease in self.leases.values_mut() {
             lease.expires_ms = now_ms + lease.ttl_ms;
@@ -131,15 +131,15 @@
 
     fn grant_lease(&mut self, now_ms: u64, body: &[u8]) -> Response {
         let ttl_ms = from_cbor::<LeaseRequest>(body).map_or(0, |request| request.ttl_ms);
-        self.last_lease += 1;
-        self.leases.insert(self.last_lease, Lease { ttl_ms, expires_ms: now_ms + ttl_ms });
-        ok(&LeaseAnswer { lease_id: self.last_lease })
+        self.last_lease_id += 1;
+        self.leases.insert(self.last_lease_id, Lease { ttl_ms, expires_ms: now_ms + ttl_ms });
+        ok(&LeaseAnswer { lease_id: self.last_lease_id })
     }
 
     fn handle_lease(&mut self, now_ms: u64, method: &str, lease: &str) -> Response {
         let id = lease.trim_end_matches("/renew").parse().unwrap_or(0);
         if method == "DELETE" {
-            self.end_lease(id);
+            self.remove_lease(id);
             return Response::new(200, Vec::new());
         }
         match self.leases.get_mut(&id) {
@@ -151,7 +151,7 @@
         }
     }
 
-    fn end_lease(&mut self, id: u64) {
+    fn remove_lease(&mut self, id: u64) {
         self.leases.remove(&id);
         let attached = self.entries.iter().filter(|(_, stored)| stored.lease_id == Some(id));
         let keys: Vec<String> = attached.map(|(key, _)| key.clone()).collect();
@@ -163,12 +163,12 @@
 
     fn get(&self, key: &str) -> Response {
         match self.entries.get(key) {
-            Some(stored) => ok(&pair(key, stored)),
+            Some(stored) => ok(&key_value(key, stored)),
             None => Response::new(404, Vec::new()),
         }
     }
 
-    /// Lists the keys with a prefix, after the last key of the list before.
+    /// Lists the keys with a prefix that follow `since`, the last key of the previous page.
     fn list(&self, query: &str) -> Response {
         let prefix = parameter(query, "starts=").unwrap_or_default();
         let after = parameter(query, "since=").unwrap_or_default();
@@ -178,13 +178,13 @@
         let found = self.entries.range(first.to_string()..).filter(|(key, _)| *key != after);
         let found = found.take_while(|(key, _)| key.starts_with(prefix));
         let mut pairs: Vec<KeyValue> =
-            found.take(limit + 1).map(|(key, stored)| pair(key, stored)).collect();
+            found.take(limit + 1).map(|(key, stored)| key_value(key, stored)).collect();
         let more = pairs.len() > limit;
         pairs.truncate(limit);
         ok(&KeyValueList { pairs, more, store_revision: self.revision })
     }
 
-    /// Applies a transaction if all its conditions hold.
+    /// Applies a transaction if all its guards hold.
     fn commit(&mut self, body: &[u8]) -> Response {
         let Ok(transaction) = from_cbor::<Transaction>(body) else {
             return Response::new(400, Vec::new());
@@ -199,7 +199,7 @@
             let body = to_cbor(&TransactionAnswer { store_revision: self.revision, failed });
             return Response::new(409, body);
         }
-        if transaction.apply.iter().any(|change| self.names_ended_lease(change)) {
+        if transaction.apply.iter().any(|change| self.references_unknown_lease(change)) {
             return Response::new(400, Vec::new());
         }
         self.revision += u64::from(!transaction.apply.is_empty());
@@ -207,12 +207,12 @@
         ok(&TransactionAnswer { store_revision: self.revision, failed: Vec::new() })
     }
 
-    /// Whether a key has the revision that a condition names; 0 means that it does not exist.
+    /// Returns whether a key has the revision in a guard; revision 0 means that the key is absent.
     fn holds(&self, guard: &Guard) -> bool {
         self.entries.get(&guard.path).map_or(0, |stored| stored.revision) == guard.revision
     }
 
-    fn names_ended_lease(&self, change: &Change) -> bool {
+    fn references_unknown_lease(&self, change: &Change) -> bool {
         matches!(change, Change::Set { lease_id: Some(id), .. } if !self.leases.contains_key(id))
     }
 
@@ -230,7 +230,7 @@
             }
         };
         self.log.push_back(event);
-        if self.log.len() > KEPT_CHANGES {
+        if self.log.len() > MAX_LOGGED_CHANGES {
             self.log.pop_front();
         }
     }
@@ -253,7 +253,7 @@
     Response::new(200, to_cbor(body))
 }
 
-fn pair(key: &str, stored: &StoredValue) -> KeyValue {
+fn key_value(key: &str, stored: &StoredValue) -> KeyValue {
     KeyValue {
         path: key.to_string(),
         value: stored.value.clone(),
