--- a/crates/soak/src/controllers.rs
+++ b/crates/soak/src/controllers.rs
@@ -62,7 +62,7 @@
     ) -> Result<Self, ControllerError> {
         let settings_path = folder.join(format!("settings-{node}.json"));
         let operator_path = folder.join("operator.yaml");
-        let platform = settings::platform(node, count, addresses);
+        let platform = settings::platform_settings(node, count, addresses);
         write(&settings_path, &platform.to_string())?;
         write(&operator_path, &format!("idle_ratio: {idle_ratio}\n"))?;
         let mut controller = Controller {
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,9 +1,9 @@
-//! `quartzgate-soak`: random faults on real controller processes over loopback.
+//! `quartzgate-soak`: injects random faults into real controller processes over loopback.
 //!
-//! A run starts the real `quartzgate` program several times, with stand-ins for everything that it
-//! talks to, draws overlapping faults from a seed, and checks the service's invariants from
-//! outside, by the stand-ins' own records. Users submit, repeat, query and cancel jobs at all
-//! controllers before, during and after the faults.
+//! A run starts several processes of the real `quartzgate` program, with stand-ins for every
+//! service that they call. It draws overlapping faults from a seed and checks the scheduler's
+//! invariants from outside, against the records that the stand-ins keep. Simulated users submit,
+//! resubmit, query and cancel jobs at all controllers before, during and after the faults.
 #![warn(missing_docs)]
 
 mod checks;
@@ -30,32 +30,32 @@
 use run::{RunError, RunOptions};
 use seeds::SeedRange;
 
-/// Exit code when a run violated an invariant.
+/// Exit code if a run violated an invariant.
 const EXIT_VIOLATED: u8 = 1;
-/// Exit code when a run could not be made.
+/// Exit code if a run could not be carried out.
 const EXIT_NOT_RUN: u8 = 2;
 
-/// Random faults on real controller processes over loopback.
+/// Injects random faults into real controller processes over loopback and checks invariants.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 struct Arguments {
-    /// Seeds to run, `FIRST..LAST`, both included.
+    /// Range of seeds to run, `FIRST..LAST`, both inclusive.
     #[arg(long)]
     seeds: SeedRange,
-    /// Runs at a time.
+    /// Number of concurrent runs.
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=16))]
     jobs: u16,
-    /// Seconds for which faults are injected.
+    /// Duration of the fault phase of each run, in seconds.
     #[arg(long, default_value_t = 50, value_parser = clap::value_parser!(u32).range(5..=3600))]
     fault_s: u32,
-    /// Seconds without faults after them; invariants that allow 75 and 90 s are checked only if
-    /// it is longer than these.
+    /// Duration of the phase without faults that follows, in seconds; the invariants that allow 75
+    /// and 90 s are checked only if the phase is longer than these times.
     #[arg(long, default_value_t = 95, value_parser = clap::value_parser!(u32).range(5..=3600))]
     calm_s: u32,
-    /// The controller program; that of the same build if left out.
+    /// Path of the controller program; defaults to the program of the same build.
     #[arg(long)]
     controller: Option<PathBuf>,
-    /// Folder for the logs of failed runs.
+    /// Directory for the logs of failed runs.
     #[arg(long, default_value = "target/soak")]
     logs: PathBuf,
 }
@@ -72,7 +72,7 @@
     }
 }
 
-/// Makes all runs; whether none violated an invariant.
+/// Carries out all runs and returns whether none of them violated an invariant.
 fn run_all(arguments: &Arguments) -> Result<bool, RunError> {
     let options = RunOptions {
         controller: controllers::find_program(arguments.controller.as_deref())?,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -243,7 +243,7 @@
         loop {
             sleep(CHECK_INTERVAL / 5).await;
             let now_ms = self.world.borrow().now_ms();
-            while pending.front().is_some_and(|fault| fault.at_ms <= now_ms) {
+            while pending.front().is_some_and(|fault| fault.start_ms <= now_ms) {
                 if let Some(fault) = pending.pop_front() {
                     self.begin(fault, &mut undo).await;
                 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,78 +1,79 @@
-//! The faults of a run, drawn from its seed.
+//! The faults of a run, determined by its seed.
 
 use std::fmt;
 
 use rand::rngs::SmallRng;
 use rand::Rng;
 
-/// How many faults are drawn for each ten seconds.
+/// Average number of faults per ten seconds of the fault phase, without the series of leader kills.
 const FAULTS_PER_10_S: f64 = 2.2;
-/// Shortest and longest fault.
-const FAULT_MS: std::ops::RangeInclusive<u64> = 1_500..=16_000;
-/// Longest pause of a process.
-const MAX_PAUSE_MS: u64 = 7_000;
-/// How long a crashed controller may be down: hardly, or for seconds.
+/// Range of fault durations.
+const FAULT_DURATION_MS: std::ops::RangeInclusive<u64> = 1_500..=16_000;
+/// Longest time for which a process is paused.
+const MAX_PAUSE_DURATION_MS: u64 = 7_000;
+/// Delays after which a killed controller is restarted: almost at once, or after seconds.
 const RESTART_DELAYS_MS: [u64; 2] = [200, 3_000];
-/// Time between two crashes in a series.
-const SERIES_INTERVAL_MS: u64 = 2_500;
+/// Time between two kills in a series of leader kills.
+const LEADER_KILL_INTERVAL_MS: u64 = 2_500;
 
-/// Which controller a fault hits, told when it begins.
+/// The controller that a fault affects, resolved when the fault begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// The one that leads.
+    /// The controller that is leader at that time.
     Leader,
-    /// The one with this number.
+    /// The controller with this number.
     Node(usize),
 }
 
-/// How calls fail across a cut connection.
+/// How calls over a cut connection fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutMode {
-    /// They are refused at once.
+    /// Calls are refused at once.
     Refuse,
-    /// They get no answer.
+    /// Calls get no answer.
     Hold,
 }
 
-/// What goes wrong.
+/// The kind of a fault, with its parameters.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// A controller is killed and comes back after so long.
+    /// A controller is killed, and restarted after `back_ms`.
     Kill { target: Target, back_ms: u64 },
-    /// All controllers are killed.
+    /// All controllers are killed, and restarted after `back_ms`.
     KillAll { back_ms: u64 },
-    /// A controller stands still while its clocks run on.
+    /// A controller process is stopped, while its clocks keep running.
     Pause { target: Target },
-    /// A controller loses the state service, which answers 503 or nothing.
+    /// The state service answers one controller with 503, or not at all.
     CutStore { target: Target, mode: CutMode },
-    /// The state service answers 503 to everybody.
+    /// The state service answers all controllers with 503.
     StoreOut,
-    /// The state service takes so much longer.
+    /// The state service delays every answer by `ms`.
     StoreSlow { ms: u64 },
-    /// Transactions get no answer and are applied late.
+    /// A share of the writing transactions is applied late and gets no answer.
     LateWrites { share: f64 },
-    /// Transactions are applied at once, and their answers are lost.
+    /// A share of the writing transactions is applied at once, but the answers are lost.
     LostAnswers { share: f64 },
-    /// A controller loses all others.
+    /// A controller is cut off from all other controllers.
     CutMesh { target: Target, mode: CutMode },
-    /// No worker's heartbeat reaches a controller.
+    /// No worker's heartbeat reaches the affected controller.
     CutWorkers { target: Target },
-    /// Heartbeats of some workers arrive; answers and orders to them are lost.
+    /// Heartbeats of some workers arrive, but answers and orders to these workers are lost.
     DeafWorkers { share: f64 },
-    /// Heartbeats of some workers reach nobody, while orders reach them.
+    /// Heartbeats of some workers are lost, while orders to these workers arrive.
     MuteWorkers { share: f64 },
-    /// Some workers hang, and go on later.
+    /// Some workers hang, and resume when the fault ends.
     HungWorkers { share: f64 },
-    /// Copies of heartbeats arrive late, at any controller.
+    /// Duplicates of a share of the heartbeats arrive late, at random controllers.
     LateHeartbeats { share: f64 },
-    /// Orders are held up, unanswered, and carried out late.
+    /// A share of the orders is carried out late and gets no answer.
     LateOrders { share: f64 },
-    /// Users cancel many running jobs at once.
+    /// Users cancel several open jobs at once.
     CancelBurst,
 }
 
 impl FaultKind {
-    /// The share of machines or messages that the fault hits; none if it hits something else.
+    /// Returns the share of machines or messages that the fault affects; 0 for faults that affect
+    /// something else.
     pub fn share(self) -> f64 {
         match self {
             FaultKind::LateWrites { share }
@@ -87,56 +88,59 @@
     }
 }
 
-/// A fault of a run.
+/// A scheduled fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// When it begins.
-    pub at_ms: u64,
-    /// How long it lasts; what is done at once, as a kill, has no end.
-    pub for_ms: u64,
-    /// What goes wrong.
+    /// When the fault begins.
+    pub start_ms: u64,
+    /// How long the fault lasts. Kills ignore this duration: a kill takes effect at once, and its
+    /// restart delay sets its end.
+    pub duration_ms: u64,
+    /// The kind of the fault, with its parameters.
     pub kind: FaultKind,
 }
 
 impl Fault {
-    /// When it is over.
+    /// Returns when the fault is over; for a kill, when the controller is restarted.
     pub fn end_ms(&self) -> u64 {
         match self.kind {
             FaultKind::Kill { back_ms, .. } | FaultKind::KillAll { back_ms } => {
-                self.at_ms + back_ms
+                self.start_ms + back_ms
             }
-            _ => self.at_ms + self.for_ms,
+            _ => self.start_ms + self.duration_ms,
         }
     }
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (from_s, to_s) = (self.at_ms as f64 / 1e3, self.end_ms() as f64 / 1e3);
-        write!(f, "{from_s:.1} to {to_s:.1} s: {:?}", self.kind)
+        let (start_s, end_s) = (self.start_ms as f64 / 1e3, self.end_ms() as f64 / 1e3);
+        write!(f, "{start_s:.1} to {end_s:.1} s: {:?}", self.kind)
     }
 }
 
-/// Draws the faults of a run, in the order in which they begin. All are over at `until_ms`.
+/// Draws the faults of a run, sorted by start time. All faults are over at `until_ms`, except that
+/// a killed controller may be restarted later, after its restart delay.
 pub fn draw(rng: &mut SmallRng, nodes: usize, from_ms: u64, until_ms: u64) -> Vec<Fault> {
     let span_ms = until_ms - from_ms;
     let count = (span_ms as f64 / 10_000.0 * FAULTS_PER_10_S).ceil() as usize;
     let mut faults: Vec<Fault> =
         (0..count).map(|_| draw_fault(rng, nodes, from_ms, until_ms)).collect();
-    faults.extend(draw_series(rng, from_ms, until_ms));
-    faults.sort_by_key(|fault| fault.at_ms);
+    faults.extend(draw_leader_kills(rng, from_ms, until_ms));
+    faults.sort_by_key(|fault| fault.start_ms);
     faults
 }
 
 fn draw_fault(rng: &mut SmallRng, nodes: usize, from_ms: u64, until_ms: u64) -> Fault {
     let kind = draw_kind(rng, nodes);
-    let longest_ms = match kind {
-        FaultKind::Pause { .. } => MAX_PAUSE_MS,
-        _ => *FAULT_MS.end(),
+    let max_duration_ms = match kind {
+        FaultKind::Pause { .. } => MAX_PAUSE_DURATION_MS,
+        _ => *FAULT_DURATION_MS.end(),
     };
-    let for_ms = rng.random_range(*FAULT_MS.start()..=longest_ms).min(until_ms - from_ms);
-    let at_ms = rng.random_range(from_ms..=until_ms - for_ms);
-    Fault { at_ms, for_ms, kind }
+    let duration_ms =
+        rng.random_range(*FAULT_DURATION_MS.start()..=max_duration_ms).min(until_ms - from_ms);
+    let start_ms = rng.random_range(from_ms..=until_ms - duration_ms);
+    Fault { start_ms, duration_ms, kind }
 }
 
 fn draw_kind(rng: &mut SmallRng, nodes: usize) -> FaultKind {
@@ -167,18 +171,18 @@
     }
 }
 
-/// In one run out of three the leader is killed several times in a row.
-fn draw_series(rng: &mut SmallRng, from_ms: u64, until_ms: u64) -> Vec<Fault> {
+/// Draws a series of kills of the leader in one run out of three, and none otherwise.
+fn draw_leader_kills(rng: &mut SmallRng, from_ms: u64, until_ms: u64) -> Vec<Fault> {
     let length = rng.random_range(2..=5u64);
-    let needed_ms = length * SERIES_INTERVAL_MS + RESTART_DELAYS_MS[1];
+    let needed_ms = length * LEADER_KILL_INTERVAL_MS + RESTART_DELAYS_MS[1];
     if !rng.random_bool(1.0 / 3.0) || until_ms - from_ms <= needed_ms {
         return Vec::new();
     }
-    let begin_ms = rng.random_range(from_ms..until_ms - needed_ms);
+    let first_kill_ms = rng.random_range(from_ms..until_ms - needed_ms);
     let back_ms = RESTART_DELAYS_MS[rng.random_range(0..RESTART_DELAYS_MS.len())];
     let kill = |n| Fault {
-        at_ms: begin_ms + n * SERIES_INTERVAL_MS,
-        for_ms: 0,
+        start_ms: first_kill_ms + n * LEADER_KILL_INTERVAL_MS,
+        duration_ms: 0,
         kind: FaultKind::Kill { target: Target::Leader, back_ms },
     };
     (0..length).map(kill).collect()
--- a/crates/soak/src/seeds.rs
+++ b/crates/soak/src/seeds.rs
@@ -1,35 +1,33 @@
-//! Ranges of seeds on the command line.
+//! Parsing of seed ranges from the command line.
 
 use std::str::FromStr;
 
-/// Most seeds of one call.
+/// Maximum number of seeds per invocation.
 const MAX_SEEDS: u64 = 10_000;
 
-/// Seeds from the first to the last, both included.
+/// A range of seeds, inclusive at both ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SeedRange {
-    /// First seed.
     pub first: u64,
-    /// Last seed.
     pub last: u64,
 }
 
-/// Why a text is no range of seeds.
+/// Error of parsing a seed range.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SeedRangeError {
-    /// It has another form.
+    /// The text is not of the form `FIRST..LAST`.
     #[error("`{0}` is not of the form FIRST..LAST, two integers")]
     Malformed(String),
-    /// Its end comes before its beginning.
+    /// The last seed is below the first.
     #[error("the last seed {last} is below the first, {first}")]
     Reversed {
-        /// First seed.
+        /// First seed as given.
         first: u64,
-        /// Last seed.
+        /// Last seed as given.
         last: u64,
     },
-    /// It holds too many seeds.
-    #[error("{0} seeds; allowed are up to {MAX_SEEDS}")]
+    /// The range holds more than [`MAX_SEEDS`] seeds; contains the number of seeds.
+    #[error("{0} seeds requested; at most {MAX_SEEDS} are allowed")]
     TooMany(u64),
 }
 
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -1,51 +1,55 @@
-//! The settings that the controllers of a run get.
+//! Platform settings of the controllers of a run.
 
 use std::net::SocketAddr;
 
 use serde_json::{json, Value};
 
-/// Interval of the workers' heartbeats.
+/// Interval between a worker's heartbeats.
 pub const HEARTBEAT_MS: u64 = 1_000;
-/// Length of a worker's lease.
+/// Duration of a worker's lease.
 pub const LEASE_MS: u64 = 8_000;
-/// Time after a confirmed cancellation by which the job's tasks must be gone.
+/// Time after a confirmed cancellation by which no task of the job may run any more.
 pub const CANCEL_MS: u64 = 24_000;
-/// CPUs that the team may use.
+/// Upper limit of the CPUs that the team may use.
 pub const TEAM_CPUS: f64 = 160.0;
-/// Memory that a controller may take, in MB.
+/// Memory limit of a controller, in MB.
 pub const MEMORY_MB: f64 = 64.0;
-/// The zones.
+/// Zones of the controllers and machines.
 pub const ZONES: [&str; 2] = ["a", "b"];
-/// The team that submits all jobs.
+/// Team under which all jobs are submitted.
 pub const TEAM: &str = "crew";
 
-/// Addresses of one controller and of what it talks to.
+/// Addresses of one controller and of the services and siblings that it calls.
 #[derive(Clone, Debug)]
 pub struct ControllerAddresses {
-    /// Where users and workers call.
+    /// Address at which the controller serves users and workers.
     pub clients: SocketAddr,
-    /// Where other controllers call, behind a proxy for each of them.
+    /// Address at which the controller serves its siblings, each of which calls through a proxy.
     pub mesh: SocketAddr,
-    /// The state service as this controller sees it.
+    /// Address of the state service's listener for this controller.
     pub state: SocketAddr,
-    /// The cloud as this controller sees it.
+    /// Address of the cloud's listener for this controller.
     pub cloud: SocketAddr,
-    /// The proxy to each other controller, with that controller's number.
+    /// Number of each sibling, and address of the proxy to it.
     pub siblings: Vec<(usize, SocketAddr)>,
 }
 
-/// Name of a controller.
+/// Returns the node name of a controller.
 pub fn node_name(node: usize) -> String {
     format!("host-{node}")
 }
 
-/// Zone of a controller.
+/// Returns the zone of a controller; controllers are spread over the zones in turn.
 pub fn zone_of(node: usize) -> &'static str {
     ZONES[node % ZONES.len()]
 }
 
-/// The platform settings of a controller.
-pub fn platform(node: usize, count: usize, addresses: &ControllerAddresses) -> Value {
+/// Returns the platform settings of one of `controller_count` controllers.
+pub fn platform_settings(
+    node: usize,
+    controller_count: usize,
+    addresses: &ControllerAddresses,
+) -> Value {
     let siblings: Vec<Value> = addresses
         .siblings
         .iter()
@@ -61,7 +65,7 @@
         "siblings": siblings,
         "outside": {"cloud": addresses.cloud, "state": addresses.state},
         "facts": {
-            "count": count,
+            "count": controller_count,
             "zones": ZONES,
             "teams": [{"name": TEAM, "cpus": TEAM_CPUS / 2.0, "cpus_max": TEAM_CPUS}],
             "objectives": [],
--- a/crates/soak/tests/short_soak.rs
+++ b/crates/soak/tests/short_soak.rs
@@ -1,21 +1,23 @@
-//! The program as it is called: a short soak of fixed seeds, and refusals of bad arguments.
+//! Runs the program as a user would: a short soak with fixed seeds, which guards against violations
+//! of the invariants under random faults, and calls with bad arguments, which must be refused.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// Seeds of the short soak: three and five controllers, small and large fleets.
+/// Seeds of the short soak; they cover three and five controllers, small and large fleets.
 const SEEDS: &str = "1..6";
 
 fn soak(arguments: &[&str]) -> Output {
     let program = env!("CARGO_BIN_EXE_quartzgate-soak");
-    Command::new(program).args(arguments).output().expect("the program starts")
+    Command::new(program).args(arguments).output().expect("starting the program failed")
 }
 
-/// The controller of the same build. Only if this package is tested alone is it built here.
+/// Returns the path of the controller program of the same build, after building it. The build has
+/// work to do only if this package is tested alone.
 fn controller() -> PathBuf {
     let build = ["build", "--profile", "test", "--package", "quartzgate", "--locked"];
-    let built = Command::new(env!("CARGO")).args(build).status();
-    assert!(built.is_ok_and(|status| status.success()), "the controller can't be built");
+    let status = Command::new(env!("CARGO")).args(build).status();
+    assert!(status.is_ok_and(|status| status.success()), "building the controller failed");
     Path::new(env!("CARGO_BIN_EXE_quartzgate-soak")).with_file_name("quartzgate")
 }
 
@@ -37,14 +39,14 @@
         "--logs",
         &logs,
     ]);
-    let shown = String::from_utf8_lossy(&output.stdout);
-    assert!(output.status.success(), "{}\n{shown}", String::from_utf8_lossy(&output.stderr));
-    assert!(shown.contains("6 runs, 0 with violations"), "{shown}");
+    let stdout = String::from_utf8_lossy(&output.stdout);
+    assert!(output.status.success(), "{}\n{stdout}", String::from_utf8_lossy(&output.stderr));
+    assert!(stdout.contains("6 runs, 0 with violations"), "{stdout}");
 }
 
 #[test]
-fn bad_arguments_are_refused_by_name() {
-    for (arguments, named) in [
+fn bad_arguments_are_refused_with_a_message_that_names_them() {
+    for (arguments, message) in [
         (&["--seeds", "9..3"][..], "the last seed 3 is below the first, 9"),
         (&["--seeds", "7"], "`7` is not of the form FIRST..LAST"),
         (&["--seeds", "1..2", "--jobs", "0"], "--jobs"),
@@ -54,8 +56,8 @@
         (&[], "--seeds"),
     ] {
         let output = soak(arguments);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {said}");
-        assert!(said.contains(named), "{arguments:?}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{arguments:?}: {stderr}");
+        assert!(stderr.contains(message), "{arguments:?}: {stderr}");
     }
 }
--- a/crates/soak/tests/unit/seeds.rs
+++ b/crates/soak/tests/unit/seeds.rs
@@ -1,13 +1,13 @@
 use super::{SeedRange, SeedRangeError};
 
 #[test]
-fn ranges_name_first_and_last() {
+fn ranges_include_first_and_last_seed() {
     assert_eq!("3..7".parse(), Ok(SeedRange { first: 3, last: 7 }));
     assert_eq!("5..5".parse(), Ok(SeedRange { first: 5, last: 5 }));
 }
 
 #[test]
-fn bad_ranges_are_refused() {
+fn invalid_ranges_are_refused() {
     let error = |text: &str| text.parse::<SeedRange>().unwrap_err();
     for text in ["", "7", "a..b", "1..", "..9", "1...3", "-1..3"] {
         assert_eq!(error(text), SeedRangeError::Malformed(text.into()));
