--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,4 +1,5 @@
-//! History of a run as the stand-ins and users observe it, and checks of the scheduler's invariants.
+//! History of a run as the stand-ins and users observe it, and checks of the scheduler's
+//! invariants.
 //!
 //! Times are in milliseconds since the run began. Each violation is recorded with its time.
 
@@ -317,8 +318,8 @@
     }
 
     /// Reports jobs that wait for too long although a machine has room for one of their tasks.
-    /// `free_cpus` is the largest number of free CPUs on one machine. Call this only once the faults
-    /// are over.
+    /// `free_cpus` is the largest number of free CPUs on one machine. Call this only once the
+    /// faults are over.
     pub fn check_waiting_jobs(&mut self, now_ms: u64, free_cpus: f64) {
         let used: f64 = self.live_tasks.values().map(|live| live.cpus).sum();
         let live_tasks = &self.live_tasks;
--- a/crates/soak/src/cloud.rs
+++ b/crates/soak/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud of a run: machine types, provisioning, release and the list of machines.
+//! Stand-in for the cloud: machine types, provisioning, release and the list of machines.
 
 use quartzgate_wire::http::{Request, Response};
 use quartzgate_wire::msg::{
@@ -12,18 +12,19 @@
 use crate::workers;
 use crate::world::{SharedWorld, World};
 
-/// The only type of machine.
+/// Name of the only machine type.
 pub const MACHINE_TYPE: &str = "m16";
-/// CPUs of a machine.
+/// Number of CPUs of each machine.
 pub const MACHINE_CPUS: f64 = 16.0;
-/// Machines that may exist at a time beyond those that a run begins with.
-const MAX_PROVISIONED: usize = 40;
-/// Machines in one part of the list.
-const MAX_LISTED: usize = 500;
-/// Seconds until a machine is up, as the cloud states it.
+/// Number of existing machines, including those that a run begins with, up to which the cloud
+/// provisions more.
+const MAX_MACHINES: usize = 40;
+/// Maximum number of machines in one page of the list.
+const MAX_MACHINES_PER_PAGE: usize = 500;
+/// Boot time of a machine as published in its type, in seconds.
 const BOOT_S: f64 = 2.0;
 
-/// Answers a controller's request.
+/// Answers a request of a controller.
 pub async fn handle(world: SharedWorld, request: Request) -> Option<Response> {
     let (path, query) = request.target.split_once('?').unwrap_or((&request.target, ""));
     let response = match (request.method.as_str(), path) {
@@ -56,14 +57,16 @@
     let after = query.split('&').find_map(|part| part.strip_prefix("since=")).unwrap_or("");
     let now_ms = world.now_ms();
     let following = world.machines.values().filter(|machine| machine.name.as_str() > after);
-    let mut machines: Vec<ListedMachine> =
-        following.take(MAX_LISTED + 1).map(|machine| listed(machine, now_ms)).collect();
-    let more = machines.len() > MAX_LISTED;
-    machines.truncate(MAX_LISTED);
+    let mut machines: Vec<ListedMachine> = following
+        .take(MAX_MACHINES_PER_PAGE + 1)
+        .map(|machine| list_entry(machine, now_ms))
+        .collect();
+    let more = machines.len() > MAX_MACHINES_PER_PAGE;
+    machines.truncate(MAX_MACHINES_PER_PAGE);
     MachineList { machines, more }
 }
 
-fn listed(machine: &Machine, now_ms: u64) -> ListedMachine {
+fn list_entry(machine: &Machine, now_ms: u64) -> ListedMachine {
     let is_up = now_ms >= machine.up_ms;
     ListedMachine {
         name: machine.name.clone(),
@@ -80,12 +83,13 @@
     let Ok(request) = from_cbor::<ProvisionRequest>(body) else {
         return Response::new(400, Vec::new());
     };
-    let known = world.borrow().provisions.get(&request.provision_id).cloned();
-    if let Some(machines) = known {
+    let already_provisioned =
+        world.borrow().machines_by_provision_id.get(&request.provision_id).cloned();
+    if let Some(machines) = already_provisioned {
         return Response::new(200, to_cbor(&MachineNames { machines }));
     }
-    let existing = world.borrow().machines.len();
-    let count = (request.count as usize).min(MAX_PROVISIONED.saturating_sub(existing));
+    let existing_machines = world.borrow().machines.len();
+    let count = (request.count as usize).min(MAX_MACHINES.saturating_sub(existing_machines));
     if count == 0 {
         return Response::new(503, Vec::new());
     }
@@ -96,7 +100,7 @@
             machines.push(name);
         }
     }
-    world.borrow_mut().provisions.insert(request.provision_id, machines.clone());
+    world.borrow_mut().machines_by_provision_id.insert(request.provision_id, machines.clone());
     Response::new(200, to_cbor(&MachineNames { machines }))
 }
 
--- a/crates/soak/src/controllers.rs
+++ b/crates/soak/src/controllers.rs
@@ -1,4 +1,4 @@
-//! The controller processes of a run: started, killed, paused and watched by their ids.
+//! The controller processes of a run. Each process is signalled and observed by its own id.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -10,36 +10,38 @@
 
 use crate::settings::{self, ControllerAddresses};
 
-/// Name of the controller program.
+/// File name of the controller program.
 const PROGRAM: &str = "quartzgate";
 
-/// Why a controller could not be started.
+/// Error of starting a controller.
 #[derive(Debug, thiserror::Error)]
 pub enum ControllerError {
-    /// There is no program.
-    #[error("--controller: no program {}: build it, or name another", .0.display())]
-    NoProgram(PathBuf),
-    /// A file can't be written, or the program can't be started.
+    /// No file exists at the path of the controller program.
+    #[error("--controller: no program {}: build it, or give another path", .0.display())]
+    ProgramNotFound(PathBuf),
+    /// A file could not be written, or the program could not be started.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The file or program.
+        /// Path of the file or program.
         path: PathBuf,
-        /// What the system says.
+        /// The error that the operating system returned.
         source: io::Error,
     },
 }
 
-/// The controller program: the one that is named, or that beside this program.
-pub fn find_program(named: Option<&Path>) -> Result<PathBuf, ControllerError> {
-    let beside = || std::env::current_exe().ok().map(|own| own.with_file_name(PROGRAM));
-    let program = named.map(Path::to_path_buf).or_else(beside).unwrap_or_default();
+/// Returns the path of the controller program: `given_path`, or else the file beside this program.
+pub fn find_program(given_path: Option<&Path>) -> Result<PathBuf, ControllerError> {
+    let beside_this_program =
+        || std::env::current_exe().ok().map(|this_program| this_program.with_file_name(PROGRAM));
+    let program =
+        given_path.map(Path::to_path_buf).or_else(beside_this_program).unwrap_or_default();
     match program.is_file() {
         true => Ok(program),
-        false => Err(ControllerError::NoProgram(program)),
+        false => Err(ControllerError::ProgramNotFound(program)),
     }
 }
 
-/// One controller of a run.
+/// A controller of a run, whose process may be down at times.
 pub struct Controller {
     node: usize,
     program: PathBuf,
@@ -47,14 +49,14 @@
     operator_path: PathBuf,
     log_path: PathBuf,
     child: Option<Child>,
-    largest_memory_mb: f64,
+    peak_memory_mb: f64,
 }
 
 impl Controller {
-    /// Writes the settings of a controller into a folder, and starts it.
+    /// Writes the controller's settings files into `folder` and starts its process.
     pub fn start(
         node: usize,
-        count: usize,
+        controller_count: usize,
         addresses: &ControllerAddresses,
         program: &Path,
         folder: &Path,
@@ -62,7 +64,7 @@
     ) -> Result<Self, ControllerError> {
         let settings_path = folder.join(format!("settings-{node}.json"));
         let operator_path = folder.join("operator.yaml");
-        let platform = settings::platform_settings(node, count, addresses);
+        let platform = settings::platform_settings(node, controller_count, addresses);
         write(&settings_path, &platform.to_string())?;
         write(&operator_path, &format!("idle_ratio: {idle_ratio}\n"))?;
         let mut controller = Controller {
@@ -72,13 +74,13 @@
             operator_path,
             log_path: folder.join(format!("host-{node}.log")),
             child: None,
-            largest_memory_mb: 0.0,
+            peak_memory_mb: 0.0,
         };
         controller.restart()?;
         Ok(controller)
     }
 
-    /// Starts the process anew; its log goes on.
+    /// Starts a new process, which appends to the existing log.
     pub fn restart(&mut self) -> Result<(), ControllerError> {
         let log = self.open_log()?;
         let child = Command::new(&self.program)
@@ -102,7 +104,7 @@
         log.map_err(|source| ControllerError::Io { path: self.log_path.clone(), source })
     }
 
-    /// Starts the process anew, unless another fault has done so already.
+    /// Starts a new process, unless one is running because another fault has restarted it already.
     pub fn restart_if_down(&mut self) -> Result<(), ControllerError> {
         match self.child {
             Some(_) => Ok(()),
@@ -110,19 +112,20 @@
         }
     }
 
-    /// Kills the process and waits until it is gone.
+    /// Kills the process and waits until it has exited.
     pub async fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // A process that has ended by itself is reported by `ended_by_itself`.
+            // An error means that the process has exited already, which is for `unexpected_exit` to
+            // report.
             let _ = child.kill().await;
         }
     }
 
-    /// Stops the process, while its clocks run on, or lets it go on.
+    /// Stops the process, while its clocks keep running, or resumes it.
     pub fn set_paused(&self, paused: bool) {
         let signal = if paused { Signal::STOP } else { Signal::CONT };
         if let Some(pid) = self.pid() {
-            // It may have ended a moment ago.
+            // An error means that the process has just exited.
             let _ = kill_process(pid, signal);
         }
     }
@@ -132,26 +135,26 @@
         Pid::from_raw(i32::try_from(id).ok()?)
     }
 
-    /// Says how the process has ended, if nobody ended it.
-    pub fn ended_by_itself(&mut self) -> Option<String> {
+    /// Returns how the process has exited if the harness did not kill it.
+    pub fn unexpected_exit(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
-        Some(format!("host-{} ended by itself: {status}", self.node))
+        Some(format!("host-{} exited unexpectedly: {status}", self.node))
     }
 
-    /// Looks how much memory the process takes; returns the most that was seen, in MB.
-    pub fn observe_memory_mb(&mut self) -> f64 {
+    /// Samples the resident memory of the process and returns the largest sample so far, in MB.
+    pub fn sample_peak_memory_mb(&mut self) -> f64 {
         let status = self.pid().and_then(|pid| {
             let path = format!("/proc/{}/status", pid.as_raw_nonzero());
             std::fs::read_to_string(path).ok()
         });
         let resident_kb = status.as_deref().and_then(resident_kb).unwrap_or(0.0);
-        self.largest_memory_mb = self.largest_memory_mb.max(resident_kb / 1024.0);
-        self.largest_memory_mb
+        self.peak_memory_mb = self.peak_memory_mb.max(resident_kb / 1024.0);
+        self.peak_memory_mb
     }
 }
 
-/// Resident memory in a process's status as the system shows it.
+/// Parses the resident memory, in kB, from the text of `/proc/<pid>/status`.
 fn resident_kb(status: &str) -> Option<f64> {
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
     line.split_whitespace().next()?.parse().ok()
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 over TCP, as much as the stand-ins need.
+//! The subset of HTTP/1.1 over TCP that the stand-ins and users need.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -10,19 +10,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Largest body that is read, in bytes.
+/// Largest body that is accepted, in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
-/// Bytes read at a time.
+/// Largest number of bytes read at a time.
 const READ_BYTES: usize = 16 * 1024;
 
-/// A connection to a server that is kept between calls.
+/// A client connection that is kept open between calls.
 #[derive(Default)]
 pub struct Connection {
     stream: Option<TcpStream>,
 }
 
 impl Connection {
-    /// Sends a request and waits for its response; `None` if there is none in time.
+    /// Sends a request and returns its response; `None` if none arrives before the timeout.
     pub async fn call(
         &mut self,
         addr: SocketAddr,
@@ -48,8 +48,8 @@
     body: &[u8],
 ) -> Option<(Response, TcpStream)> {
     if let Some(stream) = kept {
-        if let Some(done) = exchange_on(stream, addr, method, target, body).await {
-            return Some(done);
+        if let Some(response_and_stream) = exchange_on(stream, addr, method, target, body).await {
+            return Some(response_and_stream);
         }
     }
     let stream = TcpStream::connect(addr).await.ok()?;
@@ -75,7 +75,8 @@
     }
 }
 
-/// Reads more of a stream; `None` at its end.
+/// Appends the next bytes of a stream to the buffer. Returns `None` at the end of the stream or on
+/// an error.
 async fn read_some(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<()> {
     let start = buffer.len();
     buffer.resize(start + READ_BYTES, 0);
@@ -84,8 +85,8 @@
     (length > 0).then_some(())
 }
 
-/// Answers all requests to a listener; a handler that gives no response leaves the caller waiting
-/// until it gives up.
+/// Answers the requests that arrive at a listener. If the handler returns `None`, the caller gets
+/// no response and waits until its own timeout.
 pub async fn serve<Handler, Answer>(listener: TcpListener, handler: Handler)
 where
     Handler: Fn(Request) -> Answer + Clone + 'static,
@@ -116,7 +117,7 @@
             Err(_) => return,
         };
         let Some(response) = handler(request).await else {
-            // The caller closes the connection when it gives up.
+            // Keeps the connection open until the caller times out and closes it.
             while read_some(&mut stream, &mut buffer).await.is_some() {}
             return;
         };
--- a/crates/soak/src/machine.rs
+++ b/crates/soak/src/machine.rs
@@ -1,6 +1,6 @@
-//! The machines of a run: what they hold, and what their agents carry out.
+//! The machines of a run, with their tasks and the orders that their agents execute.
 //!
-//! Every start, exit and completion goes into the history.
+//! Every start, removal and completion of a task is recorded in the history.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
 use crate::settings::LEASE_MS;
 use crate::world::World;
 
-/// A task as its machine holds it.
+/// A task attempt on a machine, kept after its exit until the controller orders to forget it.
 struct HeldTask {
     attempt: u64,
     status: TaskStatus,
     cause: Option<ExitCause>,
     cpus: f64,
-    ends_ms: u64,
+    end_ms: u64,
 }
 
 impl HeldTask {
@@ -28,48 +28,47 @@
     }
 }
 
-/// Who a machine is.
+/// Properties of a machine that never change.
 pub struct MachineIdentity {
-    /// Its name.
     pub name: String,
-    /// Where its agent takes orders.
+    /// Address at which the agent takes requests of controllers.
     pub addr: SocketAddr,
-    /// Its zone.
     pub zone: String,
-    /// It is a spot machine.
+    /// Whether it is a spot machine.
     pub spot: bool,
 }
 
-/// A machine with its agent.
+/// A machine and the state of its agent.
 pub struct Machine {
-    /// Its name.
     pub name: String,
-    /// Where its agent takes orders.
+    /// Address at which the agent takes requests of controllers.
     pub addr: SocketAddr,
-    /// Its zone.
     pub zone: String,
-    /// It is a spot machine.
+    /// Whether it is a spot machine.
     pub spot: bool,
-    /// When it was provisioned.
+    /// When the machine was provisioned.
     pub provisioned_ms: u64,
-    /// When it is up.
+    /// When the machine has booted.
     pub up_ms: u64,
-    /// Incarnation of its agent.
+    /// Incarnation of the agent; raised when the machine's lease expires.
     pub agent_epoch: u64,
     seq: u64,
-    /// Highest fencing token that it has seen.
+    /// Highest fencing token that the agent has received.
     pub fencing_token: u64,
-    /// The controller that its heartbeats go to.
+    /// The controller to which the agent sends its heartbeats.
     pub controller: usize,
-    /// When the heartbeat that was answered last was sent.
+    /// When the machine's lease began: when the heartbeat that was answered last was sent. Before
+    /// the first answer it is when the machine has booted, and after an expiry when the lease
+    /// expired.
     pub lease_start_ms: u64,
     tasks: BTreeMap<String, HeldTask>,
-    /// Something changed since its last heartbeat.
-    pub has_news: bool,
+    /// Whether something changed since the last heartbeat.
+    pub has_unreported_changes: bool,
 }
 
 impl Machine {
-    /// A machine without tasks that is up at `up_ms`; its agent turns to `controller` first.
+    /// Creates a machine without tasks that has booted at `up_ms`, and whose agent sends its first
+    /// heartbeat to `controller`.
     pub fn new(identity: MachineIdentity, now_ms: u64, up_ms: u64, controller: usize) -> Self {
         let MachineIdentity { name, addr, zone, spot } = identity;
         Machine {
@@ -85,18 +84,18 @@
             controller,
             lease_start_ms: up_ms,
             tasks: BTreeMap::new(),
-            has_news: false,
+            has_unreported_changes: false,
         }
     }
 
-    /// CPUs that no task takes.
+    /// Returns the number of CPUs that no live task uses.
     pub fn free_cpus(&self) -> f64 {
         let used: f64 =
             self.tasks.values().filter(|task| task.is_live()).map(|task| task.cpus).sum();
         MACHINE_CPUS - used
     }
 
-    /// The next heartbeat, with all tasks.
+    /// Returns the next heartbeat, which lists all tasks, and advances the sequence number.
     pub fn next_heartbeat(&mut self) -> Heartbeat {
         self.seq += 1;
         let tasks = self.tasks.iter().map(|(task, held)| HeartbeatTask {
@@ -120,29 +119,29 @@
         }
     }
 
-    /// Keeps the highest fencing token.
+    /// Stores a received fencing token if it is the highest so far.
     pub fn observe_token(&mut self, token: u64) {
         if token > self.fencing_token {
             self.fencing_token = token;
-            self.has_news = true;
+            self.has_unreported_changes = true;
         }
     }
 }
 
 impl World {
-    /// A machine and everything on it are gone.
+    /// Removes a machine with all its tasks.
     pub fn remove_machine(&mut self, name: &str) {
         let Some(machine) = self.machines.remove(name) else { return };
         machine.tasks.keys().for_each(|task| self.history.on_task_removed(name, task));
     }
 
-    /// Whether a machine hangs now.
+    /// Returns whether a fault makes the machine hang now.
     pub fn is_hung(&self, machine: &str) -> bool {
-        self.hits_machine(machine, |kind| matches!(kind, FaultKind::HungWorkers { .. }))
+        self.fault_affects_machine(machine, |kind| matches!(kind, FaultKind::HungWorkers { .. }))
     }
 
-    /// Gives up a machine's tasks once its lease has expired, be it hung or not: it never goes on
-    /// with them.
+    /// Drops a machine's tasks and starts a new agent epoch if its lease has expired. A hung
+    /// machine drops them too, so that it never resumes tasks after its lease.
     pub fn expire_machine_lease(&mut self, name: &str) {
         let now_ms = self.now_ms();
         let Some(machine) = self.machines.get_mut(name) else { return };
@@ -150,27 +149,27 @@
             machine.agent_epoch += 1;
             machine.seq = 0;
             machine.lease_start_ms = now_ms;
-            machine.has_news = true;
+            machine.has_unreported_changes = true;
             let tasks = std::mem::take(&mut machine.tasks);
             tasks.keys().for_each(|task| self.history.on_task_removed(name, task));
         }
     }
 
-    /// Lets a machine's tasks end.
-    pub fn end_tasks(&mut self, name: &str) {
+    /// Completes the machine's tasks whose run time has elapsed.
+    pub fn complete_due_tasks(&mut self, name: &str) {
         let now_ms = self.now_ms();
         let Some(machine) = self.machines.get_mut(name) else { return };
         let ending =
-            machine.tasks.iter_mut().filter(|(_, task)| task.is_live() && now_ms >= task.ends_ms);
+            machine.tasks.iter_mut().filter(|(_, task)| task.is_live() && now_ms >= task.end_ms);
         for (task, held) in ending {
             held.status = TaskStatus::Exited;
             held.cause = Some(ExitCause::Done);
-            machine.has_news = true;
+            machine.has_unreported_changes = true;
             self.history.on_task_completed(name, task);
         }
     }
 
-    /// Carries out orders on a machine.
+    /// Executes orders on a machine.
     pub fn execute(&mut self, name: &str, orders: Vec<Order>) {
         for order in orders {
             match order {
@@ -187,7 +186,10 @@
         let Some((spec, is_completed)) =
             job.map(|job| (job.spec.clone(), job.completed.contains(&task)))
         else {
-            return self.history.record_violation(now_ms, format!("{task} of no job is started"));
+            return self.history.record_violation(
+                now_ms,
+                format!("{task} is started but belongs to no submitted job"),
+            );
         };
         let Some(machine) = self.machines.get_mut(name) else { return };
         let refused = match machine.tasks.get(&task) {
@@ -196,24 +198,24 @@
             _ if machine.free_cpus() < spec.cpus => Some(ExitCause::InsufficientResources),
             _ => None,
         };
-        machine.has_news = true;
+        machine.has_unreported_changes = true;
         if let Some(cause) = refused {
-            // The attempt that is live stays as it is.
+            // An attempt refused as busy is not stored: the live attempt keeps its entry.
             if cause == ExitCause::InsufficientResources {
-                machine.tasks.insert(task, exited(attempt, spec.cpus, cause));
+                machine.tasks.insert(task, exited_task(attempt, spec.cpus, cause));
             }
             return;
         }
         if is_completed {
-            machine.tasks.insert(task, exited(attempt, spec.cpus, ExitCause::Done));
+            machine.tasks.insert(task, exited_task(attempt, spec.cpus, ExitCause::Done));
             return;
         }
-        let ends_ms = match spec.shape {
+        let end_ms = match spec.shape {
             JobKind::Service => u64::MAX,
             _ => now_ms + (spec.estimate_s * 1e3) as u64,
         };
         let (status, cpus) = (TaskStatus::Running, spec.cpus);
-        let held = HeldTask { attempt, status, cause: None, cpus, ends_ms };
+        let held = HeldTask { attempt, status, cause: None, cpus, end_ms };
         machine.tasks.insert(task.clone(), held);
         self.history.on_task_started(now_ms, name, &task);
     }
@@ -224,7 +226,7 @@
         if let Some(held) = held.filter(|held| held.attempt == attempt && held.is_live()) {
             held.status = TaskStatus::Exited;
             held.cause = Some(ExitCause::Stopped);
-            machine.has_news = true;
+            machine.has_unreported_changes = true;
             self.history.on_task_removed(name, task);
         }
     }
@@ -238,6 +240,6 @@
     }
 }
 
-fn exited(attempt: u64, cpus: f64, cause: ExitCause) -> HeldTask {
-    HeldTask { attempt, status: TaskStatus::Exited, cause: Some(cause), cpus, ends_ms: 0 }
+fn exited_task(attempt: u64, cpus: f64, cause: ExitCause) -> HeldTask {
+    HeldTask { attempt, status: TaskStatus::Exited, cause: Some(cause), cpus, end_ms: 0 }
 }
--- a/crates/soak/src/mesh_proxy.rs
+++ b/crates/soak/src/mesh_proxy.rs
@@ -1,5 +1,5 @@
-//! Proxies between controllers: each connection from one to another passes through one, where it
-//! can be cut.
+//! Proxies between controllers. Every connection from one controller to another passes through a
+//! proxy, which can cut it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,45 +12,47 @@
 use crate::schedule::CutMode;
 use crate::world::SharedWorld;
 
-/// Interval at which a held connection looks whether the cut is over.
-const HOLD_STEP: Duration = Duration::from_millis(20);
-/// Bytes passed on at a time.
+/// Interval at which a held connection checks whether the cut is over.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Largest number of bytes forwarded at a time.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// The two controllers that a proxy joins, and where the second one listens.
+/// The direction between two controllers that a proxy serves.
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
-    /// The caller.
+    /// The calling controller.
     pub from: usize,
-    /// The one that is called.
+    /// The called controller.
     pub to: usize,
-    /// Its address.
+    /// Address of the called controller.
     pub addr: SocketAddr,
 }
 
-/// Passes on all connections to a listener.
+/// Accepts connections and forwards them to the called controller. While a cut refuses calls, new
+/// connections are closed at once.
 pub async fn serve(world: SharedWorld, listener: TcpListener, link: Link) {
     loop {
         let Ok((caller, _)) = listener.accept().await else { return };
         if world.borrow().mesh_cut(link.from, link.to) == Some(CutMode::Refuse) {
             continue;
         }
-        tokio::task::spawn_local(pass_on(world.clone(), caller, link));
+        tokio::task::spawn_local(forward_connection(world.clone(), caller, link));
     }
 }
 
-async fn pass_on(world: SharedWorld, caller: TcpStream, link: Link) {
-    let Ok(called) = TcpStream::connect(link.addr).await else { return };
-    let _ = (caller.set_nodelay(true), called.set_nodelay(true));
+async fn forward_connection(world: SharedWorld, caller: TcpStream, link: Link) {
+    let Ok(callee) = TcpStream::connect(link.addr).await else { return };
+    let _ = (caller.set_nodelay(true), callee.set_nodelay(true));
     let (caller_reads, caller_writes) = caller.into_split();
-    let (called_reads, called_writes) = called.into_split();
-    let there = tokio::task::spawn_local(copy(world.clone(), caller_reads, called_writes, link));
-    copy(world, called_reads, caller_writes, link).await;
-    there.abort();
+    let (callee_reads, callee_writes) = callee.into_split();
+    let forward_copy =
+        tokio::task::spawn_local(copy(world.clone(), caller_reads, callee_writes, link));
+    copy(world, callee_reads, caller_writes, link).await;
+    forward_copy.abort();
 }
 
-/// Copies one direction of a connection. What arrives during a cut is held until it is over, as
-/// packets are, or ends the connection.
+/// Copies one direction of a connection. Depending on the mode of a cut, data that arrives during
+/// the cut is held until the cut is over, as packets are, or ends the connection.
 async fn copy(world: SharedWorld, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, link: Link) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
@@ -63,7 +65,7 @@
             match cut {
                 None => break,
                 Some(CutMode::Refuse) => return,
-                Some(CutMode::Hold) => sleep(HOLD_STEP).await,
+                Some(CutMode::Hold) => sleep(HOLD_POLL_INTERVAL).await,
             }
         }
         if to.write_all(&buffer[..length]).await.is_err() {
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,14 +1,14 @@
-//! The table of all runs.
+//! Report of all runs on standard output.
 
 use comfy_table::{presets, Table};
 use hdrhistogram::Histogram;
 
 use crate::run::RunOutcome;
 
-/// Longest time without an answer that the histogram tells apart: an hour.
+/// Upper limit of the values in the histogram of unanswered times: one hour.
 const MAX_TIME_MS: u64 = 3_600_000;
 
-/// Prints a line for each run, then violations.
+/// Prints a table with a row for each run, then the violations and log directories of failed runs.
 pub fn print_table(outcomes: &[RunOutcome]) {
     let mut table = Table::new();
     table.load_preset(presets::ASCII_MARKDOWN).set_header([
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: its processes, its stand-ins, its faults and its checks.
+//! Runs of the harness: start the processes and stand-ins, inject the faults and check invariants.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -24,102 +24,104 @@
 use crate::world::{ActiveFault, SharedWorld, World};
 use crate::{cloud, state_service, users, workers};
 
-/// Time before the first fault, in which the controllers elect a leader and activate features.
+/// Time before the first fault, during which the controllers elect a leader and activate features.
 const SETTLE_MS: u64 = 6_000;
-/// Interval of the checks.
+/// Five times the period of the main loop, which injects faults and checks invariants.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How long metrics may take.
+/// Timeout of a request for a controller's metrics.
 const METRICS_TIMEOUT: Duration = Duration::from_secs(2);
-/// One run out of so many has five controllers.
+/// Runs whose seed is a multiple of this number have five controllers instead of three.
 const FIVE_CONTROLLERS_EVERY: u64 = 5;
-/// One run out of so many has a large fleet.
+/// Runs whose seed is a multiple of this number have a large fleet.
 const LARGE_FLEET_EVERY: u64 = 4;
-/// Workers of a large fleet, and of an ordinary one.
+/// Number of workers of a large fleet.
 const LARGE_FLEET: std::ops::RangeInclusive<usize> = 200..=300;
+/// Number of workers of an ordinary fleet.
 const ORDINARY_FLEET: std::ops::RangeInclusive<usize> = 8..=20;
-/// Idle machines of a large fleet are kept for so many times their boot time.
+/// Idle ratio for a large fleet: idle machines are kept for this multiple of their boot time.
 const KEEP_IDLE_RATIO: f64 = 10_000.0;
-/// The same for an ordinary fleet, whose machines come and go.
+/// Idle ratio for an ordinary fleet, whose machines are released and provisioned during a run.
 const RELEASE_IDLE_RATIO: f64 = 0.5;
-/// Metric of refusals past the stated limit.
+/// Metric that counts the status queries refused past the stated limit of unanswered time.
 const OVERDUE_METRIC: &str = "unanswered_overdue";
 
-/// Why a run could not be made.
+/// Error that prevents a run from being carried out.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// A controller could not be started.
     #[error(transparent)]
     Controller(#[from] ControllerError),
-    /// A socket, a file or a thread could not be had.
-    #[error("{what}: {source}")]
+    /// A socket, file or runtime could not be created or used.
+    #[error("{operation}: {source}")]
     Io {
-        /// What was tried.
-        what: &'static str,
-        /// What the system says.
+        /// The operation that failed.
+        operation: &'static str,
+        /// The error that the operating system returned.
         source: io::Error,
     },
-    /// The harness was asked to stop.
+    /// The user interrupted the harness.
     #[error("interrupted")]
     Interrupted,
-    /// A run's thread panicked.
-    #[error("a run broke off")]
+    /// The thread of a run panicked.
+    #[error("the thread of a run panicked")]
     Panicked,
 }
 
-/// What all runs of a call have in common.
+/// Options that all runs of an invocation share.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// The controller program.
+    /// Path of the controller program.
     pub controller: PathBuf,
-    /// Folder for the logs of failed runs.
+    /// Directory for the logs of failed runs.
     pub logs: PathBuf,
-    /// How long faults are injected.
+    /// Duration of the fault phase.
     pub fault_ms: u64,
-    /// How long nothing fails after them.
+    /// Duration of the phase without faults that follows the fault phase.
     pub calm_ms: u64,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Debug)]
 pub struct RunOutcome {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
     /// Number of controllers.
     pub nodes: usize,
-    /// Number of workers at the beginning.
+    /// Number of workers at the start.
     pub workers: usize,
-    /// Number of faults.
+    /// Number of scheduled faults.
     pub faults: usize,
-    /// Number of jobs that were submitted.
+    /// Number of submitted jobs.
     pub jobs: usize,
-    /// Number of tasks that were started.
+    /// Number of task starts.
     pub starts: u64,
-    /// Number of answers to status queries.
+    /// Number of status queries that were answered with a job's state.
     pub answers: u64,
-    /// Longest time without an answer, faults over.
+    /// Longest time for which one controller left a job's queries unanswered after the faults.
     pub longest_unanswered_ms: u64,
-    /// Starts after a confirmed cancellation, within what is allowed.
+    /// Number of task starts after the job's cancellation was confirmed, including allowed ones.
     pub starts_after_cancel: u64,
-    /// Most memory that a controller took.
+    /// Largest resident memory sampled of any controller.
     pub memory_mb: f64,
-    /// Violations of invariants.
+    /// Descriptions of violated invariants.
     pub violations: Vec<String>,
-    /// Where the logs are; removed if nothing was violated.
+    /// Directory of the logs; it is removed if no invariant was violated.
     pub folder: PathBuf,
 }
 
-/// Makes the runs of all seeds, so many at a time. The outcomes are in the order of the seeds.
+/// Carries out the runs of all seeds, `jobs` of them concurrently. Returns the outcomes sorted by
+/// seed.
 pub fn run_seeds(
     options: &RunOptions,
     seeds: SeedRange,
     jobs: usize,
 ) -> Result<Vec<RunOutcome>, RunError> {
-    let waiting: Arc<Mutex<VecDeque<u64>>> =
+    let pending_seeds: Arc<Mutex<VecDeque<u64>>> =
         Arc::new(Mutex::new((seeds.first..=seeds.last).collect()));
     let threads: Vec<_> = (0..jobs)
         .map(|_| {
-            let (options, waiting) = (options.clone(), waiting.clone());
-            std::thread::spawn(move || run_waiting(&options, &waiting))
+            let (options, pending_seeds) = (options.clone(), pending_seeds.clone());
+            std::thread::spawn(move || run_pending_seeds(&options, &pending_seeds))
         })
         .collect();
     let mut outcomes = Vec::new();
@@ -130,13 +132,13 @@
     Ok(outcomes)
 }
 
-fn run_waiting(
+fn run_pending_seeds(
     options: &RunOptions,
-    waiting: &Mutex<VecDeque<u64>>,
+    pending_seeds: &Mutex<VecDeque<u64>>,
 ) -> Result<Vec<RunOutcome>, RunError> {
     let mut outcomes = Vec::new();
     loop {
-        let next = waiting.lock().map_err(|_| RunError::Panicked)?.pop_front();
+        let next = pending_seeds.lock().map_err(|_| RunError::Panicked)?.pop_front();
         let Some(seed) = next else { return Ok(outcomes) };
         let outcome = run_seed(options, seed)?;
         let result = if outcome.violations.is_empty() { "ok" } else { "VIOLATED" };
@@ -149,17 +151,17 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|source| RunError::Io { what: "starting a run", source })?;
+        .map_err(|source| RunError::Io { operation: "building the runtime of a run", source })?;
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async {
         tokio::select! {
-            outcome = Run::prepare(options, seed) => outcome,
+            outcome = Run::execute(options, seed) => outcome,
             _ = tokio::signal::ctrl_c() => Err(RunError::Interrupted),
         }
     })
 }
 
-/// What a seed determines before anything is started.
+/// The parameters of a run that its seed determines before any process is started.
 struct Plan {
     seed: u64,
     nodes: usize,
@@ -184,12 +186,12 @@
         self.workers >= *LARGE_FLEET.start()
     }
 
-    /// Printed before the run begins.
+    /// Prints the plan to standard error; called before the run begins.
     fn print(&self) {
-        let head =
+        let heading =
             format!("seed {}: {} controllers, {} workers", self.seed, self.nodes, self.workers);
         let faults: Vec<String> = self.faults.iter().map(|fault| format!("\n  {fault}")).collect();
-        eprintln!("{head}{}", faults.concat());
+        eprintln!("{heading}{}", faults.concat());
     }
 }
 
@@ -198,58 +200,63 @@
     plan: Plan,
     world: SharedWorld,
     controllers: Vec<Controller>,
-    meshes: Vec<SocketAddr>,
+    mesh_addresses: Vec<SocketAddr>,
     folder: PathBuf,
 }
 
 impl Run {
-    async fn prepare(options: &RunOptions, seed: u64) -> Result<RunOutcome, RunError> {
+    /// Starts the stand-ins, controllers and workers of a seed, then carries out the run.
+    async fn execute(options: &RunOptions, seed: u64) -> Result<RunOutcome, RunError> {
         let plan = Plan::draw(options, seed);
         plan.print();
         let folder = options.logs.join(format!("{}-seed-{seed}", std::process::id()));
-        std::fs::create_dir_all(&folder)
-            .map_err(|source| RunError::Io { what: "creating the folder for logs", source })?;
-        let addresses = RunAddresses::of(seed);
-        let clients = free_addresses(addresses.controllers, plan.nodes).await?;
-        let meshes = free_addresses(addresses.controllers_mesh, plan.nodes).await?;
+        std::fs::create_dir_all(&folder).map_err(|source| RunError::Io {
+            operation: "creating the directory for logs",
+            source,
+        })?;
+        let addresses = RunAddresses::for_seed(seed);
+        let client_addresses = free_addresses(addresses.controllers, plan.nodes).await?;
+        let mesh_addresses = free_addresses(addresses.controllers_mesh, plan.nodes).await?;
         let ip = addresses.stand_ins;
-        let world = Rc::new(RefCell::new(World::new(seed, ip, clients.clone())));
+        let world = Rc::new(RefCell::new(World::new(seed, ip, client_addresses.clone())));
         let mut controllers = Vec::new();
         let idle_ratio = if plan.is_large() { KEEP_IDLE_RATIO } else { RELEASE_IDLE_RATIO };
-        for (node, clients) in clients.iter().enumerate() {
-            let addresses = serve_controller(&world, ip, node, *clients, &meshes).await?;
+        for (node, client_address) in client_addresses.iter().enumerate() {
+            let addresses =
+                serve_stand_ins(&world, ip, node, *client_address, &mesh_addresses).await?;
             let (count, program) = (plan.nodes, &options.controller);
             let controller =
                 Controller::start(node, count, &addresses, program, &folder, idle_ratio)?;
             controllers.push(controller);
         }
         for n in 0..plan.workers {
-            workers::boot(&world, workers::zone_in_turn(n), false, 0).await;
+            workers::boot(&world, workers::round_robin_zone(n), false, 0).await;
         }
-        let run = Run { plan, world, controllers, meshes, folder };
-        run.play(options).await
+        let run = Run { plan, world, controllers, mesh_addresses, folder };
+        run.inject_and_check(options).await
     }
 
-    async fn play(mut self, options: &RunOptions) -> Result<RunOutcome, RunError> {
+    /// Injects the faults and checks the invariants until the run ends.
+    async fn inject_and_check(mut self, options: &RunOptions) -> Result<RunOutcome, RunError> {
         let faults_over_ms = SETTLE_MS + options.fault_ms + RESTART_SLACK_MS;
         let end_ms = faults_over_ms + options.calm_ms;
         let submit_until_ms = faults_over_ms + options.calm_ms / 3;
         tokio::task::spawn_local(state_service::expire_leases(self.world.clone()));
         tokio::task::spawn_local(users::submit_jobs(self.world.clone(), submit_until_ms));
         tokio::task::spawn_local(users::query_jobs(self.world.clone()));
-        tokio::task::spawn_local(users::look_closely(self.world.clone()));
+        tokio::task::spawn_local(users::query_newest_jobs(self.world.clone()));
         let mut pending: VecDeque<Fault> = self.plan.faults.iter().copied().collect();
-        let mut undo: Vec<(u64, Undo)> = Vec::new();
+        let mut undo_actions: Vec<(u64, UndoAction)> = Vec::new();
         loop {
             sleep(CHECK_INTERVAL / 5).await;
             let now_ms = self.world.borrow().now_ms();
             while pending.front().is_some_and(|fault| fault.start_ms <= now_ms) {
                 if let Some(fault) = pending.pop_front() {
-                    self.begin(fault, &mut undo).await;
+                    self.inject(fault, &mut undo_actions).await;
                 }
             }
-            for (_, undone) in undo.extract_if(.., |(due_ms, _)| *due_ms <= now_ms) {
-                self.undo(undone)?;
+            for (_, action) in undo_actions.extract_if(.., |(due_ms, _)| *due_ms <= now_ms) {
+                self.undo(action)?;
             }
             if now_ms >= faults_over_ms {
                 self.world.borrow_mut().history.faults_over_ms.get_or_insert(now_ms);
@@ -263,24 +270,24 @@
         self.finish().await
     }
 
-    async fn begin(&mut self, fault: Fault, undo: &mut Vec<(u64, Undo)>) {
+    async fn inject(&mut self, fault: Fault, undo_actions: &mut Vec<(u64, UndoAction)>) {
         let node = self.node_of(fault.kind);
         match fault.kind {
             FaultKind::Kill { .. } => {
                 let node = node.unwrap_or(0);
                 self.controllers[node].kill().await;
-                undo.push((fault.end_ms(), Undo::Restart(node)));
+                undo_actions.push((fault.end_ms(), UndoAction::Restart(node)));
             }
             FaultKind::KillAll { .. } => {
                 for node in 0..self.plan.nodes {
                     self.controllers[node].kill().await;
-                    undo.push((fault.end_ms(), Undo::Restart(node)));
+                    undo_actions.push((fault.end_ms(), UndoAction::Restart(node)));
                 }
             }
             FaultKind::Pause { .. } => {
                 let node = node.unwrap_or(0);
                 self.controllers[node].set_paused(true);
-                undo.push((fault.end_ms(), Undo::Continue(node)));
+                undo_actions.push((fault.end_ms(), UndoAction::Resume(node)));
             }
             FaultKind::CancelBurst => users::cancel_burst(&self.world),
             _ => {
@@ -301,13 +308,13 @@
             | FaultKind::CutWorkers { target } => target,
             _ => return None,
         };
-        Some(self.world.borrow_mut().resolve(target))
+        Some(self.world.borrow_mut().resolve_target(target))
     }
 
-    fn undo(&mut self, undone: Undo) -> Result<(), RunError> {
-        match undone {
-            Undo::Restart(node) => self.controllers[node].restart_if_down()?,
-            Undo::Continue(node) => self.controllers[node].set_paused(false),
+    fn undo(&mut self, action: UndoAction) -> Result<(), RunError> {
+        match action {
+            UndoAction::Restart(node) => self.controllers[node].restart_if_down()?,
+            UndoAction::Resume(node) => self.controllers[node].set_paused(false),
         }
         Ok(())
     }
@@ -315,10 +322,10 @@
     fn check(&mut self, now_ms: u64) {
         let mut world = self.world.borrow_mut();
         for controller in &mut self.controllers {
-            if let Some(what) = controller.ended_by_itself() {
-                world.history.record_violation(now_ms, what);
+            if let Some(description) = controller.unexpected_exit() {
+                world.history.record_violation(now_ms, description);
             }
-            controller.observe_memory_mb();
+            controller.sample_peak_memory_mb();
         }
         world.history.check_cancelled_tasks(now_ms);
         if world.history.faults_over_ms.is_some() {
@@ -328,9 +335,9 @@
         }
     }
 
-    /// The controllers' own check of the answers that they gave.
+    /// Checks that no controller has counted a query as unanswered past the stated limit.
     async fn check_metrics(&mut self) {
-        for (node, addr) in self.meshes.iter().enumerate() {
+        for (node, addr) in self.mesh_addresses.iter().enumerate() {
             let mut connection = Connection::default();
             let response = connection.call(*addr, "GET", "/metrics", &[], METRICS_TIMEOUT).await;
             let metrics = response.and_then(|response| {
@@ -339,20 +346,22 @@
             let overdue = metrics.as_ref().and_then(|metrics| metrics.get(OVERDUE_METRIC));
             let mut world = self.world.borrow_mut();
             let now_ms = world.now_ms();
-            let found = match (&metrics, overdue) {
+            let description = match (&metrics, overdue) {
                 (_, Some(0.0)) => continue,
-                (_, Some(n)) => format!("host-{node} refused overdue jobs {n} times"),
+                (_, Some(n)) => {
+                    format!("host-{node} refused status queries past the limit {n} times")
+                }
                 (Some(_), None) => format!("host-{node} has no metric {OVERDUE_METRIC}"),
-                (None, None) => format!("host-{node} gave no metrics"),
+                (None, None) => format!("host-{node} served no metrics"),
             };
-            world.history.record_violation(now_ms, found);
+            world.history.record_violation(now_ms, description);
         }
     }
 
     async fn finish(mut self) -> Result<RunOutcome, RunError> {
         let mut memory_mb = 0.0f64;
         for controller in &mut self.controllers {
-            memory_mb = memory_mb.max(controller.observe_memory_mb());
+            memory_mb = memory_mb.max(controller.sample_peak_memory_mb());
             controller.kill().await;
         }
         let mut world = self.world.borrow_mut();
@@ -360,7 +369,9 @@
         let now_ms = world.now_ms();
         world.history.end_run(now_ms);
         if memory_mb > MEMORY_MB {
-            world.history.record_violation(now_ms, format!("a controller took {memory_mb:.0} MB"));
+            world
+                .history
+                .record_violation(now_ms, format!("a controller used {memory_mb:.0} MB of memory"));
         }
         let history = std::mem::take(&mut world.history);
         let outcome = RunOutcome {
@@ -377,32 +388,32 @@
             violations: history.violations,
             folder: self.folder.clone(),
         };
-        keep_or_remove(&self.folder, &outcome);
+        keep_logs_if_violated(&self.folder, &outcome);
         Ok(outcome)
     }
 }
 
-/// Logs of a run without violations are removed.
-fn keep_or_remove(folder: &Path, outcome: &RunOutcome) {
+/// Writes the violations of a run beside its logs, or removes the logs if there are none.
+fn keep_logs_if_violated(folder: &Path, outcome: &RunOutcome) {
     if outcome.violations.is_empty() {
-        // What is left behind is in the way of nothing.
+        // A directory that cannot be removed does no harm.
         let _ = std::fs::remove_dir_all(folder);
     } else {
         let _ = std::fs::write(folder.join("violations.txt"), outcome.violations.join("\n"));
     }
 }
 
-/// What ends a fault that is not over by itself.
-enum Undo {
+/// Action that ends a fault which does not end by itself.
+enum UndoAction {
     Restart(usize),
-    Continue(usize),
+    Resume(usize),
 }
 
-/// Time after the last fault until the processes that it killed are up again.
+/// Time after the fault phase within which the last killed controllers are restarted.
 const RESTART_SLACK_MS: u64 = 3_500;
 
-/// Addresses of the loopback range for one run. Runs don't share any, and no stand-in can take a
-/// port of a controller that is down.
+/// Loopback addresses of one run. Runs share no address, and the stand-ins have one of their own,
+/// so that no stand-in can take the port of a controller that is down.
 struct RunAddresses {
     controllers: IpAddr,
     controllers_mesh: IpAddr,
@@ -410,12 +421,12 @@
 }
 
 impl RunAddresses {
-    fn of(seed: u64) -> Self {
-        // Any address of 127.0.0.0/8 but the first network, which others use.
+    fn for_seed(seed: u64) -> Self {
+        // Addresses of 127.0.0.0/8 outside 127.0.0.0/16, which other programs use.
         let second = (std::process::id() % 250 + 1) as u8;
         let third = (seed % 250) as u8;
         let fourth = (seed / 250 % 60) as u8 * 4;
-        let address = |n| IpAddr::V4(Ipv4Addr::new(127, second, third, fourth + n));
+        let address = |offset| IpAddr::V4(Ipv4Addr::new(127, second, third, fourth + offset));
         RunAddresses {
             controllers: address(1),
             controllers_mesh: address(2),
@@ -424,7 +435,7 @@
     }
 }
 
-/// Addresses at which nothing listens.
+/// Returns `count` addresses on which nothing listens once the function has returned.
 async fn free_addresses(ip: IpAddr, count: usize) -> Result<Vec<SocketAddr>, RunError> {
     let mut listeners = Vec::new();
     for _ in 0..count {
@@ -436,37 +447,40 @@
 async fn listen(ip: IpAddr) -> Result<TcpListener, RunError> {
     TcpListener::bind((ip, 0))
         .await
-        .map_err(|source| RunError::Io { what: "listening on loopback", source })
+        .map_err(|source| RunError::Io { operation: "listening on loopback", source })
 }
 
 fn address_of(listener: &TcpListener) -> Result<SocketAddr, RunError> {
-    listener.local_addr().map_err(|source| RunError::Io { what: "finding a port", source })
+    listener
+        .local_addr()
+        .map_err(|source| RunError::Io { operation: "reading the address of a listener", source })
 }
 
-/// Starts the stand-ins as one controller sees them.
-async fn serve_controller(
+/// Starts one controller's listeners of the state service and the cloud, and its proxies to the
+/// other controllers.
+async fn serve_stand_ins(
     world: &SharedWorld,
     ip: IpAddr,
     node: usize,
     clients: SocketAddr,
-    meshes: &[SocketAddr],
+    mesh_addresses: &[SocketAddr],
 ) -> Result<ControllerAddresses, RunError> {
     let state_listener = listen(ip).await?;
     let state = address_of(&state_listener)?;
     let shared = world.clone();
-    let on_state = move |request| state_service::handle(shared.clone(), node, request);
-    tokio::task::spawn_local(http::serve(state_listener, on_state));
+    let handle_state_request = move |request| state_service::handle(shared.clone(), node, request);
+    tokio::task::spawn_local(http::serve(state_listener, handle_state_request));
     let cloud_listener = listen(ip).await?;
     let cloud = address_of(&cloud_listener)?;
     let shared = world.clone();
-    let on_cloud = move |request| cloud::handle(shared.clone(), request);
-    tokio::task::spawn_local(http::serve(cloud_listener, on_cloud));
+    let handle_cloud_request = move |request| cloud::handle(shared.clone(), request);
+    tokio::task::spawn_local(http::serve(cloud_listener, handle_cloud_request));
     let mut siblings = Vec::new();
-    for (to, addr) in meshes.iter().enumerate().filter(|(to, _)| *to != node) {
+    for (to, addr) in mesh_addresses.iter().enumerate().filter(|(to, _)| *to != node) {
         let listener = listen(ip).await?;
         siblings.push((to, address_of(&listener)?));
         let link = Link { from: node, to, addr: *addr };
         tokio::task::spawn_local(mesh_proxy::serve(world.clone(), listener, link));
     }
-    Ok(ControllerAddresses { clients, mesh: meshes[node], state, cloud, siblings })
+    Ok(ControllerAddresses { clients, mesh: mesh_addresses[node], state, cloud, siblings })
 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -171,7 +171,7 @@
     }
 }
 
-/// Draws a series of kills of the leader in one run out of three, if the fault phase is long enough.
+/// Draws a series of leader kills in one run out of three, if the fault phase is long enough.
 fn draw_leader_kills(rng: &mut SmallRng, from_ms: u64, until_ms: u64) -> Vec<Fault> {
     let length = rng.random_range(2..=5u64);
     let needed_ms = length * LEADER_KILL_INTERVAL_MS + RESTART_DELAYS_MS[1];
--- a/crates/soak/src/state_service.rs
+++ b/crates/soak/src/state_service.rs
@@ -1,4 +1,5 @@
-//! The state service of a run: one listener for each controller, so that faults tell them apart.
+//! Stand-in for the state service. Each controller has a listener of its own, so that faults can
+//! affect single controllers.
 
 use std::time::Duration;
 
@@ -12,14 +13,14 @@
 use crate::schedule::{CutMode, FaultKind};
 use crate::world::SharedWorld;
 
-/// Interval at which an open watch looks for changes, and leases are looked at.
-const WATCH_STEP: Duration = Duration::from_millis(20);
-/// Delays of transactions that are applied late.
-const LATE_WRITE_MS: std::ops::RangeInclusive<u64> = 2_000..=12_000;
+/// Interval at which open watches look for changes and leases are checked for expiry.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Range of delays of transactions that are applied late.
+const LATE_WRITE_DELAY_MS: std::ops::RangeInclusive<u64> = 2_000..=12_000;
 
-/// Answers a controller's request; nothing if it gets no answer.
+/// Handles a request of a controller. Returns `None` if a fault leaves the request unanswered.
 pub async fn handle(world: SharedWorld, node: usize, request: Request) -> Option<Response> {
-    if let Some(ms) = slowness_ms(&world) {
+    if let Some(ms) = injected_delay_ms(&world) {
         sleep(Duration::from_millis(ms)).await;
     }
     let is_watch = request.target.starts_with("/changes");
@@ -29,12 +30,18 @@
         Some(CutMode::Refuse) if !is_watch => return Some(Response::new(503, Vec::new())),
         _ => {}
     }
-    if writes(&request) {
-        if world.borrow_mut().hits_message(|kind| matches!(kind, FaultKind::LateWrites { .. })) {
+    if is_write(&request) {
+        if world
+            .borrow_mut()
+            .fault_affects_message(|kind| matches!(kind, FaultKind::LateWrites { .. }))
+        {
             apply_late(world, request).await;
             return None;
         }
-        if world.borrow_mut().hits_message(|kind| matches!(kind, FaultKind::LostAnswers { .. })) {
+        if world
+            .borrow_mut()
+            .fault_affects_message(|kind| matches!(kind, FaultKind::LostAnswers { .. }))
+        {
             apply(&world, &request);
             return None;
         }
@@ -47,16 +54,16 @@
     }
 }
 
-fn slowness_ms(world: &SharedWorld) -> Option<u64> {
+fn injected_delay_ms(world: &SharedWorld) -> Option<u64> {
     let world = world.borrow();
-    let slow = world.active().find_map(|fault| match fault.kind {
+    let injected_ms = world.active().find_map(|fault| match fault.kind {
         FaultKind::StoreSlow { ms } => Some(ms),
         _ => None,
     });
-    slow
+    injected_ms
 }
 
-fn writes(request: &Request) -> bool {
+fn is_write(request: &Request) -> bool {
     let transaction = from_cbor::<Transaction>(&request.body).ok();
     request.target == "/multi" && transaction.is_some_and(|txn| !txn.apply.is_empty())
 }
@@ -68,14 +75,15 @@
 }
 
 async fn apply_late(world: SharedWorld, request: Request) {
-    let delay_ms = world.borrow_mut().rng.random_range(LATE_WRITE_MS);
+    let delay_ms = world.borrow_mut().rng.random_range(LATE_WRITE_DELAY_MS);
     tokio::task::spawn_local(async move {
         sleep(Duration::from_millis(delay_ms)).await;
         apply(&world, &request);
     });
 }
 
-/// Waits for changes. During an outage an open watch waits.
+/// Waits until there are changes or the blocking time is over. While the controller is cut off from
+/// the state service, an open watch stays unanswered.
 async fn watch(
     world: SharedWorld,
     node: usize,
@@ -95,11 +103,12 @@
                 }
             }
         }
-        sleep(WATCH_STEP).await;
+        sleep(WATCH_POLL_INTERVAL).await;
     }
 }
 
-/// Ends leases as their time is over; an outage gives every lease its full time again.
+/// Expires leases when their time is over. Leases don't expire during an outage, and the end of an
+/// outage restarts the full time to live of every lease.
 pub async fn expire_leases(world: SharedWorld) {
     let mut was_out = false;
     loop {
@@ -115,6 +124,6 @@
                 world.store.expire_leases(now_ms);
             }
         }
-        sleep(WATCH_STEP).await;
+        sleep(WATCH_POLL_INTERVAL).await;
     }
 }
--- a/crates/soak/src/users.rs
+++ b/crates/soak/src/users.rs
@@ -1,5 +1,5 @@
-//! The users of a run: they submit, repeat, query and cancel jobs at all controllers, without a
-//! pause, through all faults.
+//! Simulated users of a run, who submit, resubmit, query and cancel jobs at all controllers,
+//! continuously and also during faults.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,32 +19,32 @@
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a user waits for the answer to any other request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause before a request is repeated.
+/// Pause before a request is retried.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// How long a user repeats a request.
-const INSIST_MS: u64 = 60_000;
+/// How long a user retries a request.
+const RETRY_LIMIT_MS: u64 = 60_000;
 /// Pause between two submissions.
 const SUBMIT_PAUSE_MS: std::ops::RangeInclusive<u64> = 300..=1_500;
-/// Interval at which each job is asked about at each controller.
+/// Interval at which each job is queried at each controller.
 const QUERY_INTERVAL: Duration = Duration::from_millis(2_500);
-/// Interval at which the newest jobs are asked about.
-const CLOSE_LOOK_INTERVAL: Duration = Duration::from_millis(150);
-/// Newest jobs that are asked about again and again.
-const CLOSELY_WATCHED: usize = 3;
+/// Interval at which the newest jobs are queried at all controllers.
+const NEWEST_JOBS_INTERVAL: Duration = Duration::from_millis(150);
+/// Number of newest jobs that are queried at this shorter interval.
+const NEWEST_JOBS_QUERIED: usize = 3;
 /// Share of jobs that their users cancel.
 const CANCELLED_SHARE: f64 = 0.2;
-/// Share of submissions that are repeated later.
-const REPEATED_SHARE: f64 = 0.3;
-/// How long after its acceptance a job is cancelled, or its submission repeated.
-const LATER_MS: std::ops::RangeInclusive<u64> = 0..=15_000;
-/// Jobs that a burst of cancellations takes.
-const BURST: usize = 8;
-/// Longest estimate of a task's run time, in seconds.
+/// Share of jobs that their users submit again later.
+const RESUBMITTED_SHARE: f64 = 0.3;
+/// Delay after a decided submission before the job is submitted again or cancelled.
+const FOLLOW_UP_DELAY_MS: std::ops::RangeInclusive<u64> = 0..=15_000;
+/// Maximum number of jobs that a burst of cancellations cancels.
+const CANCEL_BURST_JOBS: usize = 8;
+/// Upper limit of a task's estimated run time, in seconds.
 const MAX_RUN_S: f64 = 12.0;
 /// Share of jobs that are services.
 const SERVICE_SHARE: f64 = 0.05;
 
-/// Submits jobs until the run ends.
+/// Submits new jobs at random intervals until `until_ms`.
 pub async fn submit_jobs(world: SharedWorld, until_ms: u64) {
     let mut number = 0;
     loop {
@@ -59,7 +59,7 @@
         number += 1;
         let spec = draw_job(&mut world.borrow_mut(), number);
         world.borrow_mut().history.on_submitted(spec.clone());
-        tokio::task::spawn_local(insist_on_job(world.clone(), spec));
+        tokio::task::spawn_local(submit_and_follow_up(world.clone(), spec));
     }
 }
 
@@ -94,45 +94,48 @@
     }
 }
 
-/// Submits a job until it is accepted; perhaps repeats that later, and perhaps cancels it.
-async fn insist_on_job(world: SharedWorld, spec: JobSpec) {
-    submit_until_accepted(&world, &spec).await;
-    let (repeats, cancels, later_ms) = {
+/// Submits a job until the submission is decided or the user gives up. After a delay, some jobs are
+/// submitted again, and some jobs and all services are cancelled.
+async fn submit_and_follow_up(world: SharedWorld, spec: JobSpec) {
+    submit_until_decided(&world, &spec).await;
+    let (resubmits, cancels, delay_ms) = {
         let rng = &mut world.borrow_mut().rng;
-        let (repeats, cancels) =
-            (rng.random_bool(REPEATED_SHARE), rng.random_bool(CANCELLED_SHARE));
-        (repeats, cancels || spec.shape == JobKind::Service, rng.random_range(LATER_MS))
+        let (resubmits, cancels) =
+            (rng.random_bool(RESUBMITTED_SHARE), rng.random_bool(CANCELLED_SHARE));
+        (resubmits, cancels || spec.shape == JobKind::Service, rng.random_range(FOLLOW_UP_DELAY_MS))
     };
-    sleep(Duration::from_millis(later_ms)).await;
-    if repeats {
-        submit_until_accepted(&world, &spec).await;
+    sleep(Duration::from_millis(delay_ms)).await;
+    if resubmits {
+        submit_until_decided(&world, &spec).await;
     }
     if cancels {
         cancel(world, spec.id).await;
     }
 }
 
-/// A controller at random, with its address.
-fn any_node(world: &SharedWorld) -> (usize, SocketAddr) {
+/// Returns a random controller and its address.
+fn random_node(world: &SharedWorld) -> (usize, SocketAddr) {
     let mut world = world.borrow_mut();
     let nodes = world.nodes();
     let node = world.rng.random_range(0..nodes);
-    (node, world.clients[node])
+    (node, world.client_addresses[node])
 }
 
-async fn submit_until_accepted(world: &SharedWorld, spec: &JobSpec) {
+/// Retries a submission at random controllers until one of them accepts or refuses the job, or
+/// until the user gives up.
+async fn submit_until_decided(world: &SharedWorld, spec: &JobSpec) {
     let body = to_cbor(spec);
-    let began_ms = world.borrow().now_ms();
+    let first_sent_ms = world.borrow().now_ms();
     loop {
         let sent_ms = world.borrow().now_ms();
-        if sent_ms > began_ms + INSIST_MS {
+        if sent_ms > first_sent_ms + RETRY_LIMIT_MS {
             return;
         }
-        let (_, addr) = any_node(world);
+        let (_, addr) = random_node(world);
         let mut connection = Connection::default();
         let response = connection.call(addr, "POST", "/api/jobs", &body, REQUEST_TIMEOUT).await;
         let is_decided = response.is_some_and(|response| {
-            note_submission(&mut world.borrow_mut(), spec, sent_ms, &response)
+            record_submission_response(&mut world.borrow_mut(), spec, sent_ms, &response)
         });
         if is_decided {
             return;
@@ -141,13 +144,18 @@
     }
 }
 
-/// Notes the answer to a submission; whether it decides anything.
-fn note_submission(world: &mut World, spec: &JobSpec, sent_ms: u64, response: &Response) -> bool {
+/// Records the response to a submission. Returns whether the job is accepted or refused by it.
+fn record_submission_response(
+    world: &mut World,
+    spec: &JobSpec,
+    sent_ms: u64,
+    response: &Response,
+) -> bool {
     let now_ms = world.now_ms();
     match response.status {
         200 | 201 => {
-            if let Some(told) = told(response) {
-                world.history.on_state_reported(&spec.id, sent_ms, now_ms, told);
+            if let Some(state) = reported_state(response) {
+                world.history.on_state_reported(&spec.id, sent_ms, now_ms, state);
             }
             true
         }
@@ -159,24 +167,24 @@
     }
 }
 
-/// Cancels a job: repeats that until it is answered.
+/// Requests cancellation of a job, and retries until a request succeeds or the user gives up.
 async fn cancel(world: SharedWorld, id: String) {
     world.borrow_mut().history.on_cancel_requested(&id);
     let target = format!("/api/jobs/{id}/abort");
-    let began_ms = world.borrow().now_ms();
+    let first_sent_ms = world.borrow().now_ms();
     loop {
         let sent_ms = world.borrow().now_ms();
-        if sent_ms > began_ms + INSIST_MS {
+        if sent_ms > first_sent_ms + RETRY_LIMIT_MS {
             return;
         }
-        let (_, addr) = any_node(&world);
+        let (_, addr) = random_node(&world);
         let mut connection = Connection::default();
         let response = connection.call(addr, "POST", &target, &[], REQUEST_TIMEOUT).await;
         if let Some(response) = response.filter(|response| response.status == 200) {
             let mut world = world.borrow_mut();
             let now_ms = world.now_ms();
-            if let Some(told) = told(&response) {
-                world.history.on_state_reported(&id, sent_ms, now_ms, told);
+            if let Some(state) = reported_state(&response) {
+                world.history.on_state_reported(&id, sent_ms, now_ms, state);
             }
             return;
         }
@@ -184,8 +192,8 @@
     }
 }
 
-/// What an answer says of a job, if it says anything.
-fn told(response: &Response) -> Option<ReportedState> {
+/// Returns the state of a job that a response states, if it states one.
+fn reported_state(response: &Response) -> Option<ReportedState> {
     match response.status {
         200 | 201 => {
             let answer = from_cbor::<JobAnswer>(&response.body).ok()?;
@@ -196,21 +204,22 @@
     }
 }
 
+/// Queries a job's status at one controller and records the outcome.
 async fn query(world: SharedWorld, id: String, node: usize) {
     let (sent_ms, addr) = {
         let world = world.borrow();
-        (world.now_ms(), world.clients[node])
+        (world.now_ms(), world.client_addresses[node])
     };
     let mut connection = Connection::default();
     let target = format!("/api/jobs/{id}");
     let response = connection.call(addr, "GET", &target, &[], QUERY_TIMEOUT).await;
     let mut world = world.borrow_mut();
-    let told = response.as_ref().and_then(told);
-    let answer = QueryOutcome { node, sent_ms, ended_ms: world.now_ms(), reported: told };
-    world.history.on_query_ended(&id, answer);
+    let reported = response.as_ref().and_then(reported_state);
+    let outcome = QueryOutcome { node, sent_ms, ended_ms: world.now_ms(), reported };
+    world.history.on_query_ended(&id, outcome);
 }
 
-/// Asks about every job that has not ended, at every controller, again and again.
+/// Continuously queries all accepted jobs that are not known to have ended, at every controller.
 pub async fn query_jobs(world: SharedWorld) {
     loop {
         let (ids, nodes) = {
@@ -230,31 +239,32 @@
     }
 }
 
-/// Asks about the newest jobs at all controllers within milliseconds, whatever their state.
-pub async fn look_closely(world: SharedWorld) {
+/// Continuously queries the newest accepted jobs, whatever their state. The queries to all
+/// controllers are sent within milliseconds of each other.
+pub async fn query_newest_jobs(world: SharedWorld) {
     loop {
         let (ids, nodes) = {
             let world = world.borrow();
             (jobs_where(&world, |job| job.accepted_ms.is_some()), world.nodes())
         };
-        for id in ids.iter().rev().take(CLOSELY_WATCHED) {
+        for id in ids.iter().rev().take(NEWEST_JOBS_QUERIED) {
             for node in 0..nodes {
                 tokio::task::spawn_local(query(world.clone(), id.clone(), node));
             }
         }
-        sleep(CLOSE_LOOK_INTERVAL).await;
+        sleep(NEWEST_JOBS_INTERVAL).await;
     }
 }
 
-fn jobs_where(world: &World, holds: impl Fn(&JobHistory) -> bool) -> Vec<String> {
-    let jobs = world.history.jobs.iter().filter(|(_, job)| holds(job));
+fn jobs_where(world: &World, matches: impl Fn(&JobHistory) -> bool) -> Vec<String> {
+    let jobs = world.history.jobs.iter().filter(|(_, job)| matches(job));
     jobs.map(|(id, _)| id.clone()).collect()
 }
 
-/// Cancels several open jobs within a moment.
+/// Cancels several open jobs at the same time.
 pub fn cancel_burst(world: &SharedWorld) {
     let ids = jobs_where(&world.borrow(), JobHistory::is_open);
-    for id in ids.into_iter().take(BURST) {
+    for id in ids.into_iter().take(CANCEL_BURST_JOBS) {
         tokio::task::spawn_local(cancel(world.clone(), id));
     }
 }
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -1,5 +1,5 @@
-//! What all stand-ins of a run share: the clock, the random numbers, the faults that are active,
-//! and the history.
+//! State that all stand-ins of a run share: the clock, the random number generator, the simulated
+//! services and machines, the active faults and the history.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,106 +16,106 @@
 use crate::schedule::{CutMode, FaultKind, Target};
 use crate::settings::node_name;
 
-/// Key under which the state service holds who leads.
+/// Key of the record in the state service that names the leader.
 const LEADER_KEY: &str = "view/leader";
 
-/// A fault that has begun, with the controller that it hits.
+/// A fault that has begun, with the controller that it affects.
 #[derive(Clone, Copy, Debug)]
 pub struct ActiveFault {
-    /// What goes wrong.
+    /// The kind of the fault, with its parameters.
     pub kind: FaultKind,
-    /// The controller that it hits, if it hits one.
+    /// The affected controller; `None` if the fault does not target one.
     pub node: Option<usize>,
-    /// When it is over.
+    /// When the fault is over.
     pub until_ms: u64,
-    /// Tells apart which machines and messages it hits.
+    /// Hashed with a machine's name to decide whether the fault affects the machine.
     pub salt: u64,
 }
 
-/// The world of a run.
+/// Shared state of a run.
 pub struct World {
-    started: Instant,
-    /// Random numbers of the stand-ins.
+    started_at: Instant,
+    /// Random number generator of the stand-ins and users, seeded with the run's seed.
     pub rng: SmallRng,
-    /// The state service.
+    /// The state service, which all controllers share.
     pub store: StateService,
-    /// The machines, by name.
+    /// Existing machines by name, including those that are still booting.
     pub machines: BTreeMap<String, Machine>,
-    /// Machines of each provisioning request.
-    pub provisions: BTreeMap<String, Vec<String>>,
-    /// Number of machines that there have been.
-    pub last_machine: u32,
-    /// Where the stand-ins listen.
+    /// Names of the machines created for each provisioning request, by its id.
+    pub machines_by_provision_id: BTreeMap<String, Vec<String>>,
+    /// Number of machines created so far.
+    pub machines_created: u32,
+    /// IP address on which the stand-ins listen.
     pub ip: IpAddr,
-    /// Where the controllers take users' and workers' requests.
-    pub clients: Vec<SocketAddr>,
-    /// Faults that have begun and are not over.
+    /// Address at which each controller serves users and workers.
+    pub client_addresses: Vec<SocketAddr>,
+    /// Faults that have begun; those that are over remain, and [`World::active`] leaves them out.
     pub faults: Vec<ActiveFault>,
-    /// What happened.
+    /// Observations of the run, and the violations found.
     pub history: History,
-    /// The run is over: stand-ins do nothing more.
+    /// Whether the run is over, after which workers stop.
     pub ended: bool,
 }
 
-/// The world, shared by the tasks of a run.
+/// Reference to the state, shared by the async tasks of a run.
 pub type SharedWorld = Rc<RefCell<World>>;
 
 impl World {
-    /// A world without machines, at its beginning.
-    pub fn new(seed: u64, ip: IpAddr, clients: Vec<SocketAddr>) -> Self {
+    /// Creates the state at the start of a run, without machines.
+    pub fn new(seed: u64, ip: IpAddr, client_addresses: Vec<SocketAddr>) -> Self {
         World {
-            started: Instant::now(),
+            started_at: Instant::now(),
             rng: SmallRng::seed_from_u64(seed),
             store: StateService::default(),
             machines: BTreeMap::new(),
-            provisions: BTreeMap::new(),
-            last_machine: 0,
+            machines_by_provision_id: BTreeMap::new(),
+            machines_created: 0,
             ip,
-            clients,
+            client_addresses,
             faults: Vec::new(),
             history: History::default(),
             ended: false,
         }
     }
 
-    /// Milliseconds since the run began.
+    /// Returns the milliseconds since the run began.
     pub fn now_ms(&self) -> u64 {
-        self.started.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Number of controllers.
+    /// Returns the number of controllers, including those that are down.
     pub fn nodes(&self) -> usize {
-        self.clients.len()
+        self.client_addresses.len()
     }
 
-    /// The controller that leads, by the record in the state service.
+    /// Returns the controller that the leader record in the state service names.
     pub fn leader(&self) -> Option<usize> {
         let record = self.store.value(LEADER_KEY)?.as_map()?;
-        let named = |node: usize| {
+        let is_named = |node: usize| {
             let name = node_name(node);
             record.iter().any(|(_, value)| value.as_text() == Some(name.as_str()))
         };
-        (0..self.nodes()).find(|node| named(*node))
+        (0..self.nodes()).find(|node| is_named(*node))
     }
 
-    /// The controller that a fault hits.
-    pub fn resolve(&mut self, target: Target) -> usize {
+    /// Returns the controller that a target denotes now; a random one if there is no leader.
+    pub fn resolve_target(&mut self, target: Target) -> usize {
         match target {
             Target::Node(node) => node,
             Target::Leader => {
-                let any = self.rng.random_range(0..self.nodes());
-                self.leader().unwrap_or(any)
+                let random_node = self.rng.random_range(0..self.nodes());
+                self.leader().unwrap_or(random_node)
             }
         }
     }
 
-    /// Faults that are active now.
+    /// Returns the faults that have begun and are not over.
     pub fn active(&self) -> impl Iterator<Item = &ActiveFault> {
         let now_ms = self.now_ms();
         self.faults.iter().filter(move |fault| fault.until_ms > now_ms)
     }
 
-    /// How a controller is cut from the state service, if it is.
+    /// Returns how a controller is cut off from the state service; `None` if it is not.
     pub fn store_cut(&self, node: usize) -> Option<CutMode> {
         self.active().find_map(|fault| match fault.kind {
             FaultKind::StoreOut => Some(CutMode::Refuse),
@@ -124,7 +124,7 @@
         })
     }
 
-    /// How two controllers are cut from one another, if they are.
+    /// Returns how two controllers are cut off from each other; `None` if they are not.
     pub fn mesh_cut(&self, a: usize, b: usize) -> Option<CutMode> {
         self.active().find_map(|fault| match fault.kind {
             FaultKind::CutMesh { mode, .. } if fault.node == Some(a) || fault.node == Some(b) => {
@@ -134,21 +134,23 @@
         })
     }
 
-    /// Whether a fault of some kind hits this machine.
-    pub fn hits_machine(&self, machine: &str, is_kind: fn(FaultKind) -> bool) -> bool {
+    /// Returns whether an active fault that `is_kind` accepts affects this machine. A fault affects
+    /// the same machines for as long as it is active.
+    pub fn fault_affects_machine(&self, machine: &str, is_kind: fn(FaultKind) -> bool) -> bool {
         self.active()
             .any(|fault| is_kind(fault.kind) && unit_hash(machine, fault.salt) < fault.kind.share())
     }
 
-    /// Whether a message is hit, by the share of messages that faults of some kind hit.
-    pub fn hits_message(&mut self, is_kind: fn(FaultKind) -> bool) -> bool {
-        let hitting = self.active().filter(|fault| is_kind(fault.kind));
-        let share = hitting.map(|fault| fault.kind.share()).fold(0.0, f64::max);
+    /// Decides at random whether a message is affected by the active faults that `is_kind` accepts.
+    /// The probability is the largest share among these faults.
+    pub fn fault_affects_message(&mut self, is_kind: fn(FaultKind) -> bool) -> bool {
+        let matching = self.active().filter(|fault| is_kind(fault.kind));
+        let share = matching.map(|fault| fault.kind.share()).fold(0.0, f64::max);
         share > 0.0 && self.rng.random_bool(share)
     }
 }
 
-/// A number from 0 to 1 that a name and a salt determine.
+/// Hashes a name and a salt to a number from 0 to 1.
 fn unit_hash(name: &str, salt: u64) -> f64 {
     let mixed = name.bytes().fold(salt ^ 0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
