--- a/crates/loadtest/src/simulation/cloud.rs
+++ b/crates/loadtest/src/simulation/cloud.rs
@@ -1,4 +1,5 @@
-//! The cloud of a simulation: it lists the machines, and neither rents nor misses any.
+//! The simulated cloud: it lists the machines of the fleet. It rents out no further machines, and
+//! no machine disappears.
 
 use quartzgate_core::Call;
 use quartzgate_wire::http::Response;
@@ -7,12 +8,12 @@
 
 use super::worker::{Worker, MACHINE_TYPE, ZONES};
 
-/// Machines in one answer to a list request.
+/// Largest number of machines in one answer to a list request.
 const MAX_LISTED_MACHINES: usize = 500;
-/// Age of all machines.
+/// Age that is listed for all machines.
 const MACHINE_AGE_S: f64 = 600.0;
 
-/// Answers a request of the controller.
+/// Answers a request of the controller; requests to rent machines get status 503.
 pub fn answer(call: &Call, workers: &[Worker]) -> Response {
     let path = call.target.split('?').next().unwrap_or_default();
     match path {
--- a/crates/loadtest/src/simulation/costs.rs
+++ b/crates/loadtest/src/simulation/costs.rs
@@ -1,4 +1,4 @@
-//! Results of a simulation: what the load cost, and what was done for it.
+//! Results of a simulation: the cost of the load, and counters of the work that was done.
 
 use comfy_table::Table;
 use hdrhistogram::Histogram;
@@ -9,61 +9,63 @@
 
 const US_PER_SECOND: u64 = 1_000_000;
 
-/// The longest wait for a start that the histogram tells apart: an hour.
+/// Upper bound of the histogram of start waits: one hour.
 const MAX_START_WAIT_MS: u64 = 3_600_000;
 
-/// What a simulation cost. The names of its fields are the keys of the JSON output.
+/// Results of a simulation. The fields' serialized names are the keys of the JSON output.
 #[derive(Debug, Serialize)]
 pub struct LoadCosts {
-    /// Size of the fleet.
+    /// Number of machines in the fleet.
     pub machines: u32,
-    /// Length of the run, in simulated time.
+    /// Length of the run, in seconds of simulated time.
     pub seconds: u64,
-    /// Processor use, as a part of one core: the mean over the last half of the run.
-    pub mean: f64,
-    /// Processor use in the busiest second of that half.
-    pub peak: f64,
-    /// The longest single event.
+    /// Mean processor use over the last half of the run, as a fraction of one core.
+    #[serde(rename = "mean")]
+    pub mean_core_fraction: f64,
+    /// Processor use in the busiest second of that half, as a fraction of one core.
+    #[serde(rename = "peak")]
+    pub peak_core_fraction: f64,
+    /// Processor time of the longest single event.
     pub longest_event_us: u64,
-    /// Submissions, with repeated ones.
+    /// Submissions, including retries.
     pub submitted: u64,
     /// Submissions that were accepted.
     pub accepted: u64,
-    /// Submissions that were refused, and repeated later.
+    /// Submissions that were refused, and retried later.
     pub refused: u64,
     /// Tasks that ran to completion.
     pub tasks_done: u64,
     /// Tasks that workers were told to start.
     pub starts: u64,
-    /// Median time from a job's first submission until a task of it is on a machine.
+    /// Median time from a job's first submission until a worker is told to start a task of it.
     pub start_p50_ms: u64,
-    /// The same, of the slowest hundredth.
+    /// 99th percentile of the same time.
     pub start_p99_ms: u64,
-    /// Records in the state service at the failover.
+    /// Number of records in the state service at the failover.
     pub records: usize,
-    /// Time from the failover to the first start of a task.
+    /// Time from the failover to the first start of a task; absent if there was none.
     pub first_start_ms: Option<u64>,
-    /// Processor time from the failover to that start, in milliseconds of a whole core.
+    /// Processor time of the core from the failover to that start, in milliseconds.
     #[serde(rename = "takeover_cpu_ms")]
     pub failover_cpu_ms: f64,
-    /// Processor time by kind of event.
+    /// Processor time by kind of event; only kinds that occurred.
     pub kinds: Vec<EventCost>,
 }
 
 /// Processor time of one kind of event.
 #[derive(Debug, Serialize)]
 pub struct EventCost {
-    /// Name of the kind.
+    /// Name of the kind, as in [`EventKind::name`](super::cpu_meter::EventKind::name).
     pub kind: &'static str,
-    /// Number of events.
+    /// Number of events of the kind.
     pub events: u64,
-    /// Mean time of an event.
+    /// Mean processor time of an event.
     pub mean_us: f64,
-    /// Time of the slowest hundredth.
+    /// 99th percentile of the processor time of an event.
     pub p99_us: u64,
-    /// Time of the slowest event.
+    /// Processor time of the slowest event.
     pub max_us: u64,
-    /// Part of one core over the whole run.
+    /// Processor use over the whole run, as a fraction of one core.
     #[serde(rename = "share")]
     pub core_fraction: f64,
 }
@@ -82,9 +84,9 @@
     }
 }
 
-/// Counters of what the simulation did.
+/// Counters of submissions and tasks during a simulation.
 pub struct LoadCounters {
-    /// Submissions, with repeated ones.
+    /// Submissions, including retries.
     pub submitted: u64,
     /// Submissions that were accepted.
     pub accepted: u64,
@@ -99,7 +101,7 @@
 }
 
 impl LoadCounters {
-    /// Counters at zero.
+    /// Creates counters that are all zero.
     pub fn new() -> Self {
         LoadCounters {
             submitted: 0,
@@ -115,20 +117,20 @@
 /// Progress of a failover, from the crash of the leader to the first start by the next one.
 #[derive(Default)]
 pub struct Failover {
-    /// When the leader crashed.
+    /// Simulated time at which the leader crashed; absent if it has not.
     pub at_ms: Option<u64>,
-    /// Records that the next leader has to read.
+    /// Number of stored records that the next leader has to read.
     pub records: usize,
-    /// Processor time of all events before it.
+    /// Processor time of all events before the failover.
     pub cpu_before_us: u64,
-    /// Time from the failover to the first start of a task.
+    /// Time from the failover to the first start of a task; absent if there was none.
     pub first_start_ms: Option<u64>,
     /// Processor time from the failover to that start.
     pub cpu_until_start_us: u64,
 }
 
 impl Failover {
-    /// Notes that a task is started; only the first start after a failover counts.
+    /// Records that a task is started; only the first start after a failover counts.
     pub fn note_start(&mut self, now_ms: u64, meter: &CpuMeter) {
         let Some(at_ms) = self.at_ms.filter(|_| self.first_start_ms.is_none()) else { return };
         self.first_start_ms = Some(now_ms - at_ms);
@@ -137,7 +139,7 @@
 }
 
 impl LoadCosts {
-    /// Sums up a finished run.
+    /// Computes the results of a finished run.
     pub fn new(
         options: &LoadOptions,
         meter: &CpuMeter,
@@ -145,15 +147,15 @@
         failover: &Failover,
     ) -> Self {
         let run_us = options.seconds * US_PER_SECOND;
-        let last_half_us = meter.last_half_us();
+        let us_by_second = meter.last_half_us_by_second();
         let core_fraction = |us: u64| us as f64 / US_PER_SECOND as f64;
-        let total_us = last_half_us.iter().sum::<u64>();
-        let busiest_us = last_half_us.iter().copied().max().unwrap_or(0);
+        let last_half_us = us_by_second.iter().sum::<u64>();
+        let busiest_second_us = us_by_second.iter().copied().max().unwrap_or(0);
         LoadCosts {
             machines: options.machines,
             seconds: options.seconds,
-            mean: core_fraction(total_us) / last_half_us.len().max(1) as f64,
-            peak: core_fraction(busiest_us),
+            mean_core_fraction: core_fraction(last_half_us) / us_by_second.len().max(1) as f64,
+            peak_core_fraction: core_fraction(busiest_second_us),
             longest_event_us: meter.longest_event_us(),
             submitted: counters.submitted,
             accepted: counters.accepted,
@@ -169,13 +171,13 @@
         }
     }
 
-    /// Prints the results for people.
+    /// Prints the results as text: a summary and a table by kind of event.
     pub fn print(&self) {
         self.print_summary();
         if let Some(first_start_ms) = self.first_start_ms {
             println!(
                 "failover with {} records; first task started after {first_start_ms} ms and \
-                 {:.0} ms of processor",
+                 {:.0} ms of processor time",
                 self.records, self.failover_cpu_ms
             );
         }
@@ -188,8 +190,8 @@
              {} accepted, {} refused, {} starts, {} tasks done; start p50 {} ms, p99 {} ms",
             self.machines,
             self.seconds,
-            self.mean,
-            self.peak,
+            self.mean_core_fraction,
+            self.peak_core_fraction,
             self.longest_event_us as f64 / 1e3,
             self.accepted,
             self.refused,
--- a/crates/loadtest/src/simulation/event_queue.rs
+++ b/crates/loadtest/src/simulation/event_queue.rs
@@ -1,9 +1,9 @@
-//! Events of a simulation, in the order of simulated time.
+//! Queue of a simulation's events, ordered by simulated time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// An event with its time. Events of one moment come in the order in which they were scheduled.
+/// An event and its time. Events of the same time are taken in the order of their scheduling.
 struct Scheduled<E> {
     at_ms: u64,
     sequence_number: u64,
@@ -31,37 +31,37 @@
 }
 
 impl<E> Ord for Scheduled<E> {
-    /// Reversed, since the heap yields its greatest entry first.
+    /// Reversed, because `BinaryHeap` pops its greatest entry first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.key().cmp(&self.key())
     }
 }
 
-/// A queue of events, the earliest first.
+/// A priority queue of events, the earliest first.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Scheduled<E>>,
     next_sequence_number: u64,
 }
 
 impl<E> EventQueue<E> {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         EventQueue { heap: BinaryHeap::new(), next_sequence_number: 0 }
     }
 
-    /// Schedules an event.
+    /// Schedules an event for a simulated time.
     pub fn schedule(&mut self, at_ms: u64, event: E) {
         let sequence_number = self.next_sequence_number;
         self.next_sequence_number += 1;
         self.heap.push(Scheduled { at_ms, sequence_number, event });
     }
 
-    /// Takes the earliest event, with its time.
+    /// Removes the earliest event and returns it with its time.
     pub fn pop(&mut self) -> Option<(u64, E)> {
         self.heap.pop().map(|scheduled| (scheduled.at_ms, scheduled.event))
     }
 
-    /// Keeps only some events.
+    /// Removes the events for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&E) -> bool) {
         self.heap.retain(|scheduled| keep(&scheduled.event));
     }
--- a/crates/loadtest/src/simulation/job_source.rs
+++ b/crates/loadtest/src/simulation/job_source.rs
@@ -1,4 +1,4 @@
-//! Draws the jobs that users submit.
+//! Generates the jobs that simulated users submit.
 
 use quartzgate_wire::msg::{JobKind, JobSpec, Priority};
 use rand::rngs::SmallRng;
@@ -7,34 +7,35 @@
 
 use super::options::LoadOptions;
 
-/// Spread of the number of tasks and of run times: sigma of a log-normal distribution.
+/// Sigma of the log-normal distributions of the number of tasks and of run times.
 const LOG_SIGMA: f64 = 0.7;
-/// The largest job has so many times the median number of tasks.
+/// Largest number of tasks of a job, as a multiple of the median.
 const MAX_TASKS_FACTOR: u32 = 5;
-/// Part of the batch jobs with high priority; they have no deadline and save no checkpoints.
+/// Fraction of batch jobs with high priority; these have no deadline and save no checkpoints.
 const HIGH_PRIORITY_FRACTION: f64 = 0.4;
-/// Number of images that jobs are drawn from.
+/// Number of images from which each job draws one at random.
 const IMAGES: u32 = 12;
-/// Tasks of a service.
+/// Number of tasks of a service.
 const SERVICE_TASKS: u32 = 5;
 /// Seconds between a task's checkpoints, and seconds that saving one takes.
 const CHECKPOINT_INTERVAL_S: f64 = 15.0;
 const CHECKPOINT_SAVE_S: f64 = 2.0;
-/// The lowest rate of arrivals, so that the time between two stays finite.
+/// Lowest rate of arrivals, which keeps the time between two arrivals finite.
 const MIN_ARRIVAL_RATE: f64 = 1e-3;
 
-/// Draws jobs and numbers them.
+/// Generates random jobs and numbers them.
 pub struct JobSource {
     next_number: u64,
 }
 
 impl JobSource {
-    /// A source whose first job has the number 1.
+    /// Creates a source whose first job has the number 1.
     pub fn new() -> Self {
         JobSource { next_number: 1 }
     }
 
-    /// A service: production priority, spread over zones, no spot machines, no end.
+    /// Generates a service: production priority, spread over zones, not on spot machines, without
+    /// an end.
     pub fn service(&mut self, options: &LoadOptions, rng: &mut SmallRng) -> JobSpec {
         JobSpec {
             class: "web".into(),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// A job array of a random size.
+    /// Generates a job array with a random number of tasks and a random run time.
     pub fn batch_job(&mut self, options: &LoadOptions, rng: &mut SmallRng) -> JobSpec {
         let tasks = log_normal(f64::from(options.tasks)).sample(rng) as u32;
         let run_s = log_normal(options.run_s).sample(rng);
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Time until the next job arrives.
+    /// Draws the time until the next job arrives, from a Poisson process; at least 1 ms.
     pub fn next_arrival_ms(&self, options: &LoadOptions, rng: &mut SmallRng) -> u64 {
         let rate = options.arrival_rate().max(MIN_ARRIVAL_RATE);
         let interval_s = Exp::new(rate).expect("the rate is positive").sample(rng);
--- a/crates/loadtest/src/simulation/mod.rs
+++ b/crates/loadtest/src/simulation/mod.rs
@@ -1,8 +1,8 @@
-//! A load on the scheduling core alone: one leader, its workers, cloud and state service, in one
-//! process and on simulated time.
+//! Load test of the scheduling core alone: one leader with its workers, cloud and state service, in
+//! one process and on simulated time.
 //!
-//! Measured is the processor time that the core takes over each kind of event; sockets and system
-//! calls are not part of it. Everything but that time repeats by seed.
+//! The simulation measures the processor time that the core takes for each kind of event, without
+//! sockets and system calls. For a given seed, everything but that time is reproducible.
 
 mod cloud;
 mod costs;
@@ -33,37 +33,37 @@
 pub use options::LoadOptions;
 use worker::Worker;
 
-/// Time between two ticks of the core.
+/// Interval between ticks of the core.
 const TICK_INTERVAL_MS: u64 = 25;
-/// Time of day at the start of a run.
+/// Wall-clock time at the start of a run.
 const WALL_CLOCK_START_MS: u64 = 1_000_000;
-/// When the first services are submitted, and over how long a time.
+/// Services are submitted from this time on, evenly spread over `SERVICES_SPREAD_MS`.
 const SERVICES_START_MS: u64 = 2_000;
 const SERVICES_SPREAD_MS: u64 = 10_000;
-/// When batch jobs begin to arrive.
+/// Time at which batch jobs begin to arrive.
 const ARRIVALS_START_MS: u64 = 5_000;
-/// The earliest first heartbeat of a worker.
+/// Earliest time of a worker's first heartbeat, from the start or from a failover.
 const FIRST_HEARTBEAT_MS: u64 = 500;
-/// The latest first heartbeat of a worker after a failover.
+/// Latest time of a worker's first heartbeat, from a failover.
 const MAX_FAILOVER_HEARTBEAT_MS: u64 = 2_000;
-/// After a failover, users repeat the requests that got no answer after this time.
+/// Delay after a failover until users retry the submissions that were not answered.
 const RETRY_AFTER_FAILOVER_MS: u64 = 1_000;
-/// A refused submission without `Retry-After` is repeated after this time.
+/// Delay until a refused submission is retried if its answer has no `Retry-After`.
 const DEFAULT_RETRY_AFTER_S: u32 = 1;
 
-/// Time until the outcome of a call is known, by whom it goes to.
+/// Delay until the core learns the outcome of a call, by the peer that is called.
 const STATE_SERVICE_DELAY_MS: u64 = 5;
 const CLOUD_DELAY_MS: u64 = 80;
 const WORKER_DELAY_MS: u64 = 2;
 const PEER_DELAY_MS: u64 = 1;
 
-/// A job with the moment at which its user sent it first.
+/// A job, with the time at which its user first submitted it.
 struct Submission {
     spec: JobSpec,
     first_sent_ms: u64,
 }
 
-/// What happens next in a simulation. Workers are named by their index.
+/// An event of the simulation. Workers are identified by their index.
 enum SimulationEvent {
     Tick,
     HeartbeatPlanned(usize),
@@ -74,7 +74,7 @@
     Failover,
 }
 
-/// One run of a load.
+/// One run of the simulation under a given load.
 pub struct Simulation {
     options: LoadOptions,
     core: Controller,
@@ -85,19 +85,19 @@
     workers: Vec<Worker>,
     worker_by_address: HashMap<String, usize>,
     job_source: JobSource,
-    /// Jobs that the core has accepted.
+    /// Jobs that the core has accepted, by id.
     accepted_jobs: HashMap<String, Submission>,
-    last_request: RequestId,
-    /// Requests without an answer yet: heartbeats by worker, and submissions.
-    open_heartbeats: HashMap<RequestId, usize>,
-    open_submissions: HashMap<RequestId, Submission>,
+    last_request_id: RequestId,
+    /// Requests that are not answered yet: workers by their heartbeat's request, and submissions.
+    pending_heartbeats: HashMap<RequestId, usize>,
+    pending_submissions: HashMap<RequestId, Submission>,
     meter: CpuMeter,
     counters: LoadCounters,
     failover: Failover,
 }
 
 impl Simulation {
-    /// Sets up a fleet, its services and the first events.
+    /// Creates the fleet and schedules its services and the first events.
     pub fn new(options: LoadOptions) -> Self {
         let core_rng = SmallRng::seed_from_u64(options.seed);
         let mut simulation = Simulation {
@@ -110,9 +110,9 @@
             worker_by_address: HashMap::new(),
             job_source: JobSource::new(),
             accepted_jobs: HashMap::new(),
-            last_request: 1,
-            open_heartbeats: HashMap::new(),
-            open_submissions: HashMap::new(),
+            last_request_id: 1,
+            pending_heartbeats: HashMap::new(),
+            pending_submissions: HashMap::new(),
             meter: CpuMeter::new(),
             counters: LoadCounters::new(),
             failover: Failover::default(),
@@ -154,7 +154,7 @@
         self.events.schedule(self.now_ms + delay_ms, event);
     }
 
-    /// Runs to the end and sums up.
+    /// Runs the simulation to its end and returns the results.
     pub fn run(mut self) -> LoadCosts {
         let end_ms = self.options.seconds * 1000;
         while let Some((at_ms, event)) = self.events.pop() {
@@ -179,12 +179,12 @@
             SimulationEvent::CallOutcome { call, kind, outcome } => {
                 self.feed_core(kind, Event::Outcome { call, outcome })
             }
-            SimulationEvent::JobArrival => self.add_arriving_job(),
+            SimulationEvent::JobArrival => self.handle_job_arrival(),
             SimulationEvent::Failover => self.fail_over(),
         }
     }
 
-    /// Gives an event to the core, measures its time, and carries out its actions.
+    /// Passes an event to the core, measures the processor time and executes the core's actions.
     fn feed_core(&mut self, kind: EventKind, event: Event) {
         let now = Now { steady_ms: self.now_ms, wall_ms: WALL_CLOCK_START_MS + self.now_ms };
         let started = Instant::now();
@@ -198,8 +198,9 @@
         }
     }
 
-    /// The leader crashes, and another controller leads with nothing but the records. Answers to
-    /// the old leader are lost, and requests that it left open are repeated.
+    /// Crashes the leader and replaces it by a controller that knows only the stored records.
+    /// Outcomes of the old leader's calls are dropped, all workers send a heartbeat anew, and
+    /// submissions that the old leader did not answer are retried.
     fn fail_over(&mut self) {
         let core_rng = SmallRng::seed_from_u64(self.options.seed + 2);
         self.core = Controller::new(settings::config(&self.options), core_rng);
@@ -212,13 +213,13 @@
         };
         self.events.retain(|event| !matches!(event, SimulationEvent::CallOutcome { .. }));
         self.restart_heartbeats();
-        for (_, submission) in std::mem::take(&mut self.open_submissions) {
-            let repeat = SimulationEvent::Submit(Box::new(submission));
-            self.schedule_after(RETRY_AFTER_FAILOVER_MS, repeat);
+        for (_, submission) in std::mem::take(&mut self.pending_submissions) {
+            let retry = SimulationEvent::Submit(Box::new(submission));
+            self.schedule_after(RETRY_AFTER_FAILOVER_MS, retry);
         }
     }
 
-    /// Puts jobs on record that ended long ago.
+    /// Stores the records of jobs that ended long before the failover.
     fn add_terminal_jobs(&mut self) {
         let record = JobRecord {
             status: RecordedStatus::Done,
@@ -234,8 +235,8 @@
     }
 
     fn restart_heartbeats(&mut self) {
-        for (_, worker) in std::mem::take(&mut self.open_heartbeats) {
-            self.workers[worker].note_heartbeat_settled();
+        for (_, worker) in std::mem::take(&mut self.pending_heartbeats) {
+            self.workers[worker].clear_awaiting_answer();
         }
         for worker in 0..self.workers.len() {
             let delay_ms = self.rng.random_range(FIRST_HEARTBEAT_MS..MAX_FAILOVER_HEARTBEAT_MS);
@@ -245,9 +246,9 @@
     }
 }
 
-// Users.
+// Submissions of users.
 impl Simulation {
-    fn add_arriving_job(&mut self) {
+    fn handle_job_arrival(&mut self) {
         let interval_ms = self.job_source.next_arrival_ms(&self.options, &mut self.rng);
         self.schedule_after(interval_ms, SimulationEvent::JobArrival);
         let spec = self.job_source.batch_job(&self.options, &mut self.rng);
@@ -258,19 +259,19 @@
         self.counters.submitted += 1;
         let id = self.next_request_id();
         let request = post_request("/api/jobs", to_cbor(&submission.spec));
-        self.open_submissions.insert(id, submission);
+        self.pending_submissions.insert(id, submission);
         self.feed_core(EventKind::UserRequest, Event::Client { id, request });
     }
 
     fn next_request_id(&mut self) -> RequestId {
-        self.last_request += 1;
-        self.last_request
+        self.last_request_id += 1;
+        self.last_request_id
     }
 
     fn handle_answer(&mut self, id: RequestId, response: Response) {
-        if let Some(submission) = self.open_submissions.remove(&id) {
+        if let Some(submission) = self.pending_submissions.remove(&id) {
             self.handle_submission_answer(submission, &response);
-        } else if let Some(worker) = self.open_heartbeats.remove(&id) {
+        } else if let Some(worker) = self.pending_heartbeats.remove(&id) {
             self.handle_heartbeat_answer(worker, &response);
         }
     }
@@ -284,16 +285,16 @@
             _ => {
                 self.counters.refused += 1;
                 let retry_after_s = response.retry_after_s.unwrap_or(DEFAULT_RETRY_AFTER_S);
-                let repeat = SimulationEvent::Submit(Box::new(submission));
-                self.schedule_after(u64::from(retry_after_s) * 1000, repeat);
+                let retry = SimulationEvent::Submit(Box::new(submission));
+                self.schedule_after(u64::from(retry_after_s) * 1000, retry);
             }
         }
     }
 }
 
-// Workers.
+// Heartbeats and tasks of workers.
 impl Simulation {
-    /// Plans a worker's next heartbeat, unless one is due before.
+    /// Plans a worker's next heartbeat, unless an earlier one is already planned.
     fn plan_heartbeat(&mut self, worker: usize, at_ms: u64) {
         if self.workers[worker].plan_heartbeat(self.now_ms, at_ms) {
             let delay_ms = at_ms.saturating_sub(self.now_ms);
@@ -301,9 +302,9 @@
         }
     }
 
-    /// Tasks of a worker have changed: its next heartbeat is sent as soon as allowed.
-    fn plan_change_heartbeat(&mut self, worker: usize) {
-        let at_ms = self.workers[worker].next_change_heartbeat_ms(self.now_ms);
+    /// Plans a heartbeat that reports changed tasks, at the earliest time that is allowed.
+    fn plan_task_change_heartbeat(&mut self, worker: usize) {
+        let at_ms = self.workers[worker].earliest_heartbeat_ms(self.now_ms);
         self.plan_heartbeat(worker, at_ms);
     }
 
@@ -314,13 +315,13 @@
         self.workers[worker].note_heartbeat_sent(self.now_ms);
         let body = to_cbor(&self.workers[worker].next_heartbeat());
         let id = self.next_request_id();
-        self.open_heartbeats.insert(id, worker);
+        self.pending_heartbeats.insert(id, worker);
         let request = post_request("/checkin", body);
         self.feed_core(EventKind::Heartbeat, Event::Client { id, request });
     }
 
     fn handle_heartbeat_answer(&mut self, worker: usize, response: &Response) {
-        self.workers[worker].note_heartbeat_settled();
+        self.workers[worker].clear_awaiting_answer();
         if let Ok(answer) = from_cbor::<HeartbeatAnswer>(&response.body) {
             self.workers[worker].observe_fencing_token(answer.fencing_token);
             self.execute_commands(worker, answer.orders);
@@ -336,7 +337,7 @@
                 Order::Start { task, attempt } => self.start_task(worker, task, attempt),
                 Order::Stop { task, .. } => {
                     if self.workers[worker].stop_task(&task) {
-                        self.plan_change_heartbeat(worker);
+                        self.plan_task_change_heartbeat(worker);
                     }
                 }
                 Order::Forget { task, .. } => self.workers[worker].forget_task(&task),
@@ -362,11 +363,11 @@
             let delay_ms = wake_ms - self.now_ms;
             self.schedule_after(delay_ms, SimulationEvent::TasksAdvance(worker));
         }
-        self.plan_change_heartbeat(worker);
+        self.plan_task_change_heartbeat(worker);
     }
 }
 
-/// What comes of a call of the core, and when.
+/// The outcome of a call of the core, and the delay until the core learns it.
 struct CallResult {
     kind: EventKind,
     delay_ms: u64,
@@ -396,7 +397,7 @@
     }
 
     fn call_state_service(&mut self, call: &Call) -> CallResult {
-        // A watch ends without changes, shortly before the core would give it up.
+        // A watch ends without changes, before the call times out in the core.
         let reply = self.state_service.handle(self.now_ms, call.method, &call.target, &call.body);
         let (delay_ms, response) = match reply {
             Reply::Answer(response) => (STATE_SERVICE_DELAY_MS, response),
@@ -405,7 +406,7 @@
         CallResult { kind: EventKind::StateService, delay_ms, outcome: Outcome::Answer(response) }
     }
 
-    /// A worker executes commands and answers with a heartbeat.
+    /// Lets a worker execute the commands of a call and answer with a heartbeat.
     fn call_worker(&mut self, address: &str, call: &Call) -> CallResult {
         let worker = self.worker_by_address[address];
         if let Ok(request) = from_cbor::<OrdersRequest>(&call.body) {
--- a/crates/loadtest/src/simulation/settings.rs
+++ b/crates/loadtest/src/simulation/settings.rs
@@ -5,12 +5,12 @@
 
 use super::options::LoadOptions;
 
-/// How many heartbeats fit into a worker's lease.
+/// Duration of a worker's lease, in heartbeat intervals.
 const HEARTBEATS_PER_LEASE: f64 = 5.0;
-/// How many heartbeats fit into the time for cancelling a job.
+/// Time allowed for cancelling a job, in heartbeat intervals.
 const HEARTBEATS_PER_CANCELLATION: f64 = 12.0;
 
-/// The configuration of a controller under this load, with the operator's defaults.
+/// Returns the configuration of a controller under this load, with the operator's defaults.
 pub fn config(options: &LoadOptions) -> Config {
     Config::new(platform(options), Operator::default())
 }
--- a/crates/loadtest/src/simulation/worker.rs
+++ b/crates/loadtest/src/simulation/worker.rs
@@ -1,23 +1,23 @@
-//! A worker of a simulation: its tasks, its images and when it sends heartbeats.
+//! A simulated worker: its tasks, its cached images and the times of its heartbeats.
 
 use std::collections::BTreeMap;
 
 use quartzgate_wire::msg::{ExitCause, Heartbeat, HeartbeatTask, JobKind, JobSpec, TaskStatus};
 
-/// The only type of machine.
+/// Name of the only machine type.
 pub const MACHINE_TYPE: &str = "m16";
-/// The zones that machines are spread over in turn.
+/// Zones over which machines are distributed in turn.
 pub const ZONES: [&str; 2] = ["a", "b"];
 
-/// Every so manieth machine is a spot machine.
+/// One in this many machines is a spot machine.
 const SPOT_INTERVAL: u32 = 4;
-/// Time to start a task whose image is on the machine.
+/// Time to start a task whose image is already on the machine.
 const CACHED_START_MS: u64 = 5;
 /// Time to fetch a gigabyte of an image.
 const FETCH_MS_PER_GB: f64 = 1000.0;
-/// The least time between two heartbeats that are sent because something changed.
+/// Shortest time from a heartbeat to one that is sent because a task changed.
 const MIN_HEARTBEAT_INTERVAL_MS: u64 = 500;
-/// Machines in each block of addresses.
+/// Number of machines in each subnet of addresses, and of subnets in each network.
 const ADDRESSES_PER_SUBNET: u32 = 250;
 
 /// A task on a machine.
@@ -25,21 +25,21 @@
     attempt: u64,
     status: TaskStatus,
     cause: Option<ExitCause>,
-    /// When the status changes next by itself.
+    /// Time at which the status next changes without a command.
     next_change_ms: u64,
 }
 
-/// What came of letting a worker's tasks go on.
+/// Result of advancing a worker's tasks to the present.
 pub struct TaskProgress {
-    /// When tasks change next.
+    /// Times at which tasks change next.
     pub wake_at_ms: Vec<u64>,
-    /// Tasks that ran to completion.
+    /// Number of tasks that ran to completion.
     pub completed: u64,
 }
 
-/// A machine with its agent.
+/// A machine and the agent that runs on it.
 pub struct Worker {
-    /// The last heartbeat without its tasks: who the worker is, and its counters.
+    /// The last heartbeat without its tasks: the worker's identity and its counters.
     heartbeat: Heartbeat,
     tasks: BTreeMap<String, LocalTask>,
     images: Vec<String>,
@@ -49,7 +49,7 @@
 }
 
 impl Worker {
-    /// The worker of this number, without tasks or images.
+    /// Creates the worker with this index, without tasks or images.
     pub fn new(index: u32) -> Self {
         let heartbeat = Heartbeat {
             machine: format!("vm-{index:06}"),
@@ -73,17 +73,17 @@
         }
     }
 
-    /// Name of the machine.
+    /// Name of the machine, unique in the fleet.
     pub fn machine(&self) -> &str {
         &self.heartbeat.machine
     }
 
-    /// Who the worker is: machine, address, type and zone.
+    /// The worker's last heartbeat without tasks, for its machine, address, type and zone.
     pub fn identity(&self) -> &Heartbeat {
         &self.heartbeat
     }
 
-    /// The next heartbeat, with the status of all tasks.
+    /// Creates the next heartbeat, with the status of all tasks.
     pub fn next_heartbeat(&mut self) -> Heartbeat {
         self.heartbeat.seq += 1;
         let tasks = self.tasks.iter().map(|(task, local)| HeartbeatTask {
@@ -101,7 +101,7 @@
         self.heartbeat.fencing_token = self.heartbeat.fencing_token.max(fencing_token);
     }
 
-    /// Plans a heartbeat, unless one is due before. Whether it was planned.
+    /// Plans a heartbeat and returns true, unless an earlier one is already planned.
     pub fn plan_heartbeat(&mut self, now_ms: u64, at_ms: u64) -> bool {
         let earlier = self.heartbeat_due_ms <= now_ms || at_ms < self.heartbeat_due_ms;
         if earlier {
@@ -110,34 +110,36 @@
         earlier
     }
 
-    /// When a change of a task may be sent.
-    pub fn next_change_heartbeat_ms(&self, now_ms: u64) -> u64 {
+    /// Returns the earliest time at which a heartbeat may report a changed task.
+    pub fn earliest_heartbeat_ms(&self, now_ms: u64) -> u64 {
         now_ms.max(self.heartbeat_sent_ms + MIN_HEARTBEAT_INTERVAL_MS)
     }
 
-    /// Whether a planned heartbeat is to be sent now. One that was brought forward leaves its
-    /// later event behind, and no heartbeat is sent before the last one was answered.
+    /// Returns whether a heartbeat is to be sent now. Bringing a heartbeat forward leaves the event
+    /// of the later time in the queue, which must not send one; and no heartbeat is sent until the
+    /// last one was answered.
     pub fn is_heartbeat_due(&self, now_ms: u64) -> bool {
         self.heartbeat_due_ms == now_ms && !self.awaiting_answer
     }
 
-    /// A heartbeat is sent now.
+    /// Records that a heartbeat is sent now and awaits an answer.
     pub fn note_heartbeat_sent(&mut self, now_ms: u64) {
         self.heartbeat_sent_ms = now_ms;
         self.awaiting_answer = true;
     }
 
-    /// The last heartbeat was answered, or nobody is left to answer it.
-    pub fn note_heartbeat_settled(&mut self) {
+    /// Records that no answer is outstanding: the last heartbeat was answered, or the leader that
+    /// was to answer it has crashed.
+    pub fn clear_awaiting_answer(&mut self) {
         self.awaiting_answer = false;
     }
 
-    /// Forgets the heartbeat that was planned.
+    /// Cancels the planned heartbeat.
     pub fn cancel_planned_heartbeat(&mut self) {
         self.heartbeat_due_ms = 0;
     }
 
-    /// Starts a task by fetching its image; returns how long that takes.
+    /// Starts a task by fetching its image; returns the milliseconds until the task runs.
     pub fn start_task(&mut self, task: String, attempt: u64, job: &JobSpec, now_ms: u64) -> u64 {
         let fetch_ms = self.fetch_image(job);
         let local = LocalTask {
@@ -158,7 +160,7 @@
         (job.image_gb * FETCH_MS_PER_GB) as u64
     }
 
-    /// Stops a task; whether there was one.
+    /// Stops a task; returns false if the worker does not have it.
     pub fn stop_task(&mut self, task: &str) -> bool {
         let Some(local) = self.tasks.get_mut(task) else { return false };
         local.status = TaskStatus::Exited;
@@ -166,13 +168,13 @@
         true
     }
 
-    /// Removes a task from the heartbeats.
+    /// Removes a task, which later heartbeats no longer report.
     pub fn forget_task(&mut self, task: &str) {
         self.tasks.remove(task);
     }
 
-    /// Lets the tasks go on: a fetched image starts its task, a task that has run for as long as
-    /// its job says completes.
+    /// Advances the tasks to the present: a task whose image has been fetched starts to run, and a
+    /// task that has run for its job's estimated run time completes.
     pub fn advance_tasks<'a>(
         &mut self,
         now_ms: u64,
@@ -201,12 +203,12 @@
     }
 }
 
-/// Name of the job that a task belongs to.
+/// Returns the id of the job that a task belongs to.
 pub fn job_of(task: &str) -> &str {
     task.split('/').next().unwrap_or_default()
 }
 
-/// When a task that starts now completes; a service never does.
+/// Returns the time at which a task that starts now completes; a service never completes.
 fn completion_ms(job: &JobSpec, now_ms: u64) -> u64 {
     match job.shape {
         JobKind::Service => u64::MAX,
