--- a/crates/loadtest/src/scenarios/controller_faults.rs
+++ b/crates/loadtest/src/scenarios/controller_faults.rs
@@ -3,16 +3,16 @@
 use super::profile::SiteProfile;
 use super::scenario::{CutMode, Fault, Scenario};
 
-/// When the faults begin, as a part of the scenario.
-const START_PART: f64 = 0.3;
+/// Time at which the faults begin, as a fraction of the scenario's length.
+const START_FRACTION: f64 = 0.3;
 /// Seconds between crashes within one election.
 const ELECTION_CRASH_INTERVAL_S: f64 = 0.7;
-/// How long connections stay cut.
-const CUT_S: f64 = 60.0;
-/// Machines that hang at once.
+/// Seconds for which connections stay cut.
+const CUT_DURATION_S: f64 = 60.0;
+/// Number of machines that hang at the same time.
 const HANGING_MACHINES: i64 = 20;
 
-/// Crashes of controllers in quick succession, and while something else fails.
+/// Returns scenarios in which controllers crash repeatedly, or during another fault.
 pub fn crashes(site: &SiteProfile) -> Vec<Scenario> {
     let mut scenarios = repeated_crashes(site);
     scenarios.extend(crashes_during_faults(site));
@@ -20,7 +20,7 @@
 }
 
 fn repeated_crashes(site: &SiteProfile) -> Vec<Scenario> {
-    let from_s = site.duration_s * START_PART;
+    let from_s = site.duration_s * START_FRACTION;
     let crash_every = |interval_s: f64, times: u32, count: i64| -> Vec<Fault> {
         let at_s = |n: u32| from_s + interval_s * f64::from(n);
         (0..times).map(|n| Fault::controller_crash(at_s(n), count)).collect()
@@ -34,7 +34,7 @@
 }
 
 fn crashes_during_faults(site: &SiteProfile) -> Vec<Scenario> {
-    let from_s = site.duration_s * START_PART;
+    let from_s = site.duration_s * START_FRACTION;
     let freeze =
         Fault::new(from_s, "node_freeze").with("count", 1).with("busiest", true).lasting(30.0);
     let mut faults = vec![
@@ -57,22 +57,26 @@
     faults.into_iter().map(with_crashes).collect()
 }
 
-/// Crashes within an election, and controllers that lose some of their connections.
+/// Returns scenarios in which controllers crash during an election or lose some of their
+/// connections, and one in which machines hang.
 pub fn cut_connections(site: &SiteProfile) -> Vec<Scenario> {
-    let from_s = site.duration_s * START_PART;
-    let all = site.controllers;
-    let minority = (all / 2).max(1);
+    let from_s = site.duration_s * START_FRACTION;
+    let all_controllers = site.controllers;
+    let minority = (all_controllers / 2).max(1);
     let without_store = |count: i64, mode: CutMode| {
-        vec![cut(from_s, count, "from_state", mode), peers_refuse(from_s)]
+        vec![cut_busiest_controllers(from_s, count, "from_state", mode), peers_refuse(from_s)]
     };
     let without_workers = vec![
-        cut(from_s, 1, "from_workers", CutMode::Hang),
+        cut_busiest_controllers(from_s, 1, "from_workers", CutMode::Hang),
         Fault::controller_crash(from_s + 20.0, 1),
     ];
     vec![
         Scenario::new("ends-in-election-1", crashes_in_election(from_s, &[1; 12])),
         Scenario::new("ends-in-election-2", crashes_in_election(from_s, &[2, 2, 1, 2, 2, 1])),
-        Scenario::new("ends-in-election-all", crashes_in_election(from_s, &[all, 1, all, 2, all])),
+        Scenario::new(
+            "ends-in-election-all",
+            crashes_in_election(from_s, &[all_controllers, 1, all_controllers, 2, all_controllers]),
+        ),
         Scenario::new("only-workers-left", without_store(1, CutMode::Hang)),
         Scenario::new("only-workers-left-few", without_store(minority, CutMode::Refuse)),
         Scenario::new("workers-lost", without_workers),
@@ -85,18 +89,18 @@
     counts.iter().enumerate().map(|(n, count)| Fault::controller_crash(at_s(n), *count)).collect()
 }
 
-/// The busiest controllers lose their connections to one side, named by `side`.
-fn cut(at_s: f64, count: i64, side: &str, mode: CutMode) -> Fault {
+/// Cuts the busiest controllers off from one kind of peer; `side` is the fault's key for that kind.
+fn cut_busiest_controllers(at_s: f64, count: i64, side: &str, mode: CutMode) -> Fault {
     Fault::new(at_s, "node_cut")
         .with("count", count)
         .with("busiest", true)
         .with(side, true)
         .with("mode", mode.key())
-        .lasting(CUT_S)
+        .lasting(CUT_DURATION_S)
 }
 
 fn peers_refuse(at_s: f64) -> Fault {
-    Fault::new(at_s, "peers_refuse").lasting(CUT_S)
+    Fault::new(at_s, "peers_refuse").lasting(CUT_DURATION_S)
 }
 
 fn hanging_machines(from_s: f64) -> Vec<Fault> {
--- a/crates/loadtest/src/scenarios/fault_pairs.rs
+++ b/crates/loadtest/src/scenarios/fault_pairs.rs
@@ -1,22 +1,24 @@
-//! Scenarios in which two faults meet.
+//! Scenarios in which two faults coincide.
 
 use toml_edit::{Array, InlineTable, Value};
 
 use super::profile::{SiteProfile, TeamLimit};
 use super::scenario::{inline_table, CutMode, Fault, Scenario};
 
-/// When the first fault begins, as a part of the scenario.
-const START_PART: f64 = 0.25;
-/// How long an outage goes on after cancelled jobs must be gone.
-const PAST_CANCEL_S: f64 = 12.0;
-/// How long a zone stays cut off after its workers' leases expired.
-const PAST_LEASE_S: f64 = 15.0;
-/// How long the faults of messages and users last.
-const FAULT_S: f64 = 60.0;
-/// Part of the jobs of one class that their users cancel.
+/// Time at which the first fault begins, as a fraction of the scenario's length.
+const START_FRACTION: f64 = 0.25;
+/// Seconds for which an outage continues after the cancellation timeout, by which the tasks of
+/// cancelled jobs must be gone.
+const AFTER_CANCEL_TIMEOUT_S: f64 = 12.0;
+/// Seconds for which a zone stays cut off after its workers' leases have expired.
+const AFTER_LEASE_EXPIRY_S: f64 = 15.0;
+/// Seconds that a single fault of users, messages or machines lasts.
+const FAULT_DURATION_S: f64 = 60.0;
+/// Fraction of the jobs of one class that their users cancel.
 const CANCELLED_FRACTION: f64 = 0.6;
 
-/// Pairs of faults, each while many jobs are cancelled whose tasks outlast both faults.
+/// Returns scenarios with pairs of faults, during which users cancel many jobs whose tasks outlast
+/// both faults.
 pub fn faults_during_cancellations(site: &SiteProfile) -> Vec<Scenario> {
     let cancelled = site.array_classes.first().map(|class| cancelled_jobs(site, class));
     let groups = [
@@ -35,23 +37,28 @@
     groups.into_iter().flatten().map(named).collect()
 }
 
-/// Faults, each with the name that its scenario gets.
+/// Lists of faults, each with the name from which the name of its scenario is formed.
 type NamedFaults = Vec<(&'static str, Vec<Fault>)>;
 
 fn start_s(site: &SiteProfile) -> f64 {
-    site.duration_s * START_PART
+    site.duration_s * START_FRACTION
 }
 
-fn past_cancel_s(site: &SiteProfile) -> f64 {
-    site.cancel_timeout_s + PAST_CANCEL_S
+fn past_cancel_timeout_s(site: &SiteProfile) -> f64 {
+    site.cancel_timeout_s + AFTER_CANCEL_TIMEOUT_S
 }
 
 fn long_outage(site: &SiteProfile, at_s: f64) -> Fault {
-    Fault::state_service_outage(at_s, past_cancel_s(site))
+    Fault::state_service_outage(at_s, past_cancel_timeout_s(site))
 }
 
-/// The busiest controller loses the state service, and its peers where `peers` says so.
-fn busiest_cut(site: &SiteProfile, mode: CutMode, peers: bool, duration_s: f64) -> Fault {
+/// Cuts the busiest controller off from the state service, and with `peers` from its peers as well.
+fn cut_busiest_controller(
+    site: &SiteProfile,
+    mode: CutMode,
+    peers: bool,
+    duration_s: f64,
+) -> Fault {
     Fault::new(start_s(site), "node_cut")
         .with("count", 1)
         .with("busiest", true)
@@ -61,7 +68,7 @@
         .lasting(duration_s)
 }
 
-/// Crashes of the busiest controller, of all, and of the busiest again.
+/// Crashes of the busiest controller, of all controllers, and of the busiest one again.
 struct Crashes {
     first: Fault,
     all: Fault,
@@ -77,11 +84,12 @@
     }
 }
 
-/// The leader alone loses the state service, then everybody does.
+/// The leader alone loses its connection to the state service; then the state service is down for
+/// all controllers.
 fn store_unreachable_then_down(site: &SiteProfile) -> NamedFaults {
     let from_s = start_s(site);
-    let refused = || busiest_cut(site, CutMode::Refuse, false, 14.0);
-    let hanging = busiest_cut(site, CutMode::Hang, false, past_cancel_s(site));
+    let refused = || cut_busiest_controller(site, CutMode::Refuse, false, 14.0);
+    let hanging = cut_busiest_controller(site, CutMode::Hang, false, past_cancel_timeout_s(site));
     let late_writes = Fault::of_fraction(from_s - 15.0, "late_writes", 0.3, 25.0);
     vec![
         ("gap", vec![refused(), long_outage(site, from_s + 2.0)]),
@@ -90,12 +98,13 @@
     ]
 }
 
-/// The leader loses the state service and its peers.
+/// The leader loses its connections to the state service and to its peers.
 fn leader_isolated(site: &SiteProfile) -> NamedFaults {
     let from_s = start_s(site);
     let late_reports = Fault::of_fraction(from_s, "late_reports", 0.3, 90.0);
     let Crashes { first, last, .. } = crashes(site);
-    let isolated = |mode: CutMode, duration_s: f64| busiest_cut(site, mode, true, duration_s);
+    let isolated =
+        |mode: CutMode, duration_s: f64| cut_busiest_controller(site, mode, true, duration_s);
     vec![
         ("cut-off-late-reports", vec![isolated(CutMode::Hang, 60.0), late_reports]),
         ("cut-off-ends", vec![isolated(CutMode::Refuse, 40.0), first, last]),
@@ -103,7 +112,7 @@
     ]
 }
 
-/// Workers send heartbeats and receive nothing.
+/// Workers can send heartbeats but receive no messages.
 fn workers_unreachable(site: &SiteProfile) -> NamedFaults {
     let from_s = start_s(site);
     let unreachable = |duration_s| Fault::of_fraction(from_s, "machine_deaf", 0.3, duration_s);
@@ -114,7 +123,8 @@
     ]
 }
 
-/// Writes and heartbeats arrive late, or the state service fails around crashes.
+/// Writes and heartbeats arrive late, or controllers crash during and after an outage of the state
+/// service.
 fn late_messages(site: &SiteProfile) -> NamedFaults {
     let from_s = start_s(site);
     let late = |kind: &str, fraction| Fault::of_fraction(from_s, kind, fraction, 60.0);
@@ -125,7 +135,7 @@
         late("late_reports", 0.3),
         Fault::state_service_slow(from_s, 10.0, 60.0),
     ];
-    let crash_after_outage = Fault::controller_crash(from_s + past_cancel_s(site) + 0.5, 1);
+    let crash_after_outage = Fault::controller_crash(from_s + past_cancel_timeout_s(site) + 0.5, 1);
     let outage_and_crashes = vec![long_outage(site, from_s), first, all, crash_after_outage];
     vec![
         ("late-writes-ends", late_writes_and_crashes),
@@ -134,7 +144,8 @@
     ]
 }
 
-/// Jobs of a class that are mostly cancelled and run for longer than a cancellation may take.
+/// Changes a class so that most of its jobs are cancelled, and its tasks run for longer than the
+/// cancellation timeout.
 fn cancelled_jobs(site: &SiteProfile, class: &str) -> Array {
     let run_s = |factor: f64| Value::from(factor * site.cancel_timeout_s);
     let run_s = inline_table([("median", run_s(2.0)), ("p95", run_s(2.6)), ("max", run_s(3.0))]);
@@ -146,9 +157,10 @@
     Array::from_iter([Value::from(job)])
 }
 
-/// What users, messages and machines may do, under each of the disturbances that a cluster must
-/// bear: controller crashes, an outage past the cancellation timeout, a zone that is cut off past
-/// its workers' leases, and teams' limits that bind.
+/// Returns scenarios with a single fault of users, messages or machines, under each of the
+/// disturbances that a cluster must withstand: controller crashes, an outage that exceeds the
+/// cancellation timeout, a zone that is cut off beyond the expiry of its workers' leases, and
+/// teams' limits that the load reaches.
 pub fn faults_under_disturbances(site: &SiteProfile) -> Vec<Scenario> {
     let faults = single_faults(site);
     let mut scenarios = Vec::new();
@@ -165,11 +177,11 @@
     scenarios
 }
 
-/// What goes on beside a single fault.
+/// A disturbance that accompanies a single fault.
 struct Disturbance {
     name: &'static str,
     faults: Vec<Fault>,
-    /// The teams get limits that the load reaches.
+    /// Whether the teams get limits that the load reaches.
     limits_bind: bool,
 }
 
@@ -184,7 +196,7 @@
         Disturbance { name: "limit", faults: crashes(), limits_bind: true },
     ];
     if let Some(zone) = &site.first_zone {
-        let cut = Fault::zone_cut(from_s + 5.0, zone, site.worker_lease_s + PAST_LEASE_S);
+        let cut = Fault::zone_cut(from_s + 5.0, zone, site.worker_lease_s + AFTER_LEASE_EXPIRY_S);
         disturbances.push(Disturbance { name: "zone", faults: vec![cut], limits_bind: false });
     }
     disturbances
@@ -199,13 +211,13 @@
     let answers_lost = of_fraction("late_writes", 0.4).with("at_once", true);
     let copies_kept = of_fraction("late_reports", 0.5).with("for_next", true);
     vec![
-        ("mute", vec![of_fraction("machine_mute", 0.3).lasting(FAULT_S)]),
+        ("mute", vec![of_fraction("machine_mute", 0.3).lasting(FAULT_DURATION_S)]),
         ("cancel-now", [6.2, 7.0, 22.0].map(cancel_at_once).to_vec()),
-        ("cancel-at-end", vec![of_fraction("cancel_at_end", 0.5).lasting(FAULT_S)]),
-        ("odd-requests", vec![Fault::new(from_s, "odd_requests").lasting(FAULT_S)]),
-        ("close-looks", vec![Fault::new(from_s, "close_looks").lasting(FAULT_S)]),
-        ("answers-lost", vec![answers_lost.lasting(FAULT_S)]),
-        ("copies-kept", vec![copies_kept.lasting(FAULT_S)]),
+        ("cancel-at-end", vec![of_fraction("cancel_at_end", 0.5).lasting(FAULT_DURATION_S)]),
+        ("odd-requests", vec![Fault::new(from_s, "odd_requests").lasting(FAULT_DURATION_S)]),
+        ("close-looks", vec![Fault::new(from_s, "close_looks").lasting(FAULT_DURATION_S)]),
+        ("answers-lost", vec![answers_lost.lasting(FAULT_DURATION_S)]),
+        ("copies-kept", vec![copies_kept.lasting(FAULT_DURATION_S)]),
     ]
 }
 
--- a/crates/loadtest/src/scenarios/job_floods.rs
+++ b/crates/loadtest/src/scenarios/job_floods.rs
@@ -1,21 +1,21 @@
-//! Scenarios in which many times as many jobs arrive for a while.
+//! Scenarios with a flood of jobs: for a while, jobs arrive at a multiple of their usual rate.
 
 use super::profile::SiteProfile;
 use super::scenario::{Fault, Scenario};
 
-/// How many times as many jobs of a single class arrive.
+/// Multiples of the arrival rate in floods of a single class.
 const FLOOD_FACTORS: [f64; 3] = [5.0, 8.0, 15.0];
-/// How many times as many jobs arrive while spot machines are interrupted.
+/// Multiple of the arrival rate in floods during which spot machines are interrupted.
 const INTERRUPTION_FLOOD_FACTOR: f64 = 5.0;
-/// How many times as many jobs of each of two classes arrive.
+/// Multiple of the arrival rate of each class in floods of two classes.
 const TWO_CLASS_FLOOD_FACTOR: f64 = 8.0;
-/// When a flood begins, as a part of the scenario.
-pub const FLOOD_START_PART: f64 = 0.35;
-/// How long a flood lasts, as a part of the scenario.
-pub const FLOOD_LENGTH_PART: f64 = 0.2;
+/// Time at which a flood begins, as a fraction of the scenario's length.
+pub const FLOOD_START_FRACTION: f64 = 0.35;
+/// Duration of a flood, as a fraction of the scenario's length.
+pub const FLOOD_DURATION_FRACTION: f64 = 0.2;
 
-/// Floods of each class and of each two classes, with a controller crash or a wave of spot
-/// interruptions in the middle.
+/// Returns floods of each class and of each pair of classes, with a controller crash or many spot
+/// interruptions in the middle of the flood.
 pub fn floods(site: &SiteProfile) -> Vec<Scenario> {
     let classes = &site.job_classes;
     let mut scenarios = Vec::new();
@@ -39,20 +39,20 @@
 }
 
 fn burst(site: &SiteProfile, class: &str, factor: f64) -> Fault {
-    let duration_s = site.duration_s * FLOOD_LENGTH_PART;
-    Fault::job_burst(site.duration_s * FLOOD_START_PART, class, factor, duration_s)
+    let duration_s = site.duration_s * FLOOD_DURATION_FRACTION;
+    Fault::job_burst(site.duration_s * FLOOD_START_FRACTION, class, factor, duration_s)
 }
 
-fn middle_of_flood_s(site: &SiteProfile) -> f64 {
-    site.duration_s * (FLOOD_START_PART + FLOOD_LENGTH_PART / 2.0)
+fn flood_middle_s(site: &SiteProfile) -> f64 {
+    site.duration_s * (FLOOD_START_FRACTION + FLOOD_DURATION_FRACTION / 2.0)
 }
 
 fn crash(site: &SiteProfile) -> Fault {
-    Fault::controller_crash(middle_of_flood_s(site), 1)
+    Fault::controller_crash(flood_middle_s(site), 1)
 }
 
 fn spot_interruptions(site: &SiteProfile) -> Fault {
-    Fault::new(middle_of_flood_s(site), "spot_taken")
+    Fault::new(flood_middle_s(site), "spot_taken")
         .with("share", 0.4)
         .with("notice_s", 12.0)
         .with("over_s", 20.0)
--- a/crates/loadtest/src/scenarios/mod.rs
+++ b/crates/loadtest/src/scenarios/mod.rs
@@ -1,7 +1,7 @@
 //! Generates scenarios for a site from its own teams, job classes and zones: controller crashes,
 //! cut connections, combinations of faults, floods of jobs and best-effort submitters.
 //!
-//! The names of scenarios and the keys in them are read by the bench: they stay as they are.
+//! The bench reads the names and keys of the scenarios, so they must not change.
 
 mod controller_faults;
 mod fault_pairs;
@@ -16,7 +16,7 @@
 use profile::SiteProfile;
 use scenario::Scenario;
 
-/// The scenarios for a site, as the list that its file holds.
+/// Generates the scenarios for a site, as the list of tables that a site file contains.
 pub fn generate(document: &DocumentMut) -> Result<ArrayOfTables, SiteError> {
     let site = SiteProfile::read(document)?;
     let groups = [
--- a/crates/loadtest/src/scenarios/profile.rs
+++ b/crates/loadtest/src/scenarios/profile.rs
@@ -1,4 +1,4 @@
-//! What the generated scenarios need to know of a site.
+//! Properties of a site that the generated scenarios depend on.
 
 use std::collections::BTreeMap;
 
@@ -6,47 +6,47 @@
 
 use crate::site::{SiteError, LIST_OF_TABLES};
 
-/// Controllers of a site that does not say how many it has.
+/// Number of controllers of a site whose file does not state it.
 const DEFAULT_CONTROLLERS: i64 = 3;
 
-/// Part of all CPUs that can be rented which the teams may use together where their limits bind.
-const BINDING_LIMITS_PART: f64 = 0.55;
+/// Fraction of all rentable CPUs that the teams together may use if their limits are to bind.
+const BINDING_LIMITS_FRACTION: f64 = 0.55;
 
 const FLOAT: &str = "a number with a decimal point";
 const TABLE: &str = "a table";
 
-/// The part of a site file that scenarios are generated from.
+/// The properties of a site file from which scenarios are generated.
 pub struct SiteProfile {
-    /// Length of a scenario.
+    /// Length of a scenario in seconds.
     pub duration_s: f64,
-    /// Number of controllers.
+    /// Number of controllers; the default if the file does not state it.
     pub controllers: i64,
-    /// The zone that is cut off where one is.
+    /// The zone that scenarios cut off; absent if the controllers have no zones.
     pub first_zone: Option<String>,
     /// Names of the teams, in the file's order.
     pub teams: Vec<String>,
     /// Names of the job classes, in the file's order.
     pub job_classes: Vec<String>,
-    /// The job classes whose tasks run to completion, each by itself.
+    /// Names of the job classes whose tasks run to completion independently of one another.
     pub array_classes: Vec<String>,
     /// Seconds within which the tasks of a cancelled job must be gone.
     pub cancel_timeout_s: f64,
     /// Seconds after which a worker without an answer stops its tasks.
     pub worker_lease_s: f64,
-    /// Limits that the scenario's load reaches, for each team.
+    /// Limits of the teams that are low enough for the load to reach them.
     pub binding_limits: Vec<TeamLimit>,
 }
 
-/// The most CPUs that a team may use.
+/// The largest number of CPUs that a team may use.
 pub struct TeamLimit {
     /// Name of the team.
     pub team: String,
-    /// The limit.
+    /// Largest number of CPUs.
     pub max_cpus: f64,
 }
 
 impl SiteProfile {
-    /// Reads the profile of a site file.
+    /// Reads the profile from a site file; fails if a required key is missing or of another type.
     pub fn read(document: &DocumentMut) -> Result<Self, SiteError> {
         let workers = required_table(document, "workers")?;
         let nodes = required_table(document, "nodes")?;
@@ -75,7 +75,7 @@
     item.and_then(Item::as_table_like).ok_or_else(|| SiteError::required(key, item, TABLE))
 }
 
-/// A float of a table; `path` names it in the error.
+/// Returns a float of a table; `path` names its key in errors.
 fn required_float(table: &dyn TableLike, key: &str, path: &'static str) -> Result<f64, SiteError> {
     let item = table.get(key);
     item.and_then(Item::as_float).ok_or_else(|| SiteError::required(path, item, FLOAT))
@@ -102,7 +102,7 @@
         .collect()
 }
 
-/// Divides what binds all teams together among them, by their weights.
+/// Divides the CPUs that the teams together may use among them, by their weights.
 fn binding_limits(document: &DocumentMut) -> Vec<TeamLimit> {
     let total_cpus: f64 = rentable_cpus(document);
     let weight_of = |team: &Table| number_of(team, "weight").unwrap_or(1.0);
@@ -110,13 +110,14 @@
     optional_tables(document, "teams")
         .map(|team| TeamLimit {
             team: text_of(team, "name").to_string(),
-            max_cpus: (total_cpus * BINDING_LIMITS_PART * weight_of(team) / total_weight).round(),
+            max_cpus: (total_cpus * BINDING_LIMITS_FRACTION * weight_of(team) / total_weight)
+                .round(),
         })
         .filter(|limit| limit.max_cpus > 0.0)
         .collect()
 }
 
-/// CPUs of all machines that the cloud can rent to the site, spot and on-demand.
+/// Returns the CPUs of all machines that the cloud can rent to the site, spot and on-demand.
 fn rentable_cpus(document: &DocumentMut) -> f64 {
     let cpus_by_type: BTreeMap<&str, f64> = optional_tables(document, "machine_types")
         .map(|kind| (text_of(kind, "name"), number_of(kind, "cpus").unwrap_or(0.0)))
@@ -140,7 +141,7 @@
     table.get(key).and_then(Item::as_str).unwrap_or("")
 }
 
-/// A number, written with a decimal point or without.
+/// Returns a number, whether it is written with a decimal point or not.
 fn number_of(table: &Table, key: &str) -> Option<f64> {
     let item = table.get(key)?;
     item.as_float().or(item.as_integer().map(|integer| integer as f64))
