--- a/crates/loadtest/src/plot.rs
+++ b/crates/loadtest/src/plot.rs
@@ -1,4 +1,5 @@
-//! Draws how well service-level objectives are attained as the fleet grows, for the docs.
+//! Draws a chart of how well service-level objectives are attained as the fleet grows, for the
+//! documentation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
@@ -6,29 +7,29 @@
 
 use plotters::prelude::*;
 
-/// The columns of the table.
+/// Header of the table, with its columns.
 const COLUMNS: &str = "machines,objective,version,attained";
 
-/// Size of the picture in pixels.
-const PICTURE_SIZE: (u32, u32) = (860, 420);
-/// How far the axes go beyond the largest value.
+/// Width and height of the chart in pixels.
+const CHART_SIZE: (u32, u32) = (860, 420);
+/// Upper end of the axes, as a multiple of the largest value.
 const AXIS_MARGIN: f64 = 1.05;
-/// How strongly the curves of earlier versions are drawn.
+/// Opacity of the curves of all versions but the last.
 const EARLIER_VERSION_OPACITY: f64 = 0.35;
 
-/// A colour for each objective, in turn.
+/// Colours that the objectives get in turn.
 const COLOURS: [RGBColor; 4] =
     [RGBColor(178, 34, 52), RGBColor(0, 90, 160), RGBColor(20, 130, 60), RGBColor(200, 120, 0)];
 
-/// Why a table can't be drawn. The caller adds the path of the table.
+/// The reason why no chart can be drawn. The caller adds the path of the table.
 #[derive(Debug, thiserror::Error)]
 pub enum PlotError {
-    /// A line has other columns, for instance because it is truncated.
+    /// A line has too few or too many columns, for instance because it is truncated.
     #[error("line {line} has {found} columns; allowed is `{COLUMNS}`")]
     Columns {
         /// Number of the line, from 1.
         line: usize,
-        /// Number of columns found.
+        /// Number of columns in the line.
         found: usize,
     },
     /// A column that must hold a number holds something else.
@@ -38,30 +39,30 @@
         line: usize,
         /// Name of the column.
         column: &'static str,
-        /// The value as written.
+        /// The value as it is written in the table.
         value: String,
     },
-    /// The table has a header only.
+    /// The table has no lines after its header.
     #[error("the table has no lines; allowed is at least one of `{COLUMNS}`")]
     Empty,
-    /// The picture can't be drawn or written.
+    /// The chart can't be drawn or written.
     #[error("{out} can't be drawn: {source}", out = out.display())]
     Draw {
-        /// The picture.
+        /// Path of the chart.
         out: PathBuf,
-        /// What the drawing library or the system says.
+        /// Error of the drawing library or the operating system.
         source: Box<dyn Error>,
     },
 }
 
-/// Which curve a point belongs to.
+/// Identifies the curve that a point belongs to.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct CurveName {
     objective: String,
     version: String,
 }
 
-/// The part of jobs that met an objective, at a size of the fleet.
+/// The fraction of jobs that met an objective at one size of the fleet.
 #[derive(Clone, Copy)]
 struct Point {
     machines: f64,
@@ -70,7 +71,7 @@
 
 type Curves = BTreeMap<CurveName, Vec<Point>>;
 
-/// Reads the lines of a table; the first is its header.
+/// Reads the curves from a table; the first line is skipped as its header.
 fn read_curves(text: &str) -> Result<Curves, PlotError> {
     let mut curves = Curves::new();
     let lines = text.lines().enumerate().skip(1);
@@ -89,7 +90,7 @@
     let [machines, objective, version, attained] = columns[..] else {
         return Err(PlotError::Columns { line, found: columns.len() });
     };
-    let number = |column: &'static str, value: &str| {
+    let parse_number = |column: &'static str, value: &str| {
         value.parse::<f64>().map_err(|_| PlotError::NotANumber {
             line,
             column,
@@ -97,18 +98,19 @@
         })
     };
     let name = CurveName { objective: objective.to_string(), version: version.to_string() };
-    let machines = number("machines", machines)?;
-    Ok((name, Point { machines, attained: number("attained", attained)? }))
+    let machines = parse_number("machines", machines)?;
+    Ok((name, Point { machines, attained: parse_number("attained", attained)? }))
 }
 
-/// Draws a curve for each objective and version: the last version full, earlier ones faint.
+/// Draws a curve for each objective and version. The curves of the last version are opaque, those
+/// of earlier versions translucent.
 pub fn plot(text: &str, out: &Path) -> Result<(), PlotError> {
     let curves = read_curves(text)?;
     draw(&curves, out).map_err(|source| PlotError::Draw { out: out.into(), source })
 }
 
 fn draw(curves: &Curves, out: &Path) -> Result<(), Box<dyn Error>> {
-    let area = SVGBackend::new(out, PICTURE_SIZE).into_drawing_area();
+    let area = SVGBackend::new(out, CHART_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let max_machines = curves.values().flatten().map(|point| point.machines).fold(0.0, f64::max);
     let mut chart = ChartBuilder::on(&area)
@@ -144,7 +146,7 @@
     Ok(())
 }
 
-/// A colour by objective, and faint for all versions but the last.
+/// Returns the style of a curve: a colour by objective, translucent for all versions but the last.
 fn curve_style(curves: &Curves, name: &CurveName) -> ShapeStyle {
     let objectives: BTreeSet<&String> = curves.keys().map(|name| &name.objective).collect();
     let index = objectives.iter().position(|known| **known == name.objective).unwrap_or(0);
--- a/crates/loadtest/src/service_report/bench_report.rs
+++ b/crates/loadtest/src/service_report/bench_report.rs
@@ -1,10 +1,10 @@
-//! The bench's report of a scenario, as far as it is read here.
+//! The fields of the bench's scenario reports that a service report is made from.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 
-/// A report of one scenario.
+/// The bench's report of one scenario.
 #[derive(Deserialize)]
 pub struct ScenarioReport {
     /// Name of the scenario.
@@ -12,12 +12,12 @@
     /// Invariants that did not hold.
     #[serde(rename = "rules_broken")]
     pub violations: Violations,
-    /// Jobs by class.
+    /// Job counts by name of the class.
     pub classes: BTreeMap<String, JobCounts>,
-    /// Jobs by team.
+    /// Job counts by name of the team; empty if the report has none.
     #[serde(default)]
     pub teams: BTreeMap<String, JobCounts>,
-    /// What each controller used.
+    /// Resource usage of each controller.
     #[serde(rename = "node_stats")]
     pub controllers: Vec<ControllerUsage>,
 }
@@ -25,19 +25,19 @@
 /// Violations of invariants.
 #[derive(Deserialize)]
 pub struct Violations {
-    /// Of all invariants.
+    /// Number of violations of all invariants.
     pub total: u64,
 }
 
-/// Jobs of a class or a team.
+/// Job counts of a class or a team.
 #[derive(Deserialize)]
 pub struct JobCounts {
-    /// All jobs that arrived.
+    /// Number of jobs that arrived.
     pub jobs: u64,
-    /// Jobs that were accepted.
+    /// Jobs that were accepted; absent if the report does not say.
     #[serde(default)]
     pub accepted: Option<u64>,
-    /// Jobs of which a task ran.
+    /// Jobs of which at least one task ran.
     pub started: u64,
     /// Jobs that ran to completion.
     #[serde(default)]
@@ -45,26 +45,26 @@
     /// Jobs that their users cancelled.
     #[serde(default)]
     pub cancelled: u64,
-    /// Part of the jobs with a deadline that met it.
+    /// Fraction of the jobs with a deadline that met it.
     #[serde(default, rename = "in_deadline")]
     pub deadlines_met: Option<f64>,
 }
 
-/// What one controller used, each as a part of its limit or in megabytes.
+/// Resource usage of one controller: processor as a fraction of its limit, memory in megabytes.
 #[derive(Deserialize)]
 pub struct ControllerUsage {
-    /// Mean use of the processor.
+    /// Mean processor usage.
     pub cpu_mean: Option<f64>,
-    /// Highest use of the processor.
+    /// Peak processor usage.
     pub cpu_peak: Option<f64>,
-    /// Highest use of memory.
+    /// Peak memory usage.
     pub memory_peak_mb: Option<f64>,
-    /// Crashes that no scenario injected.
+    /// Number of crashes that the scenario did not inject.
     pub panics: u64,
 }
 
 impl JobCounts {
-    /// Part of the jobs of which a task ran; 1 where there were no jobs.
+    /// Returns the fraction of jobs of which at least one task ran; 1 if there were no jobs.
     pub fn served_fraction(&self) -> f64 {
         match self.jobs {
             0 => 1.0,
@@ -72,24 +72,24 @@
         }
     }
 
-    /// Part of the jobs that reached a terminal state.
+    /// Returns the fraction of jobs that ran to completion or were cancelled.
     pub fn terminal_fraction(&self) -> f64 {
         (self.done + self.cancelled) as f64 / self.jobs as f64
     }
 }
 
-/// How well a class or a team was served.
+/// How well the jobs of a class or a team were served.
 pub struct ServedGroup<'a> {
-    /// Name of the class, or of the team as such.
+    /// Name of the class, or `team` and the name of the team.
     pub name: String,
-    /// Part of the jobs of which a task ran.
+    /// Fraction of the jobs of which at least one task ran.
     pub served_fraction: f64,
-    /// The counts behind it.
+    /// Job counts of the class or the team.
     pub counts: &'a JobCounts,
 }
 
 impl ScenarioReport {
-    /// Classes and teams that had jobs, the least served first.
+    /// Returns the classes and teams that had jobs, the least served first.
     pub fn served_groups(&self) -> Vec<ServedGroup<'_>> {
         let classes = self.classes.iter().map(|(name, counts)| (name.clone(), counts));
         let teams = self.teams.iter().map(|(name, counts)| (format!("team {name}"), counts));
--- a/crates/loadtest/src/service_report/controller_log.rs
+++ b/crates/loadtest/src/service_report/controller_log.rs
@@ -1,46 +1,46 @@
-//! How the largest jobs of each class were served, from the controllers' debug logs.
+//! Reads from the controllers' debug logs how well the largest jobs of each class were served.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Messages of the log that name a job when it enters a leader's memory: today's, and that of
-/// earlier versions, whose logs can be read as well.
+/// Log messages that name a job when a leader loads it into memory: the current message, and that
+/// of earlier versions, whose logs can be read as well.
 const JOB_ENTERED: [&str; 2] = [" job entered job=", " known job="];
-/// Message of the log when the first task of a job starts.
+/// Log message that names a job when its first task starts.
 const JOB_STARTED: &str = " begun job=";
 
-/// The largest jobs are a class's first tenth by number of tasks, at least one.
+/// One in this many jobs of a class, rounded up, counts as the largest by number of tasks.
 const LARGEST_DIVISOR: usize = 10;
 
-/// What the controllers logged of one job.
+/// Data of one job from the controllers' logs.
 #[derive(Debug, Default)]
 struct LoggedJob {
     class: String,
     tasks: u64,
-    /// The shortest wait that any controller logged: a later leader may count from anew.
+    /// Shortest wait that any controller logged; a later leader may count the wait anew.
     wait_ms: Option<u64>,
 }
 
-/// How a class's largest jobs were served.
+/// How well the largest jobs of a class were served.
 #[derive(Debug, PartialEq)]
 pub struct LargestJobs {
     /// Name of the class.
     pub class: String,
-    /// Number of jobs that count as the largest.
+    /// Number of jobs that are counted as the largest.
     pub jobs: usize,
-    /// Part of them that started.
+    /// Fraction of these jobs that started.
     pub served_fraction: f64,
-    /// The longest wait of those that started.
+    /// Longest wait of the jobs that started.
     pub max_wait_s: f64,
 }
 
-/// Reads the largest jobs of each class from a log.
+/// Reads from a log how well the largest jobs of each class were served.
 pub fn largest_jobs(log: &str) -> Vec<LargestJobs> {
     let mut by_class: BTreeMap<String, Vec<LoggedJob>> = BTreeMap::new();
     for job in logged_jobs(log).into_values() {
         by_class.entry(job.class.clone()).or_default().push(job);
     }
-    by_class.into_iter().map(|(class, jobs)| largest_of(class, jobs)).collect()
+    by_class.into_iter().map(|(class, jobs)| summarize_largest(class, jobs)).collect()
 }
 
 fn logged_jobs(log: &str) -> BTreeMap<&str, LoggedJob> {
@@ -54,7 +54,7 @@
     jobs
 }
 
-/// A line of the log that names a job.
+/// A log line that names a job.
 struct LogEntry<'a> {
     job: &'a str,
     class: &'a str,
@@ -67,22 +67,22 @@
     if !started && !JOB_ENTERED.iter().any(|message| line.contains(message)) {
         return None;
     }
-    let wait_ms = field(line, "waited_ms").and_then(|wait| wait.parse().ok());
+    let wait_ms = field_value(line, "waited_ms").and_then(|wait| wait.parse().ok());
     Some(LogEntry {
-        job: field(line, "job")?,
-        class: field(line, "class")?,
-        tasks: field(line, "tasks")?.parse().ok()?,
+        job: field_value(line, "job")?,
+        class: field_value(line, "class")?,
+        tasks: field_value(line, "tasks")?.parse().ok()?,
         wait_ms: wait_ms.filter(|_| started),
     })
 }
 
-/// A field of a line as `tracing` writes it.
-fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
+/// Returns the value of a field, written as `tracing` does: ` name=value`.
+fn field_value<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     let start = line.find(&format!(" {name}="))? + name.len() + 2;
     line[start..].split_whitespace().next()
 }
 
-fn largest_of(class: String, mut jobs: Vec<LoggedJob>) -> LargestJobs {
+fn summarize_largest(class: String, mut jobs: Vec<LoggedJob>) -> LargestJobs {
     jobs.sort_by_key(|job| Reverse(job.tasks));
     jobs.truncate(jobs.len().div_ceil(LARGEST_DIVISOR));
     let waits_ms: Vec<u64> = jobs.iter().filter_map(|job| job.wait_ms).collect();
--- a/crates/loadtest/src/service_report/mod.rs
+++ b/crates/loadtest/src/service_report/mod.rs
@@ -1,5 +1,6 @@
-//! Which part of the jobs of each class and team was served in a scenario, from the bench's report
-//! of it; and how the largest jobs of each class were, from the controllers' logs.
+//! Reports which fraction of the jobs of each class and team was served in a scenario, from the
+//! bench's report; and how well the largest jobs of each class were served, from the controllers'
+//! logs.
 
 mod bench_report;
 mod controller_log;
@@ -13,31 +14,31 @@
 use table::ServiceTable;
 use unanswered::{longest_unanswered, UnansweredJob};
 
-/// Exit code when all inputs were read and a scenario missed its objectives.
+/// Exit code if all inputs were read and a scenario missed its objectives.
 const EXIT_OBJECTIVES_MISSED: u8 = 1;
-/// Exit code when an input is missing, truncated or of another format.
+/// Exit code if an input is missing, truncated or of another format.
 const EXIT_INVALID_INPUT: u8 = 2;
 
-/// Why there is no report, or what it found.
+/// The reason why no report can be made, or the objectives that the report found missed.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceReportError {
     /// A file can't be read.
     #[error("{path}: {source}", path = path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A file is truncated, or not a report of the bench.
     #[error("{path}: not a report of a scenario: {source}", path = path.display())]
     Parse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Where the file stops being a report.
+        /// Error of the parser, with the position in the file.
         source: serde_json::Error,
     },
-    /// A log names no job.
+    /// A log has no line that names a job.
     #[error(
         "{path}: the log names no job; allowed is what controllers write at LOG_LEVEL=debug",
         path = path.display()
@@ -46,7 +47,7 @@
         /// The log.
         path: PathBuf,
     },
-    /// A log shows no status query.
+    /// A log has no line of a status query.
     #[error(
         "{path}: the log shows no status query; allowed is what the bench prints at --log debug, \
          each line with its second",
@@ -56,24 +57,24 @@
         /// The log.
         path: PathBuf,
     },
-    /// There is no log to look for unanswered jobs in.
-    #[error("--faults-over: needs --logs, in which unanswered jobs are looked for")]
+    /// Unanswered jobs are to be reported, but there are no logs to find them in.
+    #[error("--faults-over: requires --logs, from which unanswered jobs are read")]
     NoLogs,
-    /// There are logs, but not one for each report.
+    /// There are logs, but not exactly one for each report.
     #[error("--logs: {logs} logs for {reports} reports; allowed is one for each, or none")]
-    Unpaired {
-        /// Number of logs.
+    LogCountMismatch {
+        /// Number of logs given.
         logs: usize,
-        /// Number of reports.
+        /// Number of reports given.
         reports: usize,
     },
-    /// Scenarios missed their objectives.
+    /// Scenarios missed their objectives; names them, with the objectives missed.
     #[error("failed scenarios: {0}")]
     ObjectivesMissed(String),
 }
 
 impl ServiceReportError {
-    /// Tells a scenario that failed from an input that could not be read.
+    /// Returns the exit code, which tells missed objectives from invalid inputs.
     pub fn exit_code(&self) -> u8 {
         match self {
             ServiceReportError::ObjectivesMissed(_) => EXIT_OBJECTIVES_MISSED,
@@ -82,23 +83,23 @@
     }
 }
 
-/// What every class, every team and every class's largest jobs must reach.
+/// Objectives for every class, every team and the largest jobs of every class.
 #[derive(Clone, Copy, Debug, clap::Args)]
 pub struct ServiceObjectives {
-    /// Part of the jobs (0 to 1) that must have started, of every class, team and class's
-    /// largest jobs.
+    /// Fraction of the jobs (0 to 1) that must have started, for every class, every team and the
+    /// largest jobs of every class.
     #[arg(long, default_value_t = 0.5)]
     min_served: f64,
-    /// Seconds within which every class's largest jobs must start.
+    /// Seconds within which the largest jobs of every class must start.
     #[arg(long, default_value_t = 240.0)]
     max_start_wait: f64,
-    /// Second of the scenario at which all faults are over: from then on no accepted job may go
-    /// unanswered for 75 s, by the controllers' logs.
+    /// Second of the scenario at which all faults are over. From then on, the controllers' logs
+    /// must not show an accepted job unanswered for more than 75 s.
     #[arg(long)]
     faults_over: Option<f64>,
 }
 
-/// Prints a table of the scenarios; the error names those that missed their objectives.
+/// Prints a table of the scenarios; the error names the scenarios that missed their objectives.
 pub fn print_service_report(
     report_paths: &[PathBuf],
     log_paths: &[PathBuf],
@@ -107,7 +108,7 @@
 ) -> Result<(), ServiceReportError> {
     if !log_paths.is_empty() && log_paths.len() != report_paths.len() {
         let (logs, reports) = (log_paths.len(), report_paths.len());
-        return Err(ServiceReportError::Unpaired { logs, reports });
+        return Err(ServiceReportError::LogCountMismatch { logs, reports });
     }
     if objectives.faults_over.is_some() && log_paths.is_empty() {
         return Err(ServiceReportError::NoLogs);
@@ -163,19 +164,19 @@
 }
 
 impl ScenarioReport {
-    /// What the scenario missed.
+    /// Returns a description of each objective that the scenario missed.
     fn failures(&self, objectives: ServiceObjectives, largest: &[LargestJobs]) -> Vec<String> {
         let mut failures = Vec::new();
         if self.violations.total > 0 {
             failures.push(format!("{} invariants violated", self.violations.total));
         }
         if self.controllers.iter().any(|controller| controller.panics > 0) {
-            failures.push("a controller crashed by itself".into());
+            failures.push("a controller crashed without an injected fault".into());
         }
         let groups = self.served_groups().into_iter();
-        let badly_served = groups.filter(|group| group.served_fraction < objectives.min_served);
+        let underserved = groups.filter(|group| group.served_fraction < objectives.min_served);
         failures.extend(
-            badly_served.map(|group| format!("{} served {:.2}", group.name, group.served_fraction)),
+            underserved.map(|group| format!("{} served {:.2}", group.name, group.served_fraction)),
         );
         failures.extend(largest.iter().flat_map(|jobs| jobs.failures(objectives)));
         failures
--- a/crates/loadtest/src/service_report/table.rs
+++ b/crates/loadtest/src/service_report/table.rs
@@ -1,4 +1,4 @@
-//! The table of all scenarios, for people.
+//! The table of all scenarios that the service report prints.
 
 use comfy_table::Table;
 
@@ -18,30 +18,30 @@
     "MB",
 ];
 
-/// A table that grows by one scenario after another.
+/// A table to which scenarios are added one after another.
 pub struct ServiceTable {
     table: Table,
-    /// Show all classes and teams, not only the least served one.
+    /// Whether to show all classes and teams, not only the least served one.
     show_all: bool,
 }
 
 impl ServiceTable {
-    /// A table with its header only.
+    /// Creates a table that has only its header.
     pub fn new(show_all: bool) -> Self {
         let mut table = Table::new();
         table.set_header(HEADER);
         ServiceTable { table, show_all }
     }
 
-    /// Adds the rows of a scenario.
+    /// Adds the rows of a scenario: its classes and teams, largest jobs and longest unanswered job.
     pub fn add(
         &mut self,
         report: &ScenarioReport,
         largest: &[LargestJobs],
         unanswered: Option<&UnansweredJob>,
     ) {
-        let shown = if self.show_all { usize::MAX } else { 1 };
-        for (index, group) in report.served_groups().iter().take(shown).enumerate() {
+        let max_groups = if self.show_all { usize::MAX } else { 1 };
+        for (index, group) in report.served_groups().iter().take(max_groups).enumerate() {
             let mut row = group_row(group);
             if index == 0 {
                 add_scenario_cells(&mut row, report);
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Prints the table.
+    /// Prints the table to standard output.
     pub fn print(&self) {
         println!("{}", self.table);
     }
 }
 
-/// A row with the cells of a class or a team filled in.
+/// Returns a row in which the cells of a class or a team are filled in.
 fn group_row(group: &ServedGroup) -> [String; HEADER.len()] {
     let counts = group.counts;
     let [scenario, violations, cpu, memory] = [const { String::new() }; 4];
@@ -85,16 +85,17 @@
     ]
 }
 
-/// Fills in the cells that stand once for each scenario, in its first row.
+/// Fills in the cells that only the first row of a scenario has.
 fn add_scenario_cells(row: &mut [String; HEADER.len()], report: &ScenarioReport) {
-    let max = |of: fn(&ControllerUsage) -> Option<f64>| {
-        format!("{:.2}", report.controllers.iter().filter_map(of).fold(0.0, f64::max))
+    let format_max = |usage_value: fn(&ControllerUsage) -> Option<f64>| {
+        format!("{:.2}", report.controllers.iter().filter_map(usage_value).fold(0.0, f64::max))
     };
     let [scenario, violations, .., cpu, memory] = row;
     *scenario = report.scenario.clone();
     *violations = report.violations.total.to_string();
-    *cpu = format!("{}, {}", max(|usage| usage.cpu_mean), max(|usage| usage.cpu_peak));
-    *memory = max(|usage| usage.memory_peak_mb);
+    *cpu =
+        format!("{}, {}", format_max(|usage| usage.cpu_mean), format_max(|usage| usage.cpu_peak));
+    *memory = format_max(|usage| usage.memory_peak_mb);
 }
 
 fn unanswered_row(job: &UnansweredJob) -> [String; 4] {
--- a/crates/loadtest/src/service_report/unanswered.rs
+++ b/crates/loadtest/src/service_report/unanswered.rs
@@ -1,28 +1,28 @@
-//! The longest time for which an accepted job went without an answer, from the controllers' debug
+//! Finds the longest time for which an accepted job was unanswered, from the controllers' debug
 //! logs as the bench prints them: each line begins with the second of the scenario.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// No accepted job may go unanswered for longer once faults are over.
+/// Longest time for which an accepted job may be unanswered once all faults are over.
 const MAX_UNANSWERED_S: f64 = 75.0;
-/// How long a user waits for the answer to a status query.
+/// Time for which a user waits for the answer to a status query.
 const QUERY_TIMEOUT_MS: u64 = 2_000;
-/// Message of the log for each status query that ended.
+/// Log message of each status query that ended.
 const QUERY_ANSWERED: &str = " status query answered job=";
 
-/// The job that went unanswered for longest.
+/// The job that was unanswered for longest.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnansweredJob {
-    /// Name of the job.
+    /// Id of the job; empty if no job was unanswered.
     pub job: String,
-    /// When it was asked about first without an answer.
+    /// Second of the scenario of the first query that had no answer.
     pub since_s: f64,
-    /// For how long.
+    /// Length of the unanswered time.
     pub seconds: f64,
 }
 
 impl UnansweredJob {
-    /// What the scenario missed, if it did.
+    /// Returns a description of the failure if the job was unanswered for too long.
     pub fn failure(&self) -> Option<String> {
         let UnansweredJob { job, since_s, seconds } = self;
         (*seconds > MAX_UNANSWERED_S)
@@ -34,38 +34,39 @@
 struct EndedQuery<'a> {
     at_s: f64,
     job: &'a str,
-    /// The user was told the job's status in time.
+    /// Whether the user received the job's status in time.
     is_answered: bool,
-    /// The user was told that there is no such job.
+    /// Whether the user was told in time that there is no such job.
     is_unknown: bool,
 }
 
-/// The job that went unanswered for longest from a second of the scenario on, of those that were
-/// ever answered; `None` if the log shows no status query.
+/// Returns the job that was unanswered for longest from second `from_s` of the scenario on, of the
+/// jobs that were ever answered in time; `None` if the log shows no status query.
 pub fn longest_unanswered(log: &str, from_s: f64) -> Option<UnansweredJob> {
     let queries: Vec<EndedQuery> = log.lines().filter_map(parse_query).collect();
-    let known: BTreeSet<&str> =
+    let answered_jobs: BTreeSet<&str> =
         queries.iter().filter(|query| query.is_answered).map(|query| query.job).collect();
-    let mut open: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
+    // Seconds of the first and the last query of each job that is unanswered at present.
+    let mut unanswered: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
     let mut longest = UnansweredJob { job: String::new(), since_s: from_s, seconds: 0.0 };
-    let mut close = |job: &str, since_s: f64, until_s: f64| {
+    let mut update_longest = |job: &str, since_s: f64, until_s: f64| {
         if until_s - since_s > longest.seconds {
             longest = UnansweredJob { job: job.into(), since_s, seconds: until_s - since_s };
         }
     };
     for query in queries.iter().filter(|query| query.at_s >= from_s) {
-        if !known.contains(query.job) {
+        if !answered_jobs.contains(query.job) {
             continue;
         }
-        let (since_s, _) = *open.entry(query.job).or_insert((query.at_s, query.at_s));
-        open.insert(query.job, (since_s, query.at_s));
+        let (since_s, _) = *unanswered.entry(query.job).or_insert((query.at_s, query.at_s));
+        unanswered.insert(query.job, (since_s, query.at_s));
         if query.is_answered || query.is_unknown {
-            close(query.job, since_s, query.at_s);
-            open.remove(query.job);
+            update_longest(query.job, since_s, query.at_s);
+            unanswered.remove(query.job);
         }
     }
-    for (job, (since_s, last_s)) in open {
-        close(job, since_s, last_s);
+    for (job, (since_s, last_s)) in unanswered {
+        update_longest(job, since_s, last_s);
     }
     (!queries.is_empty()).then_some(longest)
 }
--- a/crates/loadtest/src/site/error.rs
+++ b/crates/loadtest/src/site/error.rs
@@ -2,28 +2,28 @@
 
 use toml_edit::Item;
 
-/// Why a site file can't be scaled. The caller adds the path of the file.
+/// The reason why a site file can't be scaled. The caller adds the path of the file.
 #[derive(Debug, thiserror::Error)]
 pub enum SiteError {
     /// The file can't be parsed, for instance because it is truncated.
     #[error("not TOML: {0}")]
     Toml(#[from] toml_edit::TomlError),
-    /// A key that every site file has is missing.
+    /// A required key of the site file is missing.
     #[error("the site file has no `{key}`; allowed is {allowed}")]
     Missing {
-        /// The key, with its table.
+        /// Path of the key in the file.
         key: &'static str,
-        /// What the key must hold.
+        /// Description of the values allowed.
         allowed: &'static str,
     },
     /// A key of the site file holds a value of another type.
     #[error("`{key}` is {value}; allowed is {allowed}")]
     WrongType {
-        /// The key, with its table.
+        /// Path of the key in the file.
         key: &'static str,
-        /// The value as written, or its type where it is a table.
+        /// The value as written, or its type if it is a table or a list of tables.
         value: String,
-        /// What the key must hold.
+        /// Description of the values allowed.
         allowed: &'static str,
     },
     /// A scenario names a kind of fault that the bench does not have.
@@ -47,7 +47,7 @@
         kind: String,
         /// The key as written.
         key: String,
-        /// All keys of this kind.
+        /// All keys that faults of this kind have.
         allowed: String,
     },
     /// A key of a fault holds a value that is out of range or of another type.
@@ -61,13 +61,13 @@
         key: String,
         /// The value as written.
         value: String,
-        /// What the key may hold.
+        /// Description of the values allowed.
         allowed: &'static str,
     },
 }
 
 impl SiteError {
-    /// The error for a required key: missing if there is no item, else of the wrong type.
+    /// Returns the error for a required key: missing if there is no item, else of the wrong type.
     pub fn required(key: &'static str, found: Option<&Item>, allowed: &'static str) -> Self {
         let Some(item) = found.filter(|item| !item.is_none()) else {
             return SiteError::Missing { key, allowed };
--- a/crates/loadtest/src/site/fault_schema.rs
+++ b/crates/loadtest/src/site/fault_schema.rs
@@ -1,22 +1,22 @@
-//! The kinds of fault that the bench knows, and what their keys may hold.
+//! The kinds of fault that the bench knows, and the values that their keys may hold.
 //!
-//! A misspelt kind or key would be ignored by whoever plays the scenario, and a test that injects
-//! nothing passes; so unknown names and values are refused here.
+//! When a scenario is run, a misspelt kind or key is ignored, and a test that injects no fault
+//! passes. Unknown names and invalid values are therefore refused here.
 
 use toml_edit::{Array, Item, Table, Value};
 
 use super::SiteError;
 
-/// Keys that every fault has: its kind, and the second of the scenario at which it begins.
+/// Keys that every fault may have: its kind, and the second of the scenario at which it begins.
 const KIND_KEY: &str = "kind";
 const START_KEY: &str = "at_s";
 
-/// What a key of a fault may hold.
+/// The values that a key of a fault may hold.
 #[derive(Clone, Copy)]
 enum ValueRule {
     /// A finite number that is not negative.
     Amount,
-    /// A part of the whole, 0 to 1.
+    /// A fraction from 0 to 1.
     Fraction,
     Count,
     Name,
@@ -55,7 +55,7 @@
     !names.is_empty() && names.iter().all(|name| name.as_str().is_some())
 }
 
-/// A kind of fault with its own keys.
+/// A kind of fault and the keys that are specific to it.
 struct FaultKind {
     name: &'static str,
     keys: &'static [(&'static str, ValueRule)],
@@ -66,7 +66,7 @@
 }
 
 impl FaultKind {
-    fn named(name: &str) -> Option<&'static FaultKind> {
+    fn find(name: &str) -> Option<&'static FaultKind> {
         FAULT_KINDS.iter().find(|kind| kind.name == name)
     }
 
@@ -76,8 +76,8 @@
     }
 
     fn rule_of(&self, key: &str) -> Option<ValueRule> {
-        let own = self.keys.iter().find(|(known, _)| *known == key).map(|(_, rule)| *rule);
-        own.or((key == START_KEY).then_some(Amount))
+        let specific = self.keys.iter().find(|(known, _)| *known == key).map(|(_, rule)| *rule);
+        specific.or((key == START_KEY).then_some(Amount))
     }
 
     fn all_keys(&self) -> String {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Kinds of fault that a scenario may name, with their keys beside `kind` and `at_s`.
+/// Kinds of fault that a scenario may name, with their keys in addition to `kind` and `at_s`.
 static FAULT_KINDS: [FaultKind; 31] = [
     kind("boot_trouble", &[("fail", Fraction), ("factor", Amount), ("for_s", Amount)]),
     kind("cancel_at_end", &[("share", Fraction), ("for_s", Amount)]),
@@ -96,7 +96,7 @@
         &[
             ("type", Name),
             ("zone", Name),
-            // Fractions of what there was before.
+            // Both are fractions of the previous capacity.
             ("count", Amount),
             ("spot", Amount),
             ("for_s", Amount),
@@ -107,13 +107,13 @@
     kind("job_burst", &[("class", Name), ("factor", Amount), ("for_s", Amount)]),
     kind("late_reports", &[("share", Fraction), ("for_s", Amount), ("for_next", Flag)]),
     kind("late_writes", &[("share", Fraction), ("for_s", Amount), ("at_once", Flag)]),
-    kind("machine_deaf", MACHINES),
-    kind("machine_die", MACHINES),
-    kind("machine_hang", MACHINES),
-    kind("machine_mute", MACHINES),
-    kind("machine_sick", MACHINES),
-    kind("machine_slow", MACHINES),
-    kind("node_crash", NODES),
+    kind("machine_deaf", MACHINE_FAULT_KEYS),
+    kind("machine_die", MACHINE_FAULT_KEYS),
+    kind("machine_hang", MACHINE_FAULT_KEYS),
+    kind("machine_mute", MACHINE_FAULT_KEYS),
+    kind("machine_sick", MACHINE_FAULT_KEYS),
+    kind("machine_slow", MACHINE_FAULT_KEYS),
+    kind("node_crash", CONTROLLER_FAULT_KEYS),
     kind(
         "node_cut",
         &[
@@ -126,10 +126,10 @@
             ("mode", Name),
         ],
     ),
-    kind("node_down", NODES),
-    kind("node_freeze", NODES),
+    kind("node_down", CONTROLLER_FAULT_KEYS),
+    kind("node_freeze", CONTROLLER_FAULT_KEYS),
     kind("node_roll", &[("every_s", Amount), ("upgrade", Flag)]),
-    kind("node_slow", NODES),
+    kind("node_slow", CONTROLLER_FAULT_KEYS),
     kind("odd_requests", &[("for_s", Amount)]),
     kind("peers_refuse", &[("for_s", Amount)]),
     kind("poll_storm", &[("factor", Amount), ("for_s", Amount)]),
@@ -142,21 +142,21 @@
     kind("zone_partition", &[("zones", Names), ("for_s", Amount), ("mode", Name)]),
 ];
 
-/// Keys of the faults that hit machines.
-const MACHINES: &[(&str, ValueRule)] =
+/// Keys of the faults that affect machines.
+const MACHINE_FAULT_KEYS: &[(&str, ValueRule)] =
     &[("count", Count), ("share", Fraction), ("zone", Name), ("factor", Amount), ("for_s", Amount)];
 
-/// Keys of the faults that hit controllers.
-const NODES: &[(&str, ValueRule)] =
+/// Keys of the faults that affect controllers.
+const CONTROLLER_FAULT_KEYS: &[(&str, ValueRule)] =
     &[("count", Count), ("busiest", Flag), ("factor", Amount), ("for_s", Amount)];
 
-/// Checks that all faults of a scenario are known, with keys and values that their kinds have.
+/// Checks that the kind of each fault of a scenario is known and has its keys, with allowed values.
 pub fn check_scenario(scenario: &Table) -> Result<(), SiteError> {
     let name = scenario.get("name").and_then(Item::as_str).unwrap_or("without a name");
     let faults = scenario.get("faults").and_then(Item::as_array);
     for fault in faults.into_iter().flatten().filter_map(Value::as_inline_table) {
         let kind_name = fault.get(KIND_KEY).and_then(Value::as_str).unwrap_or("none");
-        let Some(kind) = FaultKind::named(kind_name) else {
+        let Some(kind) = FaultKind::find(kind_name) else {
             return Err(SiteError::UnknownFaultKind {
                 scenario: name.to_string(),
                 kind: kind_name.to_string(),
--- a/crates/loadtest/src/site/mod.rs
+++ b/crates/loadtest/src/site/mod.rs
@@ -1,8 +1,9 @@
 //! Scales a site file of the bench to a larger fleet.
 //!
-//! Machines, capacity, arrivals and teams are multiplied. The controllers' processor and memory
-//! stay as they are, and so do the state service, the cloud and the sockets unless asked for.
-//! Everything else of the file, including its comments, is kept as written.
+//! Machines, capacity, job arrivals, teams' quotas and the controllers' sockets are multiplied. The
+//! controllers' processor and memory stay as they are. The rate limits of the state service and the
+//! cloud change only on request. Everything else of the file, including its comments, is kept as
+//! written.
 
 mod error;
 mod fault_schema;
@@ -11,56 +12,56 @@
 
 pub use error::SiteError;
 
-/// What a required list of the site file must be.
+/// Description of a required list of the site file, for errors.
 pub const LIST_OF_TABLES: &str = "a list of tables";
-/// What a required table of the site file must be.
+/// Description of a required table of the site file, for errors.
 const TABLE: &str = "a table";
 
-/// The list of scenarios in a site file.
-const SCENARIOS: &str = "day";
+/// Key of the list of scenarios in a site file.
+const SCENARIOS_KEY: &str = "day";
 
-/// Name of the list whose entries follow the arrivals and not the machines.
-const JOB_PREFIX: &str = "jobs";
+/// Key of the list whose entries are multiplied by the factor of the arrivals, not of the machines.
+const JOBS_KEY: &str = "jobs";
 
-/// The keys that are multiplied in each entry of a list.
+/// The scaled lists, with the keys that are multiplied in each of their entries.
 const SCALED_LISTS: [(&str, &[&str]); 4] = [
     ("capacity", &["count", "spot"]),
     ("machines", &["count"]),
     ("teams", &["cpus", "cpus_max", "gpus", "gpus_max"]),
-    (JOB_PREFIX, &["initial"]),
+    (JOBS_KEY, &["initial"]),
 ];
 
-/// The rate limits of the services that controllers call.
+/// Keys of the rate limits of the services that controllers call.
 const SERVICE_RATES: [(&str, &[&str]); 2] = [("state", &["rps", "write_rps"]), ("cloud", &["rps"])];
 
-/// Prefix of the kinds of fault whose `count` is a number of machines.
+/// Prefix of the kinds of fault whose `count` is a number of machines, which is multiplied.
 const MACHINE_FAULT_PREFIX: &str = "machine_";
 
-/// What changes in a scaled site.
+/// The factors by which a site is scaled, and other changes.
 #[derive(clap::Args, Clone, Debug)]
 pub struct SiteScaling {
-    /// How many times as many machines, with their capacity and teams.
+    /// Factor for the machines, the capacity and the teams' quotas.
     #[arg(long, default_value_t = 2.0)]
     pub by: f64,
-    /// How many times as many jobs; as the machines if left out.
+    /// Factor for the job arrivals; the factor of the machines if omitted.
     #[arg(long)]
     pub arrivals: Option<f64>,
-    /// How many times as many sockets; as the machines if left out.
+    /// Factor for the controllers' sockets; the factor of the machines if omitted.
     #[arg(long)]
     pub sockets: Option<f64>,
-    /// How many times as many calls a second the state service and the cloud take.
+    /// Factor for the rate limits of the state service and the cloud.
     #[arg(long, default_value_t = 1.0)]
     pub rates: f64,
-    /// Seconds after which a controller that has crashed is started again.
+    /// Seconds after which a crashed controller is restarted.
     #[arg(long)]
     pub restart_delay: Option<f64>,
-    /// Replaces the scenarios of the file by generated ones: controller crashes, cuts, fault
-    /// combinations, floods of jobs, best-effort submitters.
+    /// Replace the scenarios of the file by generated ones: controller crashes, cut connections,
+    /// combinations of faults, floods of jobs and best-effort submitters.
     #[arg(long)]
     pub generated_scenarios: bool,
 }
 
-/// Returns the text of the scaled site.
+/// Returns the text of the scaled site file.
 pub fn scale_site(text: &str, scaling: &SiteScaling) -> Result<String, SiteError> {
     let mut document: DocumentMut = text.parse()?;
     scale_lists(&mut document, scaling)?;
@@ -69,7 +70,7 @@
     scale_scenarios(&mut document, scaling.by)?;
     if scaling.generated_scenarios {
         let scenarios = crate::scenarios::generate(&document)?;
-        document.insert(SCENARIOS, Item::ArrayOfTables(scenarios));
+        document.insert(SCENARIOS_KEY, Item::ArrayOfTables(scenarios));
     }
     Ok(document.to_string())
 }
@@ -77,7 +78,7 @@
 fn scale_lists(document: &mut DocumentMut, scaling: &SiteScaling) -> Result<(), SiteError> {
     let arrivals = scaling.arrivals.unwrap_or(scaling.by);
     for (list, keys) in SCALED_LISTS {
-        let factor = if list == JOB_PREFIX { arrivals } else { scaling.by };
+        let factor = if list == JOBS_KEY { arrivals } else { scaling.by };
         for table in required_list(document, list)?.iter_mut() {
             keys.iter().for_each(|key| multiply_number(table, key, factor));
             multiply_arrival_rate(table, factor);
@@ -103,9 +104,9 @@
     Ok(())
 }
 
-/// Checks the scenarios of the file, then scales their faults.
+/// Checks all scenarios of the file, then scales their faults.
 fn scale_scenarios(document: &mut DocumentMut, factor: f64) -> Result<(), SiteError> {
-    let scenarios = document.get_mut(SCENARIOS).and_then(Item::as_array_of_tables_mut);
+    let scenarios = document.get_mut(SCENARIOS_KEY).and_then(Item::as_array_of_tables_mut);
     let Some(scenarios) = scenarios else { return Ok(()) };
     scenarios.iter().try_for_each(fault_schema::check_scenario)?;
     for faults in scenarios.iter_mut().filter_map(|scenario| scenario.get_mut("faults")) {
@@ -116,7 +117,7 @@
     Ok(())
 }
 
-/// Faults that hit a number of machines hit so many times as many.
+/// Multiplies the number of machines that a fault of machines affects.
 fn scale_fault(fault: &mut Value, factor: f64) {
     let Some(fault) = fault.as_inline_table_mut() else { return };
     let kind = fault.get("kind").and_then(Value::as_str).unwrap_or_default();
@@ -132,7 +133,7 @@
     (number as f64 * factor).round() as i64
 }
 
-/// Multiplies a number in its place; integers stay integers, anything else stays as it is.
+/// Multiplies a number of a table in place. Integers stay integers; other values are left alone.
 fn multiply_number(table: &mut Table, key: &str, factor: f64) {
     let Some(value) = table.get_mut(key).and_then(Item::as_value_mut) else { return };
     let multiplied = match value {
