--- a/crates/loadtest/src/cli.rs
+++ b/crates/loadtest/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command-line arguments.
 
 use std::path::PathBuf;
 
@@ -12,64 +12,65 @@
 #[derive(Parser)]
 #[command(
     version,
-    about = "Load tests of quartzgate: what a controller costs as its fleet grows, larger site \
-             files, and how well jobs were served"
+    about = "Load tests of quartzgate: processor time of a controller as its fleet grows, larger \
+             site files, and how well jobs were served"
 )]
 pub struct Arguments {
-    /// What to do.
+    /// The subcommand to run.
     #[command(subcommand)]
     pub action: CliAction,
 }
 
-/// The sub-commands.
+/// The subcommands and their arguments.
 #[derive(Subcommand)]
 pub enum CliAction {
-    /// Puts a load on the core alone, on simulated time, and tells what each kind of event costs.
+    /// Runs a load on the scheduling core alone, on simulated time, and prints the processor time
+    /// of each kind of event.
     SimulateCore {
-        /// Sizes of fleets to try, one after another.
+        /// Numbers of machines to simulate, one fleet after another.
         #[arg(long, value_delimiter = ',', default_values_t = [500, 1230, 2500, 5000, 10000])]
         sizes: Vec<u32>,
-        /// A line of JSON for each fleet instead of tables.
+        /// Print one line of JSON for each fleet instead of tables.
         #[arg(long)]
         json: bool,
-        /// The load.
+        /// The load on the core.
         #[command(flatten)]
         options: LoadOptions,
     },
-    /// Writes a site file of the bench with a larger fleet.
+    /// Writes a copy of a site file of the bench with a larger fleet.
     ScaleSite {
-        /// The site file to start from.
+        /// Site file to scale.
         site: PathBuf,
-        /// What changes.
+        /// The factors to scale by.
         #[command(flatten)]
         scaling: SiteScaling,
-        /// The site file to write.
+        /// Site file to write.
         #[arg(long)]
         out: PathBuf,
     },
-    /// Tells from reports of the bench which part of the jobs of each class and team was served;
-    /// fails if any is below the objectives.
+    /// Prints, from reports of the bench, which fraction of the jobs of each class and team was
+    /// served; fails if any is below the objectives.
     ServiceReport {
-        /// Reports of scenarios.
+        /// Report files of the bench, one for each scenario.
         #[arg(required = true)]
         reports: Vec<PathBuf>,
-        /// What the controllers logged in each of these scenarios, at LOG_LEVEL=debug: with it
-        /// each class's largest tenth of jobs is reported as well.
+        /// Logs of the controllers at LOG_LEVEL=debug, one for each report: adds the largest tenth
+        /// of each class's jobs to the table.
         #[arg(long, value_delimiter = ',')]
         logs: Vec<PathBuf>,
-        /// What must be reached.
+        /// The objectives that each scenario must reach.
         #[command(flatten)]
         objectives: ServiceObjectives,
-        /// All classes and teams, not only the least served of each scenario.
+        /// Show all classes and teams, not only the least served one of each scenario.
         #[arg(long)]
         all: bool,
     },
-    /// Draws how objectives are attained as the fleet grows, from lines of
+    /// Draws how well objectives are attained as the fleet grows, from a table with lines of
     /// `machines,objective,version,attained`.
     Plot {
-        /// The table (CSV with a header).
+        /// Table to read (CSV with a header).
         table: PathBuf,
-        /// The picture to write (SVG).
+        /// Chart to write (SVG).
         #[arg(long)]
         out: PathBuf,
     },
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,11 +1,12 @@
 //! `quartzgate-loadtest`: load tests of quartzgate.
 //!
-//! - `simulate-core` measures what the scheduling core costs as its fleet grows ([`simulation`]).
-//! - `scale-site` writes larger site files for the bench, with generated scenarios if asked for
-//!   ([`site`], [`scenarios`]).
-//! - `service-report` tells from the bench's reports how well jobs were served
+//! - `simulate-core` measures the processor time of the scheduling core as its fleet grows
+//!   ([`simulation`]).
+//! - `scale-site` writes site files with a larger fleet for the bench, optionally with generated
+//!   scenarios ([`site`], [`scenarios`]).
+//! - `service-report` evaluates from the bench's reports how well jobs were served
 //!   ([`service_report`]).
-//! - `plot` draws results for the docs ([`mod@plot`]).
+//! - `plot` draws results as a chart for the documentation ([`mod@plot`]).
 
 mod cli;
 mod error;
--- a/crates/loadtest/tests/exit_codes.rs
+++ b/crates/loadtest/tests/exit_codes.rs
@@ -1,5 +1,5 @@
-//! Exit codes and messages of `quartzgate-loadtest` for inputs that are missing, truncated or of
-//! another format, run as a process.
+//! Tests of the exit codes and messages of the process `quartzgate-loadtest` for inputs that are
+//! missing, truncated or of another format.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -10,7 +10,7 @@
 const REPORT: &str = r#"{"scenario": "calm", "rules_broken": {"total": 0}, "node_stats": [],
     "classes": {"batch": {"jobs": 10, "started": 9}}}"#;
 
-/// A directory of this test alone, without the files of an earlier run.
+/// Creates an empty directory for one test, and removes the files of an earlier run.
 fn work_directory(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&path);
@@ -23,7 +23,8 @@
     command.args(arguments).current_dir(directory).output().unwrap()
 }
 
-/// Runs and checks that it fails with this exit code and a message that holds all of `parts`.
+/// Runs the program and checks that it fails with `exit_code` and a message that contains all of
+/// `parts`.
 fn assert_fails(arguments: &[&str], directory: &Path, exit_code: i32, parts: &[&str]) {
     let output = run(arguments, directory);
     let message = String::from_utf8(output.stderr).unwrap();
@@ -38,19 +39,19 @@
     std::fs::write(directory.join("whole.json"), REPORT).unwrap();
     std::fs::write(directory.join("truncated.json"), &REPORT[..REPORT.len() / 2]).unwrap();
     std::fs::write(directory.join("empty.log"), "").unwrap();
-    let report = |arguments: &[&str], parts: &[&str]| {
+    let assert_report_fails = |arguments: &[&str], parts: &[&str]| {
         let arguments = [&["service-report"], arguments].concat();
         assert_fails(&arguments, &directory, EXIT_INVALID_REPORT, parts);
     };
-    report(&["whole.json", "truncated.json"], &["truncated.json", "not a report"]);
-    report(&["missing.json"], &["missing.json"]);
-    report(&["whole.json", "--logs", "empty.log"], &["empty.log", "LOG_LEVEL=debug"]);
-    report(&["whole.json", "--logs", "a.log,b.log"], &["2 logs for 1 reports"]);
-    report(&["whole.json", "--faults-over", "100"], &["--faults-over", "--logs"]);
+    assert_report_fails(&["whole.json", "truncated.json"], &["truncated.json", "not a report"]);
+    assert_report_fails(&["missing.json"], &["missing.json"]);
+    assert_report_fails(&["whole.json", "--logs", "empty.log"], &["empty.log", "LOG_LEVEL=debug"]);
+    assert_report_fails(&["whole.json", "--logs", "a.log,b.log"], &["2 logs for 1 reports"]);
+    assert_report_fails(&["whole.json", "--faults-over", "100"], &["--faults-over", "--logs"]);
     let jobs = "1 n0 DEBUG job entered job=wk-1 class=c tasks=2\n";
     std::fs::write(directory.join("jobs.log"), jobs).unwrap();
     let no_queries = ["whole.json", "--logs", "jobs.log", "--faults-over", "100"];
-    report(&no_queries, &["jobs.log", "no status query", "--log debug"]);
+    assert_report_fails(&no_queries, &["jobs.log", "no status query", "--log debug"]);
 }
 
 #[test]
--- a/crates/loadtest/tests/unit/service_report.rs
+++ b/crates/loadtest/tests/unit/service_report.rs
@@ -1,11 +1,12 @@
-//! Tests of the objectives of a service report, and of reading the controllers' logs.
+//! Tests of the objectives of a service report, and of parsing the controllers' logs.
 
 use super::*;
 
-/// A class or team below the minimum, or largest jobs that start too late, fail the scenario.
+/// A scenario fails if a class or a team is served below the minimum, or if the largest jobs of a
+/// class start too late.
 #[test]
 fn low_served_share_or_late_start_fails_scenario() {
-    let report = |started: u64| -> ScenarioReport {
+    let report_with_team_started = |started: u64| -> ScenarioReport {
         let text = serde_json::json!({
             "scenario": "d", "rules_broken": { "total": 0 }, "node_stats": [],
             "classes": { "a": { "jobs": 100, "started": 90 } },
@@ -15,21 +16,24 @@
     };
     let objectives =
         ServiceObjectives { min_served: 0.5, max_start_wait: 240.0, faults_over: None };
-    assert_eq!(report(4).failures(objectives, &[]), ["team t served 0.40"]);
-    assert!(report(5).failures(objectives, &[]).is_empty());
+    assert_eq!(report_with_team_started(4).failures(objectives, &[]), ["team t served 0.40"]);
+    assert!(report_with_team_started(5).failures(objectives, &[]).is_empty());
     let late = LargestJobs { class: "a".into(), jobs: 2, served_fraction: 0.5, max_wait_s: 241.0 };
-    assert_eq!(report(5).failures(objectives, &[late]), ["a's largest started after 241 s"]);
+    assert_eq!(
+        report_with_team_started(5).failures(objectives, &[late]),
+        ["a's largest started after 241 s"]
+    );
 }
 
-/// The largest jobs of a class are counted also if they never start, once if two leaders log
-/// them, and apart from the many small ones of their class.
+/// The largest jobs of a class are counted even if they never start, only once if two leaders log
+/// them, and separately from the many small jobs of their class.
 #[test]
 fn largest_jobs_are_read_from_controller_logs() {
     let mut log = String::from("noise\n");
     for number in 0..20 {
         let tasks = if number < 2 { 500 } else { number };
         let job = format!("job=wk-{number} class=c tasks={tasks}");
-        // The message of this version, and that of earlier ones.
+        // The message of the current version, and that of earlier versions.
         let entered = if number % 3 == 1 { "job entered" } else { "known" };
         log += &format!("1.0 n0 DEBUG {entered} {job}\n");
         if number != 1 {
@@ -43,8 +47,8 @@
     assert!(largest_jobs("nothing of ours").is_empty());
 }
 
-/// The longest time without an answer counts refusals, late answers and jobs that are never
-/// answered again; it leaves out what was before, and jobs that were never accepted.
+/// The longest unanswered time includes refusals, late answers and jobs that are never answered
+/// again. It excludes queries before the given second, and jobs that were never accepted.
 #[test]
 fn longest_unanswered_job_is_read_from_controller_logs() {
     let line = |at_s: u32, job: &str, status: u16, took_ms: u32| {
--- a/crates/loadtest/tests/unit/site.rs
+++ b/crates/loadtest/tests/unit/site.rs
@@ -1,4 +1,4 @@
-//! Tests of scaling a site file, and of the generated scenarios that it may get.
+//! Tests of scaling a site file, and of its generated scenarios.
 
 use super::*;
 
@@ -43,8 +43,8 @@
 ]
 "#;
 
-/// A scaled site has more machines, jobs and quota for them, on the same controllers; faults of
-/// machines are scaled, those of controllers are not.
+/// A scaled site has more machines and jobs and higher quotas, on the same controllers. Faults of
+/// machines are scaled, faults of controllers are not.
 #[test]
 fn fleet_is_scaled_and_controllers_are_not() {
     let scaled: DocumentMut = scale_site(SITE, &scaled_by(2.0)).unwrap().parse().unwrap();
@@ -72,7 +72,7 @@
     assert_eq!(number(&["day", "0", "faults", "1", "count"]), 2.0);
 }
 
-/// A file that is not a site file is refused, with the missing key or the parse error.
+/// A file that is not a site file is refused with an error: the missing key or the parse error.
 #[test]
 fn invalid_site_file_is_refused() {
     let error = scale_site("name = 'x'", &scaled_by(2.0)).unwrap_err().to_string();
@@ -80,7 +80,8 @@
     assert!(scale_site("name = ", &scaled_by(2.0)).is_err());
 }
 
-/// An unknown kind of fault is refused, since no run would inject it.
+/// An unknown kind of fault is refused, because no run would inject it. The error lists the known
+/// kinds.
 #[test]
 fn unknown_fault_kind_is_refused() {
     let changed = SITE.replace("node_crash", "node_explodes");
@@ -89,8 +90,9 @@
     assert!(error.contains("node_explodes") && error.contains("late_writes"), "{error}");
 }
 
-/// Generated scenarios flood every class of the site, keep best-effort submitters to their own
-/// class, restart controllers after the delay asked for, and leave the sockets as they are.
+/// Generated scenarios flood every job class, restrict the site's own classes to its teams in the
+/// presence of best-effort submitters, and pair each fault with each disturbance. The requested
+/// restart delay is set, and the sockets stay as they are at a factor of 1.
 #[test]
 fn generated_scenarios_cover_each_class_and_fault() {
     let scaling = SiteScaling {
@@ -107,31 +109,32 @@
     assert_eq!(generated["nodes"]["max_connections"].as_integer(), Some(100));
     assert_eq!(generated["jobs"][0]["initial"].as_integer(), Some(5));
     let scenarios = generated["day"].as_array_of_tables().unwrap();
-    let named =
+    let find_scenario =
         |name: &str| scenarios.iter().find(|scenario| scenario["name"].as_str() == Some(name));
-    let flood = named("flood-j-x8").unwrap().to_string();
+    let flood = find_scenario("flood-j-x8").unwrap().to_string();
     assert!(flood.contains("job_burst") && flood.contains("node_crash"), "{flood}");
-    let best_effort = named("guests-80").unwrap();
+    let best_effort = find_scenario("guests-80").unwrap();
     let jobs = best_effort["jobs"].as_array().unwrap().to_string();
     assert!(jobs.contains("rate = 80.0") && jobs.contains("teams = [\"t\"]"), "{jobs}");
-    assert!(named("d").is_none());
-    let faults = named("meet-gap").unwrap()["faults"].as_array().unwrap();
+    assert!(find_scenario("d").is_none());
+    let faults = find_scenario("meet-gap").unwrap()["faults"].as_array().unwrap();
     let outage = faults.get(1).and_then(Value::as_inline_table).unwrap();
     assert_eq!(outage["kind"].as_str(), Some("state_outage"));
     assert_eq!(outage["for_s"].as_float(), Some(52.0));
-    // Each fault is paired with crashes, an outage, a zone that is cut off and limits that bind.
-    let answers_lost = named("meet-answers-lost-outage").unwrap().to_string();
+    // Each fault is paired with crashes, an outage, a zone that is cut off and limits that the
+    // load reaches.
+    let answers_lost = find_scenario("meet-answers-lost-outage").unwrap().to_string();
     assert!(
         answers_lost.contains("at_once = true") && answers_lost.contains("state_outage"),
         "{answers_lost}"
     );
-    let limited = named("meet-cancel-now-limit").unwrap().to_string();
+    let limited = find_scenario("meet-cancel-now-limit").unwrap().to_string();
     assert!(limited.contains("cpus_max") && limited.contains("hang_s = 20.0"), "{limited}");
     scenarios.iter().for_each(|scenario| fault_schema::check_scenario(scenario).unwrap());
 }
 
-/// A key that a kind of fault does not have, or a value out of range, is refused with the scenario,
-/// the key and what is allowed.
+/// A fault with a key that its kind does not have, or with an invalid value, is refused. The
+/// error names the scenario, the key and the allowed keys or values.
 #[test]
 fn fault_with_unknown_key_or_value_is_refused() {
     let invalid = [
