--- a/crates/core/tests/simulation/dependencies.rs
+++ b/crates/core/tests/simulation/dependencies.rs
@@ -1,7 +1,7 @@
-//! Jobs that depend on others. In all tests the cluster records a violation if a task starts
-//! before its job's dependencies are done and recorded so, if a job is reported alive too long
-//! after the abort of a dependency, and if a job is reported aborted though neither it nor a
-//! dependency was.
+//! Jobs with dependencies. In all tests the cluster records a violation if a task starts before its
+//! job's dependencies are recorded as done, if a job is still reported as live too long after the
+//! abort of a dependency, or if a job is reported as aborted although neither it nor one of its
+//! dependencies was aborted.
 
 use crate::cluster::{
     job, with_dependencies, Cluster, LateRefusal, LinkFault, StateLimits, CANCEL_MS,
@@ -12,7 +12,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// A cluster whose format is activated.
+/// Returns a cluster 1.5 s after the activation of the format.
 fn activated_cluster(workers: usize, team_cpu_limit: f64, seed: u64) -> Cluster {
     let mut cluster = Cluster::new(3, workers, team_cpu_limit, seed);
     cluster.run_until(10_000, "the format is activated", Cluster::format_is_activated);
@@ -20,46 +20,47 @@
     cluster
 }
 
-/// A pipeline with a fan-out, submitted to different controllers, runs in order; jobs that wait
-/// are reported as queued and hold no part of the quota.
+/// A pipeline with a fan-out, submitted to different controllers, runs in dependency order. Jobs
+/// that wait for dependencies are reported as queued and use no quota.
 #[test]
 fn pipeline_runs_in_dependency_order_without_faults() {
     let mut cluster = activated_cluster(4, 8.0, 1);
     cluster.task_duration_ms.insert("wk-000001".into(), 8_000);
     cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 1));
-    for (n, needs) in [(2, vec!["wk-000001"]), (3, vec!["wk-000001"])] {
-        let spec = with_dependencies(job(&format!("wk-00000{n}"), JobKind::Array, 3), &needs);
+    for (n, dependencies) in [(2, vec!["wk-000001"]), (3, vec!["wk-000001"])] {
+        let spec =
+            with_dependencies(job(&format!("wk-00000{n}"), JobKind::Array, 3), &dependencies);
         let request = cluster.submit(n % 3, &spec);
         cluster.run_for_ms(300);
         assert_eq!(cluster.status_code(request), 201);
     }
-    let last = with_dependencies(
+    let final_stage = with_dependencies(
         job("wk-000004", JobKind::Gang, 2),
         &["wk-000002", "wk-000003", "wk-000002"],
     );
-    cluster.submit_until_accepted(&last);
-    // A waiting job reserves nothing: other work may use the whole quota but one task.
+    cluster.submit_until_accepted(&final_stage);
+    // Waiting jobs reserve no quota: other jobs may use all but the running task's share.
     cluster.submit_until_accepted(&job("wk-000009", JobKind::Array, 1));
     cluster.run_until(2_500, "the other job runs", |cluster| {
         cluster.task_starts.contains_key("wk-000009/0")
     });
-    assert!(!cluster.completed_tasks.contains_key("wk-000001"), "the first stage is still running");
+    assert!(!cluster.completed_tasks.contains_key("wk-000001"), "the first stage ended too early");
     cluster.query(1, "wk-000004");
     cluster.run_for_ms(300);
     assert_eq!(cluster.observed_status.get("wk-000004"), Some(&JobStatus::Queued));
     cluster.run_until_done("wk-000004", 60_000);
-    // The metrics show that each stage began soon after the one before it.
+    // The metrics show that each stage started soon after its dependencies were done.
     let leader = cluster.leader().unwrap();
-    let seen = cluster.metrics_of(leader);
-    assert!(seen["latency_ms.chain_start.count"] >= 3.0);
-    assert!(seen["latency_ms.chain_start.p50"] < 1_000.0);
-    assert!(seen["latency_ms.write.p50"] <= seen["latency_ms.write.max"]);
+    let metrics = cluster.metrics_of(leader);
+    assert!(metrics["latency_ms.chain_start.count"] >= 3.0);
+    assert!(metrics["latency_ms.chain_start.p50"] < 1_000.0);
+    assert!(metrics["latency_ms.write.p50"] <= metrics["latency_ms.write.max"]);
     cluster.check_invariants();
 }
 
-/// Refused at once: dependencies on jobs that were never accepted, on services (also finished
-/// ones) and on the job itself, malformed lists, and lists too long for a stored value. Repeats of
-/// known jobs are never refused, whatever their list says.
+/// Every controller immediately refuses dependencies on jobs that were never accepted, on services
+/// (also ended ones) and on the job itself, malformed lists, and lists too long for a stored value.
+/// A repeated submission of a known job is never refused because of its list.
 #[test]
 fn unsatisfiable_dependency_lists_are_refused() {
     let mut cluster = activated_cluster(4, 0.0, 2);
@@ -69,11 +70,11 @@
     cluster.abort_until_confirmed("wk-000002");
     cluster.run_for_ms(6_000);
     for node in 0..3 {
-        let long: Vec<String> = (0..800).map(|n| format!("wk-{:06}", 1_000 + n)).collect();
-        let long: Vec<&str> = long.iter().map(String::as_str).collect();
+        let too_many: Vec<String> = (0..800).map(|n| format!("wk-{:06}", 1_000 + n)).collect();
+        let too_many: Vec<&str> = too_many.iter().map(String::as_str).collect();
         let id = format!("wk-00001{node}");
-        let request = |cluster: &mut Cluster, needs: &[&str]| {
-            let spec = with_dependencies(job(&id, JobKind::Array, 1), needs);
+        let request = |cluster: &mut Cluster, dependencies: &[&str]| {
+            let spec = with_dependencies(job(&id, JobKind::Array, 1), dependencies);
             let request = cluster.send_request(node, "POST", "/api/jobs", to_cbor(&spec));
             cluster.run_for_ms(600);
             cluster.status_code(request)
@@ -83,8 +84,8 @@
         assert_eq!(request(&mut cluster, &["wk-000002"]), 422, "a service that has ended");
         assert_eq!(request(&mut cluster, &[&id]), 422, "itself");
         assert_eq!(request(&mut cluster, &["wk-x"]), 400, "a malformed id");
-        assert_eq!(request(&mut cluster, &long), 400, "too long a list");
-        // Values that are no list are refused; null and an empty list mean no dependencies.
+        assert_eq!(request(&mut cluster, &too_many), 400, "too long a list");
+        // A value that is not a list is refused; null and an empty list mean no dependencies.
         for (value, status) in [("7", 400), ("{}", 400), ("null", 201), ("[]", 200)] {
             let mut map = serde_json::to_value(job(&id, JobKind::Array, 1)).unwrap();
             map["prereqs"] = serde_json::from_str(value).unwrap();
@@ -93,16 +94,16 @@
             cluster.run_for_ms(600);
             assert_eq!(cluster.status_code(request), status, "prereqs: {value}");
         }
-        // The job is known by now.
-        for needs in [&["wk-777777"][..], &["wk-000001"], &[&id], &long] {
-            assert_eq!(request(&mut cluster, needs), 200);
+        // By now the job is known, so that the same lists are accepted.
+        for dependencies in [&["wk-777777"][..], &["wk-000001"], &[&id], &too_many] {
+            assert_eq!(request(&mut cluster, dependencies), 200);
         }
     }
     cluster.check_invariants();
 }
 
-/// All tasks are done, but the leader cannot record the job's completion and crashes: dependents
-/// wait for the record.
+/// Guards against starting dependents too early: all tasks of a job are done, but the leader cannot
+/// record the completion and crashes. The dependents must wait until it is recorded.
 #[test]
 fn dependents_wait_for_the_recorded_completion_across_failover() {
     for case in 0..8 {
@@ -130,11 +131,11 @@
     }
 }
 
-/// An abort races the last completion, at any controller: if it is answered `done`, the dependents
-/// run; if `aborted`, all dependents are aborted and never run.
+/// An abort at any controller races the completion of the job's last task. If the abort is answered
+/// with `done`, the dependents run; if with `aborted`, all dependents are aborted and never run.
 #[test]
 fn dependents_follow_the_outcome_when_an_abort_races_completion() {
-    let mut ends = [0, 0];
+    let mut outcomes = [0, 0];
     for case in 0..24u64 {
         let mut cluster = activated_cluster(4, 0.0, 40 + case);
         cluster.task_duration_ms.insert("wk-000001".into(), 2_000);
@@ -142,16 +143,16 @@
         cluster.run_until(5_000, "the job runs", |cluster| {
             cluster.task_starts.contains_key("wk-000001/0")
         });
-        for (id, needs) in [("wk-000002", "wk-000001"), ("wk-000003", "wk-000002")] {
+        for (id, dependency) in [("wk-000002", "wk-000001"), ("wk-000003", "wk-000002")] {
             let request =
-                cluster.submit(0, &with_dependencies(job(id, JobKind::Array, 1), &[needs]));
+                cluster.submit(0, &with_dependencies(job(id, JobKind::Array, 1), &[dependency]));
             cluster.run_until(2_000, "the job is accepted", |cluster| {
                 cluster.status_code(request) == 201
             });
         }
         let leader = cluster.leader().unwrap();
-        let ran = cluster.now - cluster.task_starts["wk-000001/0"][0].at_ms;
-        cluster.run_for_ms(1_850 + case * 20 - ran.min(1_850));
+        let running_for_ms = cluster.now - cluster.task_starts["wk-000001/0"][0].at_ms;
+        cluster.run_for_ms(1_850 + case * 20 - running_for_ms.min(1_850));
         cluster.abort((leader + case as usize) % 3, "wk-000001");
         if case % 3 == 2 {
             cluster.crash_for_ms(leader, 3_000);
@@ -160,11 +161,11 @@
         cluster.abort_until_confirmed("wk-000001");
         match cluster.observed_status["wk-000001"] {
             JobStatus::Done => {
-                ends[0] += 1;
+                outcomes[0] += 1;
                 cluster.run_until_done("wk-000003", 60_000);
             }
             _ => {
-                ends[1] += 1;
+                outcomes[1] += 1;
                 cluster.run_for_ms(3_000);
                 for id in ["wk-000002", "wk-000003"] {
                     cluster.retry_until(20_000, |cluster, n| cluster.query(n, id), |s| s == 200);
@@ -176,12 +177,16 @@
         }
         cluster.check_invariants();
     }
-    assert!(ends[0] > 0 && ends[1] > 0, "both outcomes of the race occur: {ends:?}");
+    assert!(
+        outcomes[0] > 0 && outcomes[1] > 0,
+        "only one outcome of the race occurred (done, aborted): {outcomes:?}"
+    );
 }
 
-/// A follower that cannot reach the leader reports a job as aborted that depends, through another,
-/// on an aborted one, before anybody has recorded that; the leader, which has heard nothing of it,
-/// gives no older answer; and a dependent that is submitted afterwards is accepted and aborted.
+/// A follower that cannot reach the leader reports a job as aborted whose indirect dependency was
+/// aborted, before that abort is recorded for the job. The leader, which has not been notified,
+/// must not report an older state. A dependent that is submitted afterwards is accepted, then
+/// aborted.
 #[test]
 fn partitioned_follower_reports_transitive_aborts() {
     let mut cluster = activated_cluster(4, 0.0, 70);
@@ -196,14 +201,16 @@
         &["wk-000002"],
     ));
     let leader = cluster.leader().unwrap();
-    let (a, b) = ((leader + 1) % 3, (leader + 2) % 3);
-    cluster.cut_controllers(leader, a, LinkFault::Drop);
-    cluster.cut_controllers(leader, b, LinkFault::Drop);
+    let (first_follower, second_follower) = ((leader + 1) % 3, (leader + 2) % 3);
+    cluster.cut_controllers(leader, first_follower, LinkFault::Drop);
+    cluster.cut_controllers(leader, second_follower, LinkFault::Drop);
     cluster.state.handoff_watch_silent = true;
     cluster.run_for_ms(3_000);
-    let abort = cluster.abort(a, "wk-000001");
-    cluster.run_until(3_000, "aborted by a follower", |cluster| cluster.status_code(abort) == 200);
-    let request = cluster.query(b, "wk-000003");
+    let abort = cluster.abort(first_follower, "wk-000001");
+    cluster.run_until(3_000, "a follower confirms the abort", |cluster| {
+        cluster.status_code(abort) == 200
+    });
+    let request = cluster.query(second_follower, "wk-000003");
     cluster.run_for_ms(300);
     assert_eq!(cluster.status_code(request), 200);
     assert_eq!(cluster.observed_status.get("wk-000003"), Some(&JobStatus::Aborted));
@@ -212,21 +219,23 @@
         Some(RecordedStatus::Live),
         "the abort is not recorded"
     );
-    // The cluster records a violation if the leader now reports anything else.
+    // The cluster records a violation if the leader now reports another state.
     let request = cluster.query(leader, "wk-000003");
     cluster.run_for_ms(300);
     assert_eq!(cluster.status_code(request), 200);
-    let late =
-        cluster.submit(b, &with_dependencies(job("wk-000004", JobKind::Array, 1), &["wk-000003"]));
+    let late_submission = cluster.submit(
+        second_follower,
+        &with_dependencies(job("wk-000004", JobKind::Array, 1), &["wk-000003"]),
+    );
     cluster.run_for_ms(600);
-    assert_eq!(cluster.status_code(late), 201);
-    cluster.query(a, "wk-000004");
+    assert_eq!(cluster.status_code(late_submission), 201);
+    cluster.query(first_follower, "wk-000004");
     cluster.run_for_ms(600);
     assert_eq!(cluster.observed_status.get("wk-000004"), Some(&JobStatus::Aborted));
     cluster.heal_links();
     cluster.state.handoff_watch_silent = false;
     cluster.run_for_ms(1_000);
-    // The leader has missed the handoff entry, and learns of the abort by a query.
+    // The leader has not received the handoff entry and learns of the abort through this query.
     cluster.query(leader, "wk-000004");
     cluster.run_until(40_000, "the aborts are recorded", |cluster| {
         ["wk-000002", "wk-000003", "wk-000004"]
@@ -236,8 +245,8 @@
     cluster.check_invariants();
 }
 
-/// Failover with dependency chains at any moment: the new leader knows from the records which
-/// dependencies were done, aborted, live or recorded by a follower.
+/// Failover at varying times while dependency chains run: from the records alone, the new leader
+/// recovers which dependencies are done, aborted, live or were recorded by a follower.
 #[test]
 fn dependency_chains_survive_failover() {
     for case in 0..10u64 {
@@ -282,49 +291,53 @@
     }
 }
 
-/// More dependencies than one transaction has conditions, and chains longer than recursion could
-/// follow, in both directions.
+/// A job has more dependencies (60) than one transaction permits conditions, and heads a chain of
+/// 40 jobs that is too long to be followed recursively. Queries and aborts must handle both,
+/// towards the dependencies and towards the dependents.
 #[test]
 fn abort_propagates_through_wide_and_long_dependency_graphs() {
     let mut cluster = activated_cluster(6, 0.0, 110);
     cluster.task_duration_ms.insert("wk-000001".into(), 30_000);
     cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 1));
-    let mut fan = Vec::new();
+    let mut fan_in = Vec::new();
     for n in 0..60 {
         let id = format!("wk-0001{n:02}");
         cluster.submit(n % 3, &with_dependencies(job(&id, JobKind::Array, 1), &["wk-000001"]));
         cluster.run_for_ms(150);
-        fan.push(id);
+        fan_in.push(id);
     }
-    let names: Vec<&str> = fan.iter().map(String::as_str).collect();
-    cluster.submit_until_accepted(&with_dependencies(job("wk-000200", JobKind::Array, 1), &names));
-    let mut last = "wk-000200".to_string();
+    let fan_in_ids: Vec<&str> = fan_in.iter().map(String::as_str).collect();
+    cluster.submit_until_accepted(&with_dependencies(
+        job("wk-000200", JobKind::Array, 1),
+        &fan_in_ids,
+    ));
+    let mut chain_end = "wk-000200".to_string();
     for n in 0..40 {
         let id = format!("wk-0003{n:02}");
-        cluster.submit(n % 3, &with_dependencies(job(&id, JobKind::Array, 1), &[&last]));
+        cluster.submit(n % 3, &with_dependencies(job(&id, JobKind::Array, 1), &[&chain_end]));
         cluster.run_for_ms(150);
-        last = id;
+        chain_end = id;
     }
     for node in 0..3 {
-        let request = cluster.query(node, &last);
+        let request = cluster.query(node, &chain_end);
         cluster.run_for_ms(1_500);
         assert_eq!(
-            (cluster.status_code(request), cluster.observed_status[&last]),
+            (cluster.status_code(request), cluster.observed_status[&chain_end]),
             (200, JobStatus::Queued)
         );
     }
     cluster.abort_until_confirmed("wk-000139");
-    // The whole fan is aborted with one of its jobs.
+    // The abort of one dependency of the fan-in aborts everything that depends on it.
     cluster.run_for_ms(CANCEL_MS);
-    let end = cluster.observed_status["wk-000139"];
-    cluster.retry_until(20_000, |cluster, n| cluster.query(n, &last), |s| s == 200);
-    assert_eq!(end, JobStatus::Aborted);
-    assert_eq!(cluster.observed_status[&last], JobStatus::Aborted);
+    let fan_in_status = cluster.observed_status["wk-000139"];
+    cluster.retry_until(20_000, |cluster, n| cluster.query(n, &chain_end), |s| s == 200);
+    assert_eq!(fan_in_status, JobStatus::Aborted);
+    assert_eq!(cluster.observed_status[&chain_end], JobStatus::Aborted);
     cluster.check_invariants();
 }
 
-/// A damaged record within a chain stops the jobs that depend on it, before and after a failover,
-/// and no others.
+/// A damaged job record within a chain blocks the jobs that depend on it, also after a failover,
+/// and no other jobs.
 #[test]
 fn damaged_record_stops_only_its_dependents() {
     let mut cluster = activated_cluster(4, 0.0, 130);
@@ -346,19 +359,19 @@
     cluster.run_until_done("wk-000004", 60_000);
     let request = cluster.query(0, "wk-000002");
     cluster.run_for_ms(2_500);
-    assert_eq!(cluster.status_code(request), 503, "its state cannot be known");
+    assert_eq!(cluster.status_code(request), 503, "the state of the dependency is unknown");
     assert!(cluster.live_tasks("wk-000002").is_empty());
     cluster.check_invariants();
 }
 
-/// A job that a high-priority job depends on is started first, and loses that priority once the
-/// dependent is aborted.
+/// A job on which a high-priority job depends starts before other jobs of its own priority. It
+/// loses the inherited priority when that dependent is aborted.
 #[test]
 fn dependency_inherits_the_priority_of_its_dependents() {
-    for cancel in [false, true] {
+    for abort_dependent in [false, true] {
         let mut cluster = activated_cluster(2, 8.0, 140);
         cluster.task_duration_ms.insert("wk-000009".into(), 4_000);
-        // The quota is used up; two jobs of the lowest priority wait.
+        // One job uses up the quota, so that two low-priority jobs have to wait.
         cluster.submit_until_accepted(&job("wk-000009", JobKind::Array, 2));
         cluster.run_until(4_000, "the quota is used up", |cluster| {
             cluster.live_tasks("wk-000009").len() == 2
@@ -377,43 +390,53 @@
         let request = cluster.submit(0, &high);
         cluster
             .run_until(2_000, "the job is accepted", |cluster| cluster.status_code(request) == 201);
-        if cancel {
+        if abort_dependent {
             let request = cluster.abort(0, "wk-000003");
             cluster.run_until(2_000, "the abort is confirmed", |cluster| {
                 cluster.status_code(request) == 200
             });
         }
-        let first = |cluster: &Cluster| {
+        let first_starts = |cluster: &Cluster| {
             ["wk-000001/0", "wk-000002/0"]
                 .map(|t| cluster.task_starts.get(t).map(|starts| starts[0].at_ms))
         };
         cluster.run_until(20_000, "one of the jobs starts", |cluster| {
-            first(cluster).iter().any(Option::is_some)
+            first_starts(cluster).iter().any(Option::is_some)
         });
-        let [one, two] = first(&cluster);
-        assert_eq!(two.is_some_and(|two| one.is_none_or(|one| two < one)), !cancel);
+        let [first_start, second_start] = first_starts(&cluster);
+        assert_eq!(
+            second_start.is_some_and(
+                |second_start| first_start.is_none_or(|first_start| second_start < first_start)
+            ),
+            !abort_dependent
+        );
         cluster.check_invariants();
     }
 }
 
-/// Both jobs were accepted by a follower, and the leader never received the handoff entry of the
-/// first: it reads the record of the unknown dependency, and both run.
+/// A follower accepted two jobs, and the leader never received the handoff entry of the first, on
+/// which the second depends. The leader must read the record of the unknown dependency, so that
+/// both jobs run.
 #[test]
 fn unknown_dependency_is_read_when_its_handoff_entry_was_lost() {
     let mut cluster = activated_cluster(4, 0.0, 150);
     let leader = cluster.leader().unwrap();
-    let a = (leader + 1) % 3;
-    cluster.cut_controllers(leader, a, LinkFault::Drop);
+    let follower = (leader + 1) % 3;
+    cluster.cut_controllers(leader, follower, LinkFault::Drop);
     cluster.run_for_ms(3_000);
     cluster.state.handoff_watch_silent = true;
-    let one = cluster.submit(a, &job("wk-000001", JobKind::Array, 1));
-    cluster.run_until(2_000, "accepted by a follower", |cluster| cluster.status_code(one) == 201);
+    let first_request = cluster.submit(follower, &job("wk-000001", JobKind::Array, 1));
+    cluster.run_until(2_000, "a follower accepts the job", |cluster| {
+        cluster.status_code(first_request) == 201
+    });
     cluster.run_for_ms(4_000);
     cluster.state.handoff_watch_silent = false;
-    assert!(cluster.task_starts.is_empty(), "the leader does not know the job");
-    let two =
-        cluster.submit(a, &with_dependencies(job("wk-000002", JobKind::Array, 1), &["wk-000001"]));
-    cluster.run_until(2_000, "accepted by a follower", |cluster| cluster.status_code(two) == 201);
+    assert!(cluster.task_starts.is_empty(), "the leader received the handoff entry");
+    let second_request = cluster
+        .submit(follower, &with_dependencies(job("wk-000002", JobKind::Array, 1), &["wk-000001"]));
+    cluster.run_until(2_000, "a follower accepts the job", |cluster| {
+        cluster.status_code(second_request) == 201
+    });
     cluster.run_until(20_000, "both jobs run", |cluster| {
         cluster.task_starts.contains_key("wk-000002/0")
     });
@@ -421,7 +444,8 @@
     cluster.check_invariants();
 }
 
-/// Upgrades all controllers from the first version, with a large job, under announced limits.
+/// Restarts all controllers as the first version with announced limits, submits a large job and
+/// upgrades the controllers one by one.
 fn upgrade_controllers(cluster: &mut Cluster, rng: &mut SmallRng) {
     cluster.announced_limits =
         Some(serde_json::json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 20.0}));
@@ -436,19 +460,19 @@
     }
 }
 
-/// Injects a random fault of controllers, links or the state service, or ends them; returns the
-/// controller that it concerns.
+/// Injects a random fault of a controller, a link or the state service, or heals all partitions and
+/// refusals. Returns the controller that was drawn.
 fn inject_random_control_plane_fault(cluster: &mut Cluster, rng: &mut SmallRng) -> usize {
     let node = rng.random_range(0..3);
-    let how = if rng.random_bool(0.5) { LinkFault::Hold } else { LinkFault::Drop };
+    let link_fault = if rng.random_bool(0.5) { LinkFault::Hold } else { LinkFault::Drop };
     match rng.random_range(0..9) {
         0 => cluster.crash_for_ms(node, 3_000),
         1 => cluster.crash_all_for_ms(2_000),
-        2 => cluster.cut_from_state_service(node, how),
+        2 => cluster.cut_from_state_service(node, link_fault),
         3 => {
             cluster.state.refused_nodes.insert(node);
         }
-        4 => cluster.cut_controllers(node, (node + 1) % 3, how),
+        4 => cluster.cut_controllers(node, (node + 1) % 3, link_fault),
         5 => cluster.stall(node, rng.random_range(1_000..12_000)),
         6 => cluster.state.unanswered_writes = 2,
         _ => {
@@ -459,7 +483,7 @@
     node
 }
 
-/// Runs, with a query each half second, until a user is told that the job is done or aborted.
+/// Queries the job every 500 ms until it is reported as done or aborted, for at most 300 s.
 fn run_until_done_or_aborted(cluster: &mut Cluster, id: &str) {
     let has_ended = |cluster: &Cluster| {
         matches!(cluster.observed_status.get(id), Some(JobStatus::Done | JobStatus::Aborted))
@@ -467,14 +491,14 @@
     let end = cluster.now + 300_000;
     while !has_ended(cluster) {
         let (seed, violations) = (cluster.seed, &cluster.violations);
-        assert!(cluster.now < end, "seed {seed}: {id} never ends; {violations:?}");
+        assert!(cluster.now < end, "seed {seed}: {id} has not ended after 300 s; {violations:?}");
         cluster.query(0, id);
         cluster.run_for_ms(500);
     }
 }
 
-/// Random crashes, partitions, outages and aborts with dependency chains; in half of the runs with
-/// a rolling upgrade and lower limits as well.
+/// Injects random crashes, partitions, process stalls, lost writes and aborts while dependency
+/// chains run; half of the runs also have a rolling upgrade and lowered limits.
 #[test]
 fn dependency_chains_complete_under_random_faults() {
     for seed in 0..24u64 {
@@ -507,13 +531,13 @@
             ids.push(id);
             let node = inject_random_control_plane_fault(&mut cluster, &mut rng);
             if rng.random_bool(0.15) {
-                let at = rng.random_range(0..ids.len());
-                let id = ids[at].clone();
+                let index = rng.random_range(0..ids.len());
+                let id = ids[index].clone();
                 cluster.abort(node, &id);
             }
             for _ in 0..3 {
-                let at = rng.random_range(0..ids.len());
-                let id = ids[at].clone();
+                let index = rng.random_range(0..ids.len());
+                let id = ids[index].clone();
                 cluster.query(rng.random_range(0..3), &id);
                 cluster.run_for_ms(rng.random_range(200..2_500));
             }
--- a/crates/core/tests/simulation/fault_search.rs
+++ b/crates/core/tests/simulation/fault_search.rs
@@ -1,12 +1,12 @@
-//! A search for combinations of faults that no other test lists.
+//! A randomized search for combinations of faults that no other test covers.
 //!
-//! Two or three faults are drawn from one table, at times near the deadlines of the protocol, over a
-//! run with jobs, aborts and queries. All invariants are checked, and that no accepted job is lost.
-//! A run that violates one is repeated with fewer faults, and the smallest set of faults that still
-//! violates one is printed.
+//! Each run draws two or three faults from one table and injects them at times near the deadlines
+//! of the protocol, while users submit, abort and query jobs. All invariants are checked, and that
+//! no accepted job is lost. A run that violates an invariant is repeated with fewer faults, and the
+//! smallest set of faults that still violates one is printed.
 //!
 //! `SEARCH_SEEDS=from..to cargo test -p quartzgate-core --test simulation search -- --nocapture`
-//! simulates other seeds than the few that CI does.
+//! simulates other seeds than the few that CI runs.
 
 use crate::cluster::{
     job, job_id, machine_name, with_dependencies, Cluster, Endpoint, InboundLoss, LinkFault,
@@ -21,27 +21,27 @@
 
 const NODES: usize = 3;
 const MACHINES: usize = 10;
-const JOB_PREFIX: u32 = 14;
-/// Interval at which faults and users act.
+const JOB_COUNT: u32 = 14;
+/// Interval at which faults are injected and cleared and users send requests.
 const STEP_MS: u64 = 10;
-/// Earliest time of a fault.
+/// Earliest time of a fault, counted from the start of the run.
 const FIRST_FAULT_MS: u64 = 6_000;
-/// Time by which all faults are over.
+/// Time from the start of the run by which the drawn faults are to be over.
 const LAST_FAULT_MS: u64 = 70_000;
-/// Lease of a controller at the state service.
+/// Length of a controller's lease in the state service.
 const MEMBER_LEASE_MS: u64 = LEASE_MS / 4;
-/// How long a leader commands without its lease.
+/// How long a leader may issue orders without its lease.
 const LEASE_BOUND_MS: u64 = CANCEL_MS - LEASE_MS - 600;
 
-/// A controller, by its distance from the one that leads when the fault is injected.
+/// A controller, given as its offset from the one that leads when the fault is injected, modulo
+/// the number of controllers.
 type LeaderOffset = usize;
 
-/// What goes wrong.
 #[derive(Clone, Copy, Debug)]
 enum FaultKind {
-    /// The state service refuses one controller, with 503 or by silence.
+    /// The state service answers one controller with 503, or not at all if `silent`.
     Refusal {
-        who: LeaderOffset,
+        leader_offset: LeaderOffset,
         silent: bool,
     },
     Outage,
@@ -54,58 +54,59 @@
     DuplicateHeartbeats {
         share: f64,
     },
-    /// A controller is partitioned from the state service, its siblings or some workers.
+    /// A controller is partitioned from the state service, the other controllers or some workers.
+    /// If `held`, its requests are held until the fault ends, otherwise they are lost.
     CutOff {
-        who: LeaderOffset,
+        leader_offset: LeaderOffset,
         state: bool,
         peers: bool,
         workers: usize,
         held: bool,
     },
-    /// Orders to some machines, or answers to their heartbeats, are lost.
+    /// Orders to some machines, answers to their heartbeats, or both are lost.
     LostInbound {
         first: usize,
         count: usize,
-        how: InboundLoss,
+        loss: InboundLoss,
     },
-    /// Orders to some machines are held by the network.
+    /// Orders to some machines are held by the network until the fault ends.
     HeldOrders {
         first: usize,
         count: usize,
     },
     HungMachine {
-        which: usize,
+        machine: usize,
     },
     Crash {
-        who: LeaderOffset,
+        leader_offset: LeaderOffset,
     },
     CrashAll,
     Stall {
-        who: LeaderOffset,
+        leader_offset: LeaderOffset,
     },
     MachineReboot {
-        which: usize,
+        machine: usize,
     },
-    /// Transactions are applied at once, and their answers are lost.
+    /// Transactions are applied without delay, and their answers are lost.
     LostAnswers {
         share: f64,
     },
-    /// Heartbeats are stored, and replayed when a new leader is elected.
+    /// A share of the heartbeats is stored and replayed when a new leader is elected.
     StaleHeartbeats {
         share: f64,
     },
-    /// Heartbeats of some machines are lost, while orders reach them.
+    /// Heartbeats of some machines are lost, while orders still reach these machines.
     LostHeartbeats {
         first: usize,
         count: usize,
     },
-    /// Users query all controllers within milliseconds of what they are told.
+    /// Users query all controllers within milliseconds of each status change that they observe.
     QueryOnChange,
     /// Jobs are aborted at the moment of their completion.
     AbortAtCompletion {
         share: f64,
     },
-    /// Users repeat submissions, abort jobs that are done, and submit jobs that cannot run.
+    /// Users repeat submissions, abort completed jobs, and submit jobs that cannot run.
     OddRequests,
 }
 
@@ -120,90 +121,93 @@
 #[derive(Clone, Copy, Debug)]
 struct Fault {
     kind: FaultKind,
-    /// It is injected no earlier.
+    /// Earliest time of injection, counted from the start of the run.
     at_ms: u64,
-    /// It waits for this, though not for ever.
+    /// Delays the injection until a milestone, for at most `MAX_MILESTONE_WAIT_MS`.
     trigger: Option<Trigger>,
     for_ms: u64,
 }
 
-/// How long a fault waits for its milestone.
+/// Longest time that a fault waits for its milestone.
 const MAX_MILESTONE_WAIT_MS: u64 = 8_000;
 
 impl Fault {
-    /// Whether the fault is to be injected now, in a run that began at `began`.
-    fn is_due(&self, cluster: &Cluster, began: u64) -> bool {
-        let from = began + self.at_ms;
-        let Some(trigger) = self.trigger.filter(|_| cluster.now < from + MAX_MILESTONE_WAIT_MS)
+    /// Returns whether the fault is to be injected now, in a run that began at `run_start_ms`.
+    fn is_due(&self, cluster: &Cluster, run_start_ms: u64) -> bool {
+        let earliest_ms = run_start_ms + self.at_ms;
+        let Some(trigger) =
+            self.trigger.filter(|_| cluster.now < earliest_ms + MAX_MILESTONE_WAIT_MS)
         else {
-            return cluster.now >= from;
+            return cluster.now >= earliest_ms;
         };
-        let recent = cluster.milestones.iter().rev().take_while(|reached| reached.at_ms >= from);
+        let recent =
+            cluster.milestones.iter().rev().take_while(|reached| reached.at_ms >= earliest_ms);
         let mut reached = recent.filter(|reached| reached.milestone == trigger.milestone);
         reached.any(|reached| cluster.now >= reached.at_ms + trigger.lag_ms)
     }
 }
 
-/// A time shortly after something has changed.
+/// Draws the interval from a change to a fault shortly after it: 20 to 700 ms more than 0 ms,
+/// 200 ms, a heartbeat interval or a controller's lease.
 fn shortly_after(rng: &mut SmallRng) -> u64 {
-    let after = [0, 200, REPORT_MS, MEMBER_LEASE_MS];
-    after.choose(rng).unwrap() + rng.random_range(20..700)
+    let intervals = [0, 200, REPORT_MS, MEMBER_LEASE_MS];
+    intervals.choose(rng).unwrap() + rng.random_range(20..700)
 }
 
-/// A time near a deadline of the protocol: leases of controllers and workers, the lease bound,
-/// the time for an abort.
+/// Draws a duration near a deadline of the protocol: the leases of controllers and workers, the
+/// lease bound, and the time by which an abort takes effect.
 fn near_a_deadline(rng: &mut SmallRng) -> u64 {
     let deadlines = [MEMBER_LEASE_MS, LEASE_MS, LEASE_BOUND_MS, CANCEL_MS, CANCEL_MS + REPORT_MS];
     (deadlines.choose(rng).unwrap() + rng.random_range(0..1_200)).saturating_sub(300)
 }
 
 fn draw_fault_kind(rng: &mut SmallRng) -> FaultKind {
-    let who = rng.random_range(0..NODES);
+    let leader_offset = rng.random_range(0..NODES);
     let machine = rng.random_range(0..MACHINES);
-    let some = rng.random_range(1..=MACHINES / 2);
+    let machine_count = rng.random_range(1..=MACHINES / 2);
     let (silent, peers, held) = (rng.random(), rng.random(), rng.random());
     match rng.random_range(0..24) {
-        0 | 1 => FaultKind::Refusal { who: 0, silent },
+        0 | 1 => FaultKind::Refusal { leader_offset: 0, silent },
         2..=4 => FaultKind::Outage,
         5 => FaultKind::SlowState { ms: rng.random_range(200..2_500) },
         6 => FaultKind::DelayedWrites { share: rng.random_range(0.2..0.9) },
         7 => FaultKind::DuplicateHeartbeats { share: 0.4 },
-        8 => FaultKind::CutOff { who, state: true, peers, workers: 0, held },
-        9 => FaultKind::CutOff { who, state: false, peers, workers: some, held },
+        8 => FaultKind::CutOff { leader_offset, state: true, peers, workers: 0, held },
+        9 => FaultKind::CutOff { leader_offset, state: false, peers, workers: machine_count, held },
         10 => {
             let directions = [(true, true), (true, false), (false, true)];
             let (answers, orders) = *directions.choose(rng).unwrap();
             FaultKind::LostInbound {
                 first: machine,
-                count: some,
-                how: InboundLoss { answers, orders },
+                count: machine_count,
+                loss: InboundLoss { answers, orders },
             }
         }
-        11 => FaultKind::HeldOrders { first: machine, count: some },
-        12 => FaultKind::HungMachine { which: machine },
-        13 => FaultKind::Crash { who },
+        11 => FaultKind::HeldOrders { first: machine, count: machine_count },
+        12 => FaultKind::HungMachine { machine },
+        13 => FaultKind::Crash { leader_offset },
         16 => FaultKind::LostAnswers { share: rng.random_range(0.2..0.9) },
         17 | 18 => FaultKind::StaleHeartbeats { share: 0.6 },
-        19 => FaultKind::LostHeartbeats { first: machine, count: some },
+        19 => FaultKind::LostHeartbeats { first: machine, count: machine_count },
         20 => FaultKind::QueryOnChange,
         21 => FaultKind::AbortAtCompletion { share: 0.6 },
         22 => FaultKind::OddRequests,
-        23 => FaultKind::Crash { who: 0 },
+        23 => FaultKind::Crash { leader_offset: 0 },
         14 if silent => FaultKind::CrashAll,
-        14 => FaultKind::MachineReboot { which: machine },
-        _ => FaultKind::Stall { who },
+        14 => FaultKind::MachineReboot { machine },
+        _ => FaultKind::Stall { leader_offset },
     }
 }
 
-/// The milestone that a fault waits for, if any. The second of two faults often comes as the next
-/// leader begins.
-fn draw_trigger(rng: &mut SmallRng, last: Option<&Fault>) -> Option<Trigger> {
-    let ends_a_lead = |fault: &&Fault| {
+/// Draws the milestone that a fault waits for, if any. After a fault that may depose the leader,
+/// the next one is often injected when the new leader is elected.
+fn draw_trigger(rng: &mut SmallRng, previous: Option<&Fault>) -> Option<Trigger> {
+    let ends_leadership = |fault: &&Fault| {
         matches!(
             fault.kind,
-            FaultKind::Crash { who: 0 }
-                | FaultKind::Refusal { who: 0, .. }
-                | FaultKind::Stall { who: 0 }
+            FaultKind::Crash { leader_offset: 0 }
+                | FaultKind::Refusal { leader_offset: 0, .. }
+                | FaultKind::Stall { leader_offset: 0 }
         )
     };
     let milestones = [
@@ -213,7 +217,7 @@
         Milestone::LastTaskEnded,
         Milestone::ExitCleared,
     ];
-    let milestone = match last.filter(ends_a_lead) {
+    let milestone = match previous.filter(ends_leadership) {
         Some(_) if rng.random_bool(0.6) => Milestone::LeaderElected,
         None if rng.random_bool(0.4) => Milestone::AbortConfirmed,
         _ => *milestones.choose(rng).unwrap(),
@@ -223,7 +227,7 @@
     rng.random_bool(0.6).then_some(Trigger { milestone, lag_ms })
 }
 
-/// Two or three faults, each shortly after another has begun or ended.
+/// Draws two or three faults, each shortly after the start or the end of the one before.
 fn draw_faults(rng: &mut SmallRng) -> Vec<Fault> {
     let mut at_ms = FIRST_FAULT_MS + rng.random_range(0..4_000);
     let mut faults = Vec::new();
@@ -237,28 +241,27 @@
     faults
 }
 
-/// Name of a machine, counted round.
+/// Returns the name of the `n`-th machine, modulo the number of machines.
 fn machine_at(n: usize) -> String {
     machine_name(n % MACHINES)
 }
 
-/// A link that is cut while a fault lasts.
 struct LinkCut {
     from: Endpoint,
     to: Endpoint,
     fault: LinkFault,
 }
 
-/// The links that are cut while a fault lasts.
-fn links_cut_by(fault: &Fault, who: usize) -> Vec<LinkCut> {
-    let from = || Endpoint::Controller(who);
+/// Returns the links that a fault cuts while it is active. `node` is the controller it concerns.
+fn links_cut_by(fault: &Fault, node: usize) -> Vec<LinkCut> {
+    let from = || Endpoint::Controller(node);
     match fault.kind {
         FaultKind::Refusal { silent: true, .. } => {
             vec![LinkCut { from: from(), to: Endpoint::StateService, fault: LinkFault::Drop }]
         }
         FaultKind::CutOff { state, peers, workers, held, .. } => {
             let fault = if held { LinkFault::Hold } else { LinkFault::Drop };
-            let siblings = (0..NODES).filter(|n| peers && *n != who).map(Endpoint::Controller);
+            let siblings = (0..NODES).filter(|n| peers && *n != node).map(Endpoint::Controller);
             let workers = (0..workers).map(|m| Endpoint::Worker(machine_at(m)));
             let state = state.then_some(Endpoint::StateService).into_iter();
             let peers = state.chain(siblings).chain(workers);
@@ -277,7 +280,7 @@
     }
 }
 
-/// A fault of a run, as it is injected and cleared.
+/// A fault of a run, and whether it has been injected and cleared.
 #[derive(Clone, Copy)]
 struct ScheduledFault {
     fault: Fault,
@@ -287,24 +290,24 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum FaultState {
     Waiting,
-    /// It concerns this controller, and lasts until then.
+    /// The fault affects controller `target` until `until_ms`.
     Active {
-        who: usize,
+        target: usize,
         until_ms: u64,
     },
-    /// It concerned this controller.
-    Over {
-        who: usize,
+    /// The fault affected controller `target` and has been cleared.
+    Cleared {
+        target: usize,
     },
 }
 
-/// What a user wants and repeats until it is answered.
+/// What a user requests, again and again until it is answered.
 enum UserIntent {
     Submit(Box<JobSpec>),
     Abort(String),
 }
 
-/// An intent, and when the user begins to pursue it.
+/// An intent and the time, counted from the start of the run, of its first request.
 struct ScheduledIntent {
     due_ms: u64,
     intent: UserIntent,
@@ -313,24 +316,25 @@
 /// A user's last request for an intent.
 struct OpenRequest {
     request: usize,
-    /// The user waits no longer for its answer.
+    /// Time, counted from the start of the run, at which the user stops waiting for its answer.
     until_ms: u64,
 }
 
 /// One run of the search.
 struct Run {
     cluster: Cluster,
-    /// When the faults and the users began.
-    began: u64,
+    /// Time at which faults and requests may begin, after the setup of the cluster.
+    start_ms: u64,
     rng: SmallRng,
     faults: Vec<ScheduledFault>,
     sends_odd_requests: bool,
     intents: Vec<ScheduledIntent>,
-    /// Jobs that users mean to abort.
+    /// Jobs that users intend to abort.
     to_abort: Vec<String>,
     /// The last request for each intent, by the intent's index.
-    open: BTreeMap<usize, OpenRequest>,
-    queried_ms: u64,
+    open_requests: BTreeMap<usize, OpenRequest>,
+    /// Time of the last queries, counted from the start of the run.
+    last_query_ms: u64,
 }
 
 impl Run {
@@ -340,22 +344,23 @@
         let scheduled =
             |fault: &Fault| ScheduledFault { fault: *fault, state: FaultState::Waiting };
         let mut run = Run {
-            began: cluster.now,
+            start_ms: cluster.now,
             cluster,
             rng,
             faults: faults.iter().map(scheduled).collect(),
             sends_odd_requests: false,
             intents: Vec::new(),
             to_abort: Vec::new(),
-            open: BTreeMap::new(),
-            queried_ms: 0,
+            open_requests: BTreeMap::new(),
+            last_query_ms: 0,
         };
-        (0..JOB_PREFIX).for_each(|n| run.draw_job(n));
+        (0..JOB_COUNT).for_each(|n| run.draw_job(n));
         run
     }
 
-    /// Draws when a job is submitted, how long its tasks run, and when it is aborted, if at all:
-    /// jobs of a few tasks that end far apart, services, a gang and a dependency.
+    /// Draws the `n`-th job: when it is submitted, how long its tasks run, and when it is aborted,
+    /// if at all. The jobs have a few tasks that end far apart; they include services, a gang and a
+    /// job with a dependency.
     fn draw_job(&mut self, n: u32) {
         let id = job_id(n);
         let shape = match n {
@@ -369,34 +374,36 @@
             spec = with_dependencies(spec, &[&job_id(6)]);
         }
         for task in 0..spec.tasks {
-            let long = self.rng.random_range(500..9_000) + if task == 0 { 0 } else { 18_000 };
-            self.cluster.task_duration_ms.insert(format!("{id}/{task}"), long);
+            let duration_ms =
+                self.rng.random_range(500..9_000) + if task == 0 { 0 } else { 18_000 };
+            self.cluster.task_duration_ms.insert(format!("{id}/{task}"), duration_ms);
         }
         if n % 3 == 1 {
             self.cluster.task_duration_ms.insert(format!("{id}/0"), 90_000);
-            // About when the first fault is injected.
-            let first = self.faults.first().map_or(FIRST_FAULT_MS, |first| first.fault.at_ms);
-            let due_ms = (first + self.rng.random_range(0..5_000)).saturating_sub(1_500);
+            // Around the time of the first fault.
+            let first_fault_ms =
+                self.faults.first().map_or(FIRST_FAULT_MS, |first| first.fault.at_ms);
+            let due_ms = (first_fault_ms + self.rng.random_range(0..5_000)).saturating_sub(1_500);
             self.intents.push(ScheduledIntent { due_ms, intent: UserIntent::Abort(id.clone()) });
             self.to_abort.push(id);
         }
-        let times = if n < 9 { 0..3_000 } else { 4_000..30_000 };
-        let due_ms = self.rng.random_range(times);
+        let submit_range_ms = if n < 9 { 0..3_000 } else { 4_000..30_000 };
+        let due_ms = self.rng.random_range(submit_range_ms);
         self.intents.push(ScheduledIntent { due_ms, intent: UserIntent::Submit(Box::new(spec)) });
     }
 
-    /// Runs while faults may come; whether no invariant was violated.
+    /// Runs the phase in which faults are injected. Returns whether no invariant was violated.
     fn run_under_faults(&mut self) -> bool {
-        while self.cluster.now < self.began + LAST_FAULT_MS + 1_000 {
-            let at_ms = self.cluster.now - self.began;
+        while self.cluster.now < self.start_ms + LAST_FAULT_MS + 1_000 {
+            let at_ms = self.cluster.now - self.start_ms;
             self.inject_and_clear_faults(at_ms);
             if self.sends_odd_requests && at_ms.is_multiple_of(100) {
                 let node = self.rng.random_range(0..NODES);
                 self.cluster.send_odd_request(node);
             }
-            (0..self.intents.len()).for_each(|index| self.pursue_intent(index, at_ms));
-            if at_ms >= self.queried_ms + 500 {
-                self.queried_ms = at_ms;
+            (0..self.intents.len()).for_each(|index| self.send_request_if_due(index, at_ms));
+            if at_ms >= self.last_query_ms + 500 {
+                self.last_query_ms = at_ms;
                 let known: Vec<String> = self.cluster.observed_status.keys().cloned().collect();
                 self.query_anywhere(&known);
             }
@@ -408,7 +415,7 @@
         true
     }
 
-    /// Queries jobs, each at any controller.
+    /// Queries each job at a random controller.
     fn query_anywhere(&mut self, ids: &[String]) {
         for id in ids {
             let node = self.rng.random_range(0..NODES);
@@ -421,7 +428,7 @@
             let ScheduledFault { fault, state } = &self.faults[index];
             match state {
                 FaultState::Waiting
-                    if at_ms >= fault.at_ms && fault.is_due(&self.cluster, self.began) =>
+                    if at_ms >= fault.at_ms && fault.is_due(&self.cluster, self.start_ms) =>
                 {
                     self.inject(index)
                 }
@@ -437,24 +444,24 @@
         let fault = self.faults[index].fault;
         let cluster = &mut self.cluster;
         let leader = cluster.leader().unwrap_or(0);
-        let offset = match fault.kind {
-            FaultKind::Refusal { who, .. }
-            | FaultKind::CutOff { who, .. }
-            | FaultKind::Crash { who }
-            | FaultKind::Stall { who } => who,
+        let leader_offset = match fault.kind {
+            FaultKind::Refusal { leader_offset, .. }
+            | FaultKind::CutOff { leader_offset, .. }
+            | FaultKind::Crash { leader_offset }
+            | FaultKind::Stall { leader_offset } => leader_offset,
             _ => 0,
         };
-        let who = (leader + offset) % NODES;
+        let target = (leader + leader_offset) % NODES;
         let until_ms = cluster.now + fault.for_ms;
-        self.faults[index].state = FaultState::Active { who, until_ms };
-        for link in links_cut_by(&fault, who) {
+        self.faults[index].state = FaultState::Active { target, until_ms };
+        for link in links_cut_by(&fault, target) {
             cluster.cut_link(link.from, link.to, link.fault);
         }
-        // Processes and machines may be back within a moment.
+        // A short fault restarts processes and machines almost at once.
         let down_ms = if fault.for_ms < MEMBER_LEASE_MS { 200 } else { fault.for_ms };
         match fault.kind {
             FaultKind::Refusal { silent: false, .. } => {
-                cluster.state.refused_nodes.insert(who);
+                cluster.state.refused_nodes.insert(target);
             }
             FaultKind::Outage => cluster.state.down = true,
             FaultKind::SlowState { ms } => cluster.state.extra_latency_ms = ms,
@@ -466,23 +473,25 @@
                 let delay = RandomDelay { share, from_ms: 2_000, to_ms: 2 * LEASE_MS };
                 cluster.duplicate_heartbeats = Some(delay);
             }
-            FaultKind::LostInbound { first, count, how } => {
-                cluster.inbound_loss.extend((first..first + count).map(|m| (machine_at(m), how)))
+            FaultKind::LostInbound { first, count, loss } => {
+                cluster.inbound_loss.extend((first..first + count).map(|m| (machine_at(m), loss)))
             }
-            FaultKind::HungMachine { which }
-                if cluster.workers.contains_key(&machine_at(which)) =>
+            FaultKind::HungMachine { machine }
+                if cluster.workers.contains_key(&machine_at(machine)) =>
             {
-                cluster.hang_machine(&machine_at(which), fault.for_ms)
+                cluster.hang_machine(&machine_at(machine), fault.for_ms)
+            }
+            FaultKind::Crash { .. } if cluster.is_up(target) => {
+                cluster.crash_for_ms(target, down_ms)
             }
-            FaultKind::Crash { .. } if cluster.is_up(who) => cluster.crash_for_ms(who, down_ms),
             FaultKind::CrashAll => {
                 for node in (0..NODES).filter(|n| cluster.is_up(*n)).collect::<Vec<_>>() {
-                    cluster.crash_for_ms(node, if node == who { 200 } else { down_ms });
+                    cluster.crash_for_ms(node, if node == target { 200 } else { down_ms });
                 }
             }
-            FaultKind::Stall { .. } if cluster.is_up(who) => cluster.stall(who, fault.for_ms),
-            FaultKind::MachineReboot { which } => {
-                cluster.reboot_machine(&machine_at(which), down_ms)
+            FaultKind::Stall { .. } if cluster.is_up(target) => cluster.stall(target, fault.for_ms),
+            FaultKind::MachineReboot { machine } => {
+                cluster.reboot_machine(&machine_at(machine), down_ms)
             }
             FaultKind::LostAnswers { share } => cluster.state.lost_answer_share = share,
             FaultKind::StaleHeartbeats { share } => cluster.stale_heartbeat_share = share,
@@ -496,18 +505,20 @@
         }
     }
 
-    /// Clears a fault, if it was injected. At the end of a run this is done for all of them: a
-    /// fault that was cleared before may have the same links as another.
+    /// Clears a fault, if it was injected. At the end of a run this is repeated for all faults,
+    /// also cleared ones, because two faults may have cut the same links.
     fn clear(&mut self, index: usize) {
         let ScheduledFault { fault, state } = self.faults[index];
-        let (FaultState::Active { who, .. } | FaultState::Over { who }) = state else { return };
+        let (FaultState::Active { target, .. } | FaultState::Cleared { target }) = state else {
+            return;
+        };
         let cluster = &mut self.cluster;
-        for link in links_cut_by(&fault, who) {
+        for link in links_cut_by(&fault, target) {
             cluster.heal_link(&link.from, &link.to);
         }
         match fault.kind {
             FaultKind::Refusal { silent: false, .. } => {
-                cluster.state.refused_nodes.remove(&who);
+                cluster.state.refused_nodes.remove(&target);
             }
             FaultKind::Outage => cluster.state.down = false,
             FaultKind::SlowState { .. } => cluster.state.extra_latency_ms = 0,
@@ -521,17 +532,18 @@
             FaultKind::OddRequests => self.sends_odd_requests = false,
             _ => {}
         }
-        self.faults[index].state = FaultState::Over { who };
+        self.faults[index].state = FaultState::Cleared { target };
     }
 
-    /// Users repeat unanswered requests at any controller.
-    fn pursue_intent(&mut self, index: usize, at_ms: u64) {
+    /// Sends a user's request when it is due, and repeats it at a random controller while it is
+    /// unanswered.
+    fn send_request_if_due(&mut self, index: usize, at_ms: u64) {
         let due_ms = self.intents[index].due_ms;
         if at_ms < due_ms || at_ms > due_ms + 60_000 {
             return;
         }
         let node = self.rng.random_range(0..NODES);
-        if let Some(open) = self.open.get(&index) {
+        if let Some(open) = self.open_requests.get(&index) {
             let status = self.cluster.status_code(open.request);
             let is_answered = matches!(status, 200 | 201);
             let still_waits = status == 0 && at_ms < open.until_ms;
@@ -546,11 +558,11 @@
             }
             UserIntent::Abort(_) => return,
         };
-        self.open.insert(index, OpenRequest { request, until_ms: at_ms + 5_000 });
+        self.open_requests.insert(index, OpenRequest { request, until_ms: at_ms + 5_000 });
     }
 
-    /// Ends all faults and runs until everything that was accepted and not aborted runs or is
-    /// done; whether no invariant was violated.
+    /// Clears all faults and runs until every accepted job that was not aborted is done or, if it
+    /// is a service, running. Returns whether no invariant was violated.
     fn run_without_faults(&mut self) -> bool {
         (0..self.faults.len()).for_each(|index| self.clear(index));
         self.cluster.clear_all_faults();
@@ -558,27 +570,28 @@
         self.cluster.scale_out_disabled = false;
         let until_ms = self.cluster.now + 150_000;
         let accepted = self.cluster.observed_status.keys();
-        let wanted: Vec<String> = accepted
+        let expected: Vec<String> = accepted
             .filter(|id| !self.to_abort.contains(id) && !self.cluster.abort_was_requested(id))
             .cloned()
             .collect();
-        while self.cluster.now < until_ms && !wanted.iter().all(|id| self.cluster.is_served(id)) {
-            self.query_anywhere(&wanted);
+        while self.cluster.now < until_ms && !expected.iter().all(|id| self.cluster.is_served(id)) {
+            self.query_anywhere(&expected);
             self.cluster.run_for_ms(1_000);
             if !self.cluster.violations.is_empty() {
                 return false;
             }
         }
-        let idle: Vec<&String> = wanted.iter().filter(|id| !self.cluster.is_served(id)).collect();
-        if !idle.is_empty() {
-            let violation = format!("accepted and not running: {idle:?}");
+        let unserved: Vec<&String> =
+            expected.iter().filter(|id| !self.cluster.is_served(id)).collect();
+        if !unserved.is_empty() {
+            let violation = format!("accepted, but neither done nor running: {unserved:?}");
             self.cluster.violations.push(violation);
         }
         self.cluster.violations.is_empty()
     }
 }
 
-/// A cluster whose settings and faults in the cloud depend on the seed.
+/// Returns a cluster whose settings, boot times and list lag of the cloud depend on the seed.
 fn cluster_for(seed: u64) -> Cluster {
     let team_cpu_limit = if seed.is_multiple_of(3) { 48.0 } else { 0.0 };
     let mut cluster = Cluster::new(NODES, MACHINES, team_cpu_limit, seed);
@@ -595,12 +608,12 @@
         cluster.restart_all_controllers();
     }
     cluster.run_until_fully_activated();
-    // With some seeds, recovery takes a leader many reads.
+    // With some seeds, a new leader needs many reads for its recovery.
     cluster.state.max_list_keys = (seed % 4 == 1).then_some(2);
     cluster
 }
 
-/// Simulates a run; returns the violations.
+/// Simulates a run and returns its violations.
 fn simulate(seed: u64, faults: &[Fault]) -> Vec<String> {
     let mut run = Run::new(seed, faults);
     if run.run_under_faults() && run.run_without_faults() {
@@ -609,31 +622,32 @@
     run.cluster.violations.clone()
 }
 
-/// Simulates a run; a panic is a violation as well.
+/// Simulates a run and returns its violations; a panic counts as one.
 fn violations_of(seed: u64, faults: &[Fault]) -> Vec<String> {
-    let played = std::panic::catch_unwind(|| simulate(seed, faults));
-    played.unwrap_or_else(|why| {
-        let text = why.downcast_ref::<String>().cloned().unwrap_or_default();
+    let outcome = std::panic::catch_unwind(|| simulate(seed, faults));
+    outcome.unwrap_or_else(|payload| {
+        let text = payload.downcast_ref::<String>().cloned().unwrap_or_default();
         vec![format!("panicked: {text}")]
     })
 }
 
-/// The smallest set of a run's faults that still violates an invariant.
+/// Removes faults one at a time as long as the run still violates an invariant, and returns the
+/// faults that are left.
 fn minimal_faults(seed: u64, faults: &[Fault]) -> Vec<Fault> {
-    let mut left = faults.to_vec();
-    let mut at = 0;
-    while at < left.len() {
-        let mut fewer = left.clone();
-        fewer.remove(at);
-        match violations_of(seed, &fewer).is_empty() {
-            true => at += 1,
-            false => left = fewer,
+    let mut remaining = faults.to_vec();
+    let mut index = 0;
+    while index < remaining.len() {
+        let mut reduced = remaining.clone();
+        reduced.remove(index);
+        match violations_of(seed, &reduced).is_empty() {
+            true => index += 1,
+            false => remaining = reduced,
         }
     }
-    left
+    remaining
 }
 
-/// Simulates many runs in parallel; returns a description of each that violates an invariant.
+/// Simulates runs in parallel and returns a description of each that violates an invariant.
 fn search(seeds: std::ops::Range<u64>) -> Vec<String> {
     let next = std::sync::atomic::AtomicU64::new(seeds.start);
     let found = std::sync::Mutex::new(Vec::new());
@@ -646,11 +660,12 @@
                     return;
                 }
                 let faults = draw_faults(&mut SmallRng::seed_from_u64(seed));
-                let broken = violations_of(seed, &faults);
-                if !broken.is_empty() {
+                let violations = violations_of(seed, &faults);
+                if !violations.is_empty() {
                     let minimal = minimal_faults(seed, &faults);
-                    let first: Vec<String> = broken.into_iter().take(3).collect();
-                    let text = format!("seed {seed}: {first:?}\n  by {minimal:?}");
+                    let first_violations: Vec<String> = violations.into_iter().take(3).collect();
+                    let text =
+                        format!("seed {seed}: {first_violations:?}\n  with faults {minimal:?}");
                     println!("{text}");
                     found.lock().unwrap().push(text);
                 }
@@ -660,50 +675,51 @@
     found.into_inner().unwrap()
 }
 
-/// A range of seeds, `from..to`, the first included and the last not.
+/// Parses a range of seeds `from..to`, whose end is exclusive.
 fn parse_seeds(text: &str) -> Result<std::ops::Range<u64>, String> {
-    let form = || format!("SEARCH_SEEDS is {text:?}; its form is from..to, as in 1000..2000");
-    let (from, to) = text.split_once("..").ok_or_else(form)?;
+    let format_error =
+        || format!("SEARCH_SEEDS is {text:?}, but must have the form from..to, such as 1000..2000");
+    let (from, to) = text.split_once("..").ok_or_else(format_error)?;
     let (from, to): (u64, u64) =
-        (from.parse().map_err(|_| form())?, to.parse().map_err(|_| form())?);
+        (from.parse().map_err(|_| format_error())?, to.parse().map_err(|_| format_error())?);
     if from >= to {
-        return Err(form());
+        return Err(format_error());
     }
     Ok(from..to)
 }
 
-/// The search never simulates other seeds than its caller asked for.
+/// Guards against simulating other seeds than those asked for: an invalid range is an error.
 #[test]
 fn invalid_seed_ranges_are_refused() {
     assert_eq!(parse_seeds("3..7"), Ok(3..7));
-    for odd in ["", "7", "7..3", "3..3", "a..b", "1...4", "-1..4", "1..2..3"] {
-        let why = parse_seeds(odd).unwrap_err();
-        assert!(why.contains("from..to"), "{why}");
+    for invalid in ["", "7", "7..3", "3..3", "a..b", "1...4", "-1..4", "1..2..3"] {
+        let error = parse_seeds(invalid).unwrap_err();
+        assert!(error.contains("from..to"), "{error}");
     }
 }
 
-/// Invariant 12: during recovery a sibling tells the leader of an abort, and the answer to an
-/// earlier read, which says that the job lives, arrives later. A controller that has reported an
-/// abort honors it. The seed with which the search found the fault.
+/// Invariant 12: a controller that has reported an abort honors it. During recovery, another
+/// controller notifies the leader of an abort, and afterwards the answer to an earlier read arrives
+/// that still shows the job as live. The seed is the one with which the search found the fault.
 #[test]
 fn recovering_leader_honors_an_abort_that_it_has_reported() {
     let fault = |kind, at_ms, for_ms| Fault { kind, at_ms, trigger: None, for_ms };
     let faults = [
         fault(FaultKind::SlowState { ms: 595 }, 6_335, 15_984),
-        fault(FaultKind::Refusal { who: 0, silent: true }, 6_951, 25_636),
+        fault(FaultKind::Refusal { leader_offset: 0, silent: true }, 6_951, 25_636),
         fault(FaultKind::QueryOnChange, 7_171, 2_397),
     ];
-    let broken = violations_of(1_078, &faults);
-    assert!(broken.is_empty(), "{broken:?}");
+    let violations = violations_of(1_078, &faults);
+    assert!(violations.is_empty(), "{violations:?}");
 }
 
-/// A bounded part of the search with fixed seeds; `SEARCH_SEEDS` names others.
+/// Runs the search with a fixed range of seeds, or with those of `SEARCH_SEEDS`.
 #[test]
 fn invariants_hold_under_random_fault_combinations() {
     let seeds = match std::env::var("SEARCH_SEEDS") {
-        Ok(text) => parse_seeds(&text).unwrap_or_else(|why| panic!("{why}")),
+        Ok(text) => parse_seeds(&text).unwrap_or_else(|error| panic!("{error}")),
         Err(_) => 200..300,
     };
     let found = search(seeds);
-    assert!(found.is_empty(), "{} days broke a rule:\n{}", found.len(), found.join("\n"));
+    assert!(found.is_empty(), "{} runs violated an invariant:\n{}", found.len(), found.join("\n"));
 }
--- a/crates/core/tests/simulation/format_upgrade.rs
+++ b/crates/core/tests/simulation/format_upgrade.rs
@@ -1,9 +1,10 @@
-//! The upgrade from the first version: its records and messages, controllers that do not agree to
-//! the new format yet, the activation of the format, and limits that fall without notice.
+//! The upgrade from the first version: reading its records and messages, controllers that do not
+//! support the new format yet, the activation of the format, and state service limits that are
+//! lowered without notice.
 //!
-//! A controller that does not agree (`new_format: false`) and announces nothing stands for the first
-//! version. The frozen types below are the first version's own, and what is written before the
-//! activation is compared with them.
+//! A controller that does not agree to the new format (`new_format: false`) and announces nothing
+//! represents the first version. The frozen types below are copies of the first version's types.
+//! Everything that is written before the activation is compared with them.
 
 use crate::cluster::{job, with_dependencies, Cluster, LinkFault, StateLimits, CANCEL_MS};
 use crate::rolling_upgrades::FORMAT_2_BUILD;
@@ -15,7 +16,7 @@
 use quartzgate_wire::msg::{JobKind, JobStatus, MeshMessage};
 use quartzgate_wire::{from_cbor, to_cbor};
 
-/// The first version's types, as they were; nothing here follows the code.
+/// The types of the first version. They must not be changed when the current types change.
 mod frozen {
     use ciborium::value::Value;
     use quartzgate_wire::msg::{Heartbeat, JobKind, OrdersRequest, Priority};
@@ -138,53 +139,59 @@
         forward: Option<Value>,
     }
 
-    /// The first version reads the value, and would write the very same.
-    pub fn same<T: Serialize + DeserializeOwned>(value: &Value) -> bool {
+    /// Returns whether the first version can read the value and would write it identically.
+    pub fn round_trips<T: Serialize + DeserializeOwned>(value: &Value) -> bool {
         let read: Result<T, _> = value.deserialized();
         read.is_ok_and(|r| Value::serialized(&r).unwrap() == *value)
     }
 
-    /// Whether a key's value is what the first version writes there.
-    pub fn writes(key: &str, value: &Value) -> bool {
+    /// Returns whether the first version could have written this value to this key.
+    pub fn is_valid(key: &str, value: &Value) -> bool {
         match key.split('/').collect::<Vec<_>>()[..] {
-            ["jobs", _] => same::<JobRecord>(value),
+            ["jobs", _] => round_trips::<JobRecord>(value),
             ["shares", _, "0", chunk] => {
-                chunk.parse::<u32>().is_ok() && same::<PlacementRecord>(value)
+                chunk.parse::<u32>().is_ok() && round_trips::<PlacementRecord>(value)
             }
-            ["inbox", _] => same::<bool>(value),
-            ["members", _] => same::<String>(value),
-            ["view"] => same::<EpochRecord>(value),
-            ["view", "leader"] => same::<LeaderRecord>(value),
-            ["view", "keeper", _] => same::<u64>(value),
-            ["view", "post", _, _] => same::<MailboxRecord>(value),
-            ["mesh"] => same::<Mesh>(value),
+            ["inbox", _] => round_trips::<bool>(value),
+            ["members", _] => round_trips::<String>(value),
+            ["view"] => round_trips::<EpochRecord>(value),
+            ["view", "leader"] => round_trips::<LeaderRecord>(value),
+            ["view", "keeper", _] => round_trips::<u64>(value),
+            ["view", "post", _, _] => round_trips::<MailboxRecord>(value),
+            ["mesh"] => round_trips::<Mesh>(value),
             _ => false,
         }
     }
 }
 
-/// Keys that the first version never touches.
+/// Returns whether a key is one that the first version neither reads nor writes.
 fn is_format_key(key: &str) -> bool {
     key.starts_with("format")
 }
 
-/// What the first version wrote and sent, by key.
+/// Returns recorded CBOR values of the first version: its stored records by key, and its mesh
+/// messages.
 fn first_version_samples() -> Vec<(String, Vec<u8>)> {
-    let byte = |h: &[u8]| u8::from_str_radix(std::str::from_utf8(h).unwrap(), 16).unwrap();
+    let byte =
+        |digits: &[u8]| u8::from_str_radix(std::str::from_utf8(digits).unwrap(), 16).unwrap();
     let lines = include_str!("data/format-1.txt").lines();
-    let parts = lines.map(|l| l.split_once(' ').unwrap());
-    parts
+    let samples = lines.map(|l| l.split_once(' ').unwrap());
+    samples
         .map(|(key, hex)| (key.to_string(), hex.as_bytes().chunks(2).map(byte).collect()))
         .collect()
 }
 
-/// Everything that the first version wrote and sent can be read.
+/// Guards against a build that cannot read the first version's records and messages. Job and
+/// placement records and mesh messages are also written back unchanged.
 #[test]
 fn first_version_records_and_messages_are_readable() {
     let mut kinds = std::collections::BTreeMap::new();
     for (key, bytes) in first_version_samples() {
         let value: Value = from_cbor(&bytes).unwrap();
-        assert!(frozen::writes(&key, &value), "the frozen types are the first version's: {key}");
+        assert!(
+            frozen::is_valid(&key, &value),
+            "the frozen types do not match the sample of {key}"
+        );
         let kind = key.split('/').next().unwrap().to_string();
         *kinds.entry(kind.clone()).or_insert(0) += 1;
         match kind.as_str() {
@@ -209,23 +216,28 @@
     assert!(["jobs", "shares", "mesh", "view", "inbox"].iter().all(|k| kinds[*k] > 1), "{kinds:?}");
 }
 
-/// A placement record that is split into pieces says the same of its tasks when they are joined in
-/// any order; each piece fits its limit, and none is taken for another's.
+/// A placement record that is split into pieces has the same content once its pieces are joined
+/// again, in another order than their own. Each piece fits the size limit, and a surplus piece is
+/// rejected.
 #[test]
 fn split_placement_record_round_trips() {
     use rand::{rngs::SmallRng, Rng, SeedableRng};
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let chunk = rng.random_range(0..3);
-        let (first, machines) = (chunk * TASKS_PER_CHUNK, rng.random_range(1..150u32));
+        let (first_task, machines) = (chunk * TASKS_PER_CHUNK, rng.random_range(1..150u32));
         let mut record = PlacementRecord { epoch: seed, ..Default::default() };
         record.machines = (0..machines).map(|n| format!("vm-{n:06}")).collect();
         for n in 0..rng.random_range(1..=TASKS_PER_CHUNK) {
             if rng.random_bool(0.2) {
-                record.done.push((first + n, first + n));
+                record.done.push((first_task + n, first_task + n));
             } else {
-                let two = (0..2).map(|_| rng.random_range(0..machines)).collect();
-                record.sets.push(ProbeSet { from: first + n, to: first + n, machines: two });
+                let two_machines = (0..2).map(|_| rng.random_range(0..machines)).collect();
+                record.sets.push(ProbeSet {
+                    from: first_task + n,
+                    to: first_task + n,
+                    machines: two_machines,
+                });
             }
             record.zones.push(["north", "south"][rng.random_range(0..2)].into());
         }
@@ -237,13 +249,13 @@
             let value = Value::serialized(&pieces[n]).unwrap();
             read_placement(&key, &value, 9).expect("a piece")
         };
-        let mut whole = read(pieces.len() - 1);
+        let mut joined = read(pieces.len() - 1);
         for n in 0..pieces.len() - 1 {
-            assert!(!whole.whole());
-            assert!(whole.join(read(n)));
+            assert!(!joined.whole());
+            assert!(joined.join(read(n)));
         }
-        assert!(whole.whole());
-        assert!(!whole.join(read(0)), "a piece too many");
+        assert!(joined.whole());
+        assert!(!joined.join(read(0)), "a surplus piece was accepted");
         let by_task = |r: &PlacementRecord| {
             let mut all: Vec<(u32, Vec<String>)> = Vec::new();
             for set in &r.sets {
@@ -257,12 +269,12 @@
             done.sort_unstable();
             (all, done, r.zones.clone())
         };
-        assert_eq!(by_task(&whole.record), by_task(&record));
+        assert_eq!(by_task(&joined.record), by_task(&record));
     }
 }
 
-/// A cluster all of whose controllers are of the first version, with work of every kind, and
-/// limits announced.
+/// Returns a cluster whose controllers are all of the first version, with array, service and gang
+/// jobs and announced limits of the state service.
 fn legacy_cluster(workers: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::new(3, workers, 0.0, seed);
     cluster.announced_limits =
@@ -281,16 +293,17 @@
     cluster
 }
 
-/// Failovers between both versions: until all controllers agree, everything is written as the
-/// first version writes it, and a submission with dependencies gets 503 with Retry-After at once;
-/// then the format is activated, whoever leads, and stays so.
+/// Controllers are upgraded one by one, with failovers between both versions. Until all of them
+/// agree to the new format, every record has the first version's form, and a submission with
+/// dependencies immediately gets 503 with Retry-After. Then the format is activated, whichever
+/// controller leads, and stays activated.
 #[test]
 fn format_activates_during_a_rolling_upgrade_with_failovers() {
     for case in 0..6u64 {
         let mut cluster = legacy_cluster(60, 200 + case);
-        let chained = with_dependencies(job("wk-000009", JobKind::Array, 2), &["wk-000003"]);
+        let dependent = with_dependencies(job("wk-000009", JobKind::Array, 2), &["wk-000003"]);
         for n in 0..3 {
-            // The next controller to be replaced may be the leader, or a new one may lead already.
+            // The controller to be replaced may be the leader, or a follower of an upgraded leader.
             let n = (n + case as usize) % 3;
             cluster.legacy_controllers.remove(&n);
             cluster.crash_for_ms(n, 500);
@@ -303,7 +316,7 @@
             if !cluster.legacy_controllers.is_empty() {
                 assert!(!cluster.format_is_activated());
                 assert_eq!(cluster.metrics_of(n)["format"], 1.0);
-                let request = cluster.send_request(n, "POST", "/api/jobs", to_cbor(&chained));
+                let request = cluster.send_request(n, "POST", "/api/jobs", to_cbor(&dependent));
                 cluster.run_for_ms(300);
                 assert_eq!(cluster.status_code(request), 503);
                 assert!(cluster.user_requests[request]
@@ -314,22 +327,22 @@
                     .is_some());
             }
         }
-        let before: Vec<_> = cluster
+        let writes_before_activation: Vec<_> = cluster
             .state
             .write_log
             .iter()
             .take_while(|written| written.key != "format")
             .filter(|written| !is_format_key(&written.key))
             .collect();
-        assert!(before.iter().any(|written| written.key.starts_with("shares/")));
-        for written in &before {
+        assert!(writes_before_activation.iter().any(|written| written.key.starts_with("shares/")));
+        for written in &writes_before_activation {
             let key = &written.key;
             assert!(
-                frozen::writes(key, &written.value),
-                "{key} is not as the first version writes it"
+                frozen::is_valid(key, &written.value),
+                "the first version could not have written the value of {key}"
             );
         }
-        // The leader crashes near the activation.
+        // In every third case the leader crashes close to the activation.
         if case % 3 == 2 {
             cluster.run_for_ms(case * 40);
             if let Some(leader) = cluster.leader() {
@@ -339,7 +352,7 @@
         cluster.run_until(10_000, "the format is activated", Cluster::format_is_activated);
         cluster.state.limits =
             Some(StateLimits { max_value_bytes: 2048, max_changes: 4, changes_per_s: 30.0 });
-        cluster.submit_until_accepted(&chained);
+        cluster.submit_until_accepted(&dependent);
         (0..3).for_each(|n| cluster.crash_for_ms(n, 300 + 200 * n as u64));
         cluster.run_for_ms(2_500);
         assert!(cluster.format_is_activated());
@@ -352,14 +365,15 @@
             (5, 0)
         );
         cluster.check_invariants();
-        // The metrics show the format of each controller.
+        // The metrics report the format that each controller supports.
         let leader = cluster.leader().unwrap();
-        let seen = cluster.metrics_of(leader);
-        assert_eq!((seen["format"], seen["format_node.n0"]), (4.0, 4.0));
+        let metrics = cluster.metrics_of(leader);
+        assert_eq!((metrics["format"], metrics["format_node.n0"]), (4.0, 4.0));
     }
 }
 
-/// The format is not activated while one controller disagrees, whatever else happens.
+/// One controller does not agree to the new format. The format must not be activated, whichever
+/// controllers crash or are partitioned from the state service.
 #[test]
 fn format_is_not_activated_while_one_controller_disagrees() {
     let mut cluster = Cluster::new(3, 2, 0.0, 220);
@@ -376,12 +390,12 @@
     cluster.check_invariants();
 }
 
-/// The limits fall at any moment before or after activation, while large records of the first
-/// version exist: these are read, completed, rewritten smaller and deleted; no oversized write is
-/// sent over and over, and nothing runs twice.
+/// The state service lowers its limits at varying times around the activation, while large records
+/// of the first version exist. These records are still read, completed, rewritten smaller and
+/// deleted. No oversized write is retried endlessly, and no task runs twice.
 #[test]
 fn large_records_are_rewritten_when_limits_fall() {
-    let mut stood = 0;
+    let mut cases_with_large_records = 0;
     for case in 0..8u64 {
         let mut cluster = legacy_cluster(60, 230 + case);
         for n in 0..3 {
@@ -392,8 +406,8 @@
         cluster.run_for_ms(case * 250);
         cluster.state.limits =
             Some(StateLimits { max_value_bytes: 2048, max_changes: 4, changes_per_s: 30.0 });
-        let refused = cluster.state.refused_for_size;
-        let large =
+        let refused_before = cluster.state.refused_for_size;
+        let has_large_record =
             cluster.state.keys.iter().any(|(key, stored)| {
                 key.starts_with("shares/") && checked_size(&stored.value) > 2048
             });
@@ -402,7 +416,7 @@
             let leader = cluster.leader();
             leader.into_iter().for_each(|l| cluster.crash_for_ms(l, 1_000));
         }
-        stood += u32::from(large);
+        cases_with_large_records += u32::from(has_large_record);
         cluster.submit_until_accepted(&job("wk-000005", JobKind::Array, 100));
         cluster.abort_until_confirmed("wk-000004");
         cluster.run_until_done("wk-000005", 200_000);
@@ -413,22 +427,25 @@
             (5, 0)
         );
         assert!(
-            cluster.state.refused_for_size - refused < 40,
-            "{} refused",
-            cluster.state.refused_for_size - refused
+            cluster.state.refused_for_size - refused_before < 40,
+            "{} oversized writes refused",
+            cluster.state.refused_for_size - refused_before
         );
         assert!(
             cluster.state.refused_for_rate < 200,
-            "{} beyond the rate",
+            "{} writes refused by the rate limit",
             cluster.state.refused_for_rate
         );
         cluster.check_invariants();
     }
-    assert!(stood > 3, "large records stood when the limits fell: {stood}");
+    assert!(
+        cases_with_large_records > 3,
+        "cases with large records when the limits were lowered: {cases_with_large_records}"
+    );
 }
 
-/// One write of a batch is refused: the others are written, and the refused one is retried seldom,
-/// by itself, until it is accepted.
+/// The state service refuses one write of a batch. The other writes of the batch still proceed, and
+/// the refused one is retried at long intervals and alone until it is accepted.
 #[test]
 fn other_writes_proceed_when_one_write_of_a_batch_is_refused() {
     let mut cluster = Cluster::new(3, 20, 0.0, 250);
@@ -436,16 +453,16 @@
     cluster.run_until(10_000, "the format is activated", Cluster::format_is_activated);
     cluster.run_for_ms(1_500);
     cluster.state.refused_key_part = Some("shares/wk-000001".into());
-    // The acceptance is refused together with its first placement.
-    let one = job("wk-000001", JobKind::Array, 3);
+    // The job's record is refused together with its first placement.
+    let first_job = job("wk-000001", JobKind::Array, 3);
     cluster.task_duration_ms.insert("wk-000001".into(), 4_000);
-    cluster.submit(cluster.leader().unwrap(), &one);
+    cluster.submit(cluster.leader().unwrap(), &first_job);
     cluster.run_for_ms(500);
     cluster.state.refused_key_part = Some("shares/wk-000002".into());
-    cluster.submit_until_accepted(&one);
-    // The job waits for its dependency, and so has no placement yet.
-    let two = with_dependencies(job("wk-000002", JobKind::Array, 3), &["wk-000001"]);
-    cluster.submit_until_accepted(&two);
+    cluster.submit_until_accepted(&first_job);
+    // The second job waits for its dependency and therefore has no placement yet.
+    let second_job = with_dependencies(job("wk-000002", JobKind::Array, 3), &["wk-000001"]);
+    cluster.submit_until_accepted(&second_job);
     let refused = cluster.state.refused_for_size;
     for n in 3..9 {
         cluster.submit_until_accepted(&job(&format!("wk-00000{n}"), JobKind::Array, 3));
@@ -455,16 +472,19 @@
     }
     cluster.run_for_ms(20_000);
     let refused = cluster.state.refused_for_size - refused;
-    assert!((2..12).contains(&refused), "{refused} refused");
-    assert!(!cluster.task_starts.contains_key("wk-000002/0"), "its placement is not recorded");
+    assert!((2..12).contains(&refused), "{refused} writes refused");
+    assert!(
+        !cluster.task_starts.contains_key("wk-000002/0"),
+        "a task started before its placement was recorded"
+    );
     cluster.state.refused_key_part = None;
     cluster.run_until_done("wk-000002", 40_000);
     assert_eq!(cluster.observed_status["wk-000002"], JobStatus::Done);
     cluster.check_invariants();
 }
 
-/// From activation on, everything that is written fits the announced limits, whatever the load, so
-/// that nothing depends on the moment at which they come into force.
+/// After the activation every write fits the announced limits under any load, so that the time at
+/// which the state service begins to enforce them does not matter.
 #[test]
 fn records_fit_the_announced_limits_after_activation() {
     let mut cluster = Cluster::new(3, 70, 0.0, 260);
@@ -495,11 +515,12 @@
     cluster.crash_for_ms(leader, 1_000);
     cluster.run_until_done("wk-000001", 90_000);
     cluster.run_until_done("wk-000012", 90_000);
-    assert_eq!(cluster.state.refused_for_size, 0, "too large for the announced limits");
+    assert_eq!(cluster.state.refused_for_size, 0, "writes exceeded the announced limits");
     cluster.check_invariants();
 }
 
-/// A cluster with a job of 64 tasks whose placement record is split into pieces.
+/// Returns a cluster with two jobs of 64 tasks, in which the first job's placement record is split
+/// into pieces.
 fn cluster_with_split_record(seed: u64) -> Cluster {
     let mut cluster = Cluster::new(3, 80, 0.0, seed);
     cluster.announced_limits = Some(serde_json::json!({"value_kb": 1.0, "txn_ops": 8}));
@@ -508,17 +529,17 @@
     cluster.run_for_ms(1_500);
     cluster.task_duration_ms.insert("wk-000001".into(), 25_000);
     cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 64));
-    let one = cluster.submit(cluster.leader().unwrap(), &job("wk-000002", JobKind::Array, 64));
-    cluster.run_until(2_000, "the job is accepted", |cluster| cluster.status_code(one) == 201);
+    let request = cluster.submit(cluster.leader().unwrap(), &job("wk-000002", JobKind::Array, 64));
+    cluster.run_until(2_000, "the job is accepted", |cluster| cluster.status_code(request) == 201);
     cluster.run_until(5_000, "the placement record is split", |cluster| {
         cluster.state.keys.contains_key("shares/wk-000001/0/0.1")
     });
     cluster
 }
 
-/// A list returns the pieces of a placement record on several pages: a new leader knows all of
-/// them, starts nothing twice, and stops no running task because its placement has not been read
-/// yet when its machine sends a heartbeat.
+/// The pieces of a placement record are spread over several pages of a key list. A new leader must
+/// read all of them before it acts: otherwise it would start tasks twice, or stop a running task
+/// whose machine sends a heartbeat before its placement has been read.
 #[test]
 fn split_placements_are_joined_across_list_pages() {
     for page in 1..8 {
@@ -528,16 +549,16 @@
         cluster.run_for_ms(3_000);
         cluster.run_until_done("wk-000001", 120_000);
         cluster.run_until_done("wk-000002", 120_000);
-        let again =
+        let restarted =
             cluster.task_starts.iter().filter(|(t, s)| t.starts_with("wk-000001/") && s.len() > 1);
-        let again: Vec<_> = again.collect();
-        assert_eq!(again.len(), 0, "running tasks ran on");
+        let restarted: Vec<_> = restarted.collect();
+        assert_eq!(restarted.len(), 0, "running tasks were started again");
         cluster.check_invariants();
     }
 }
 
-/// A placement record that is unreadable or lacks a piece stops its job, visibly; the record is
-/// left as it is, and other jobs proceed.
+/// A placement record that is unreadable or lacks a piece blocks its own job only. The record is
+/// left unchanged, no task of the job starts, and other jobs proceed.
 #[test]
 fn damaged_split_placement_stops_only_its_job() {
     for case in 0..3 {
@@ -549,8 +570,8 @@
             2 => drop(cluster.state.keys.remove("shares/wk-000001/0/0.1")),
             _ => cluster.damage_value(key, damaged),
         }
-        let before = cluster.state.keys.get(key).map(|stored| stored.revision);
-        let starts: usize =
+        let revision_before = cluster.state.keys.get(key).map(|stored| stored.revision);
+        let starts_before: usize =
             cluster.task_starts.iter().filter(|(t, _)| t.starts_with("wk-000001/")).count();
         (0..3).for_each(|n| cluster.start_controller(n));
         cluster.submit_until_accepted(&job("wk-000003", JobKind::Array, 3));
@@ -559,12 +580,12 @@
         cluster.run_for_ms(CANCEL_MS);
         assert_eq!(
             cluster.state.keys.get(key).map(|stored| stored.revision),
-            before,
-            "left as it is"
+            revision_before,
+            "the damaged record was changed"
         );
-        let now: usize =
+        let starts_after: usize =
             cluster.task_starts.iter().filter(|(t, _)| t.starts_with("wk-000001/")).count();
-        assert_eq!(now, starts, "no task of the damaged job starts");
+        assert_eq!(starts_after, starts_before, "a task of the damaged job started");
         cluster.query(0, "wk-000001");
         cluster.run_for_ms(1_000);
         assert_ne!(cluster.observed_status["wk-000001"], JobStatus::Done);
--- a/crates/core/tests/simulation/input_validation.rs
+++ b/crates/core/tests/simulation/input_validation.rs
@@ -1,13 +1,13 @@
-//! Input validation: malformed submissions, jobs that can never run, and invalid messages. Every
-//! controller gives the same answer, and known jobs are never refused.
+//! Input validation: malformed submissions, jobs that can never run, and invalid messages. All
+//! controllers give the same answer, and submissions of known jobs are never refused.
 
 use crate::cluster::{job, job_id, spec_without_field, Cluster};
 use ciborium::value::Value;
 use quartzgate_wire::msg::{Forward, JobKind, JobSpec, JobStatus, MeshMessage};
 use quartzgate_wire::to_cbor;
 
-/// A submission as a map, with another value of one field.
-fn with(spec: &JobSpec, field: &str, value: Value) -> Value {
+/// Returns a submission as a CBOR map in which one field is set to another value.
+fn with_field(spec: &JobSpec, field: &str, value: Value) -> Value {
     let Value::Map(mut map) = spec_without_field(spec, field) else {
         unreachable!("a job is a map")
     };
@@ -15,37 +15,38 @@
     Value::Map(map)
 }
 
-/// What a field of a submission may be.
+/// The type of a submission's field.
 #[derive(Clone, Copy)]
 enum FieldKind {
     Text,
     Count,
     Amount,
     Flag,
-    /// The following kinds may be null or missing.
+    // Optional fields, which may be null or absent.
     MaybeAmount,
     MaybeText,
     MaybeList,
 }
 
-/// A submission with one unusual field, and the statuses that may answer it.
+/// A submission with one unusual field, and the status codes that are valid answers to it.
 struct FieldCase {
     description: String,
     spec: JobSpec,
     body: Value,
-    wanted: &'static [u16],
+    valid_statuses: &'static [u16],
 }
 
 fn text(value: &str) -> Value {
     Value::Text(value.to_string())
 }
 
-/// Every field missing, null and with each wrong value; and an unknown field.
+/// Returns submissions with each field absent, null and set to each invalid value, and one with an
+/// unknown field.
 fn field_cases(fields: &[(&str, FieldKind)]) -> Vec<FieldCase> {
-    let mut next = 0;
-    let mut fresh = || {
-        next += 1;
-        let mut spec = job(&job_id(next), JobKind::Array, 1);
+    let mut last_id = 0;
+    let mut next_spec = || {
+        last_id += 1;
+        let mut spec = job(&job_id(last_id), JobKind::Array, 1);
         spec.types = Some(vec!["k8".into()]);
         spec.zone = Some("a".into());
         spec.deadline_s = Some(60.0);
@@ -53,54 +54,54 @@
     };
     let mut cases = Vec::new();
     for (field, kind) in fields {
-        let absent = kind.answers_to_absence();
-        let spec = fresh();
+        let answers_if_absent = kind.answers_if_absent();
+        let spec = next_spec();
         let body = spec_without_field(&spec, field);
         let description = format!("{field} missing");
-        cases.push(FieldCase { description, spec, body, wanted: absent });
-        let spec = fresh();
-        let body = with(&spec, field, Value::Null);
+        cases.push(FieldCase { description, spec, body, valid_statuses: answers_if_absent });
+        let spec = next_spec();
+        let body = with_field(&spec, field, Value::Null);
         let description = format!("{field} null");
-        cases.push(FieldCase { description, spec, body, wanted: absent });
-        for value in kind.wrong_values() {
-            let spec = fresh();
+        cases.push(FieldCase { description, spec, body, valid_statuses: answers_if_absent });
+        for value in kind.invalid_values() {
+            let spec = next_spec();
             let description = format!("{field} is {value:?}");
-            let body = with(&spec, field, value);
-            cases.push(FieldCase { description, spec, body, wanted: &[400] });
+            let body = with_field(&spec, field, value);
+            cases.push(FieldCase { description, spec, body, valid_statuses: &[400] });
         }
     }
-    let spec = fresh();
-    let body = with(&spec, "colour", text("green"));
+    let spec = next_spec();
+    let body = with_field(&spec, "colour", text("green"));
     let description = "an unknown field".into();
-    cases.push(FieldCase { description, spec, body, wanted: &[201] });
+    cases.push(FieldCase { description, spec, body, valid_statuses: &[201] });
     cases
 }
 
 impl FieldKind {
-    /// Statuses that may answer a submission without the field, or with null for it.
-    fn answers_to_absence(self) -> &'static [u16] {
+    /// Returns the valid status codes for a submission in which the field is absent or null.
+    fn answers_if_absent(self) -> &'static [u16] {
         match self {
             FieldKind::MaybeAmount | FieldKind::MaybeText | FieldKind::MaybeList => &[201],
             _ => &[400],
         }
     }
 
-    /// Values of another type, not finite or out of range.
-    fn wrong_values(self) -> Vec<Value> {
-        let mut wrong = vec![Value::Bytes(vec![1, 2]), Value::Map(Vec::new())];
+    /// Returns values of another type, non-finite numbers and values out of range.
+    fn invalid_values(self) -> Vec<Value> {
+        let mut invalid = vec![Value::Bytes(vec![1, 2]), Value::Map(Vec::new())];
         match self {
             FieldKind::Text | FieldKind::MaybeText => {
-                wrong.extend([Value::from(7), text(""), text(&"x".repeat(200))])
+                invalid.extend([Value::from(7), text(""), text(&"x".repeat(200))])
             }
-            FieldKind::Flag => wrong.extend([Value::from(1), text("true")]),
-            FieldKind::Count => wrong.extend([
+            FieldKind::Flag => invalid.extend([Value::from(1), text("true")]),
+            FieldKind::Count => invalid.extend([
                 Value::from(0),
                 Value::from(-1),
                 Value::from(100_001),
                 Value::Float(1.5),
                 Value::from(u64::MAX),
             ]),
-            FieldKind::Amount | FieldKind::MaybeAmount => wrong.extend([
+            FieldKind::Amount | FieldKind::MaybeAmount => invalid.extend([
                 Value::Float(-1.0),
                 Value::Float(f64::NAN),
                 Value::Float(f64::INFINITY),
@@ -108,15 +109,18 @@
                 Value::Float(1e300),
                 text("4.0"),
             ]),
-            FieldKind::MaybeList => wrong.extend([text("k8"), Value::Array(vec![Value::from(1)])]),
+            FieldKind::MaybeList => {
+                invalid.extend([text("k8"), Value::Array(vec![Value::from(1)])])
+            }
         }
-        wrong
+        invalid
     }
 }
 
-/// Every field of a submission missing, null, of another type, not finite and out of range, sent
-/// to the leader and to a follower, and to a controller that has just started, which may answer
-/// 503 while it cannot know. Unknown fields are ignored.
+/// Submissions in which one field is absent, null, of another type, not finite or out of range get
+/// 400, unless the field is optional and absent or null. They are sent to the leader, to a follower
+/// and to a controller that has just started, which may answer 503 as long as it cannot tell
+/// whether the job is known. Unknown fields are ignored.
 #[test]
 fn malformed_submission_fields_are_refused() {
     use FieldKind::*;
@@ -145,34 +149,40 @@
     let mut cluster = Cluster::activated(4, 0.0, 15_000, 1_000);
     let cases = field_cases(&fields);
     let (follower, leader) = ((cluster.leader().unwrap() + 1) % 3, cluster.leader().unwrap());
-    let mut verdicts = Vec::new();
-    for FieldCase { description, spec, body, wanted } in &cases {
+    let mut leader_answers = Vec::new();
+    for FieldCase { description, spec, body, valid_statuses } in &cases {
         cluster.jobs.insert(spec.id.clone(), spec.clone());
         let requests =
             [leader, follower].map(|n| cluster.send_request(n, "POST", "/api/jobs", to_cbor(body)));
         cluster.run_for_ms(400);
-        let got = requests.map(|a| cluster.status_code(a));
-        // Of two controllers that are asked at once, one may have to wait for the other.
-        let fits = |s: &u16| wanted.contains(s) || wanted == &[201] && matches!(s, 200 | 503);
-        assert!(got.iter().all(fits), "{description}: {got:?} instead of {wanted:?}");
-        assert!(got.iter().any(|s| wanted.contains(s)), "{description}: {got:?}");
-        verdicts.push(got[0]);
+        let got = requests.map(|request| cluster.status_code(request));
+        // One of two controllers that receive the same job concurrently may have to wait for the
+        // other.
+        let is_valid_answer = |s: &u16| {
+            valid_statuses.contains(s) || valid_statuses == &[201] && matches!(s, 200 | 503)
+        };
+        assert!(
+            got.iter().all(is_valid_answer),
+            "{description}: {got:?} instead of {valid_statuses:?}"
+        );
+        assert!(got.iter().any(|s| valid_statuses.contains(s)), "{description}: {got:?}");
+        leader_answers.push(got[0]);
     }
-    assert!(verdicts.iter().filter(|v| **v == 400).count() > 80);
-    // A controller that has just started and cannot reach the state service yet.
+    assert!(leader_answers.iter().filter(|v| **v == 400).count() > 80);
+    // The follower has just started and cannot reach the state service yet.
     cluster.state.refused_nodes.insert(follower);
     cluster.crash(follower);
     cluster.start_controller(follower);
-    for FieldCase { description, body, wanted, .. } in &cases {
+    for FieldCase { description, body, valid_statuses, .. } in &cases {
         let request = cluster.send_request(follower, "POST", "/api/jobs", to_cbor(body));
         cluster.run_for_ms(60);
         let got = cluster.status_code(request);
         assert!(
-            wanted.contains(&got) || matches!(got, 200 | 503),
-            "{description}: {got} at the beginning"
+            valid_statuses.contains(&got) || matches!(got, 200 | 503),
+            "{description}: {got} after the restart"
         );
     }
-    // Bodies that are no map, or no CBOR at all.
+    // Bodies that are not a CBOR map, or not CBOR at all.
     for body in [vec![0xff, 0x00], to_cbor(&7), Vec::new(), to_cbor(&"wk-000001")] {
         let request = cluster.send_request(leader, "POST", "/api/jobs", body.clone());
         cluster.run_for_ms(200);
@@ -181,8 +191,8 @@
     cluster.check_invariants();
 }
 
-/// A repeated submission of a known job that differs or lacks a field is never refused, by any
-/// controller and in any state of the job, whether its record is batched or its own.
+/// A repeated submission of a known job is accepted even if a field differs, is invalid or absent:
+/// by every controller, in every state of the job, with a batch record and with its own record.
 #[test]
 fn malformed_repeat_of_a_known_job_is_accepted() {
     for case in 0..4u64 {
@@ -195,30 +205,30 @@
         }
         cluster.run_until_done("wk-000002", 20_000);
         cluster.abort_until_confirmed("wk-000003");
-        let wanted = [JobStatus::Running, JobStatus::Done, JobStatus::Aborted];
+        let expected = [JobStatus::Running, JobStatus::Done, JobStatus::Aborted];
         if case > 1 {
-            // The next leader knows the jobs only from the records.
+            // The next leader knows the jobs only from their records.
             let leader = cluster.leader().unwrap();
             cluster.crash_for_ms(leader, 200);
             cluster.run_for_ms(6_000);
         }
-        for (n, status) in (1..4).zip(wanted) {
+        for (n, status) in (1..4).zip(expected) {
             let spec = job(&format!("wk-00000{n}"), JobKind::Array, 1);
-            let mut other = spec.clone();
-            (other.cpus, other.team, other.tasks) = (640.0, "nobody".into(), 9);
+            let mut changed = spec.clone();
+            (changed.cpus, changed.team, changed.tasks) = (640.0, "nobody".into(), 9);
             let bodies = [
-                to_cbor(&other),
+                to_cbor(&changed),
                 to_cbor(&spec_without_field(&spec, "vcpus")),
-                to_cbor(&with(&spec, "pieces", Value::from(-3))),
-                to_cbor(&with(&spec, "shape", Value::Text("heap".into()))),
+                to_cbor(&with_field(&spec, "pieces", Value::from(-3))),
+                to_cbor(&with_field(&spec, "shape", Value::Text("heap".into()))),
                 to_cbor(&Value::Map(vec![("ref".into(), Value::Text(spec.id.clone()))])),
             ];
-            for (at, body) in bodies.into_iter().enumerate() {
+            for (index, body) in bodies.into_iter().enumerate() {
                 for node in 0..3 {
                     let request = cluster.send_request(node, "POST", "/api/jobs", body.clone());
                     cluster.run_for_ms(600);
                     let got = cluster.status_code(request);
-                    assert_eq!(got, 200, "case {case}: repeat {at} of {} at {node}", spec.id);
+                    assert_eq!(got, 200, "case {case}: repeat {index} of {} at {node}", spec.id);
                 }
             }
             let observed = cluster.observed_status[&spec.id];
@@ -228,65 +238,70 @@
     }
 }
 
-/// Jobs that can never run are refused with 422 by every controller: no matching team, machine
-/// type or zone, a quota too low for what must run at once, and zone constraints that leave no
-/// placement. Jobs that can run, be it a part at a time, are accepted and completed.
+/// Every controller refuses jobs that can never run with 422: jobs without a matching team, machine
+/// type or zone, jobs whose tasks must run concurrently and exceed the quota, and zone constraints
+/// that permit no placement. Jobs that can run, even if only some tasks at a time, are accepted and
+/// complete.
 #[test]
 fn unrunnable_jobs_are_refused() {
     type Change = fn(&mut JobSpec);
-    let never: [(&str, Change); 12] = [
+    let unrunnable: [(&str, Change); 12] = [
         ("an unknown team", |s| s.team = "nobody".into()),
-        ("more than any machine", |s| s.cpus = 9.0),
-        ("more memory than any", |s| s.memory_gb = 33.0),
-        ("a GPU where there is none", |s| s.gpus = 1.0),
-        ("an unknown type", |s| s.types = Some(vec!["g8".into()])),
-        ("no type at all", |s| s.types = Some(Vec::new())),
+        ("more CPUs than any machine type has", |s| s.cpus = 9.0),
+        ("more memory than any machine type has", |s| s.memory_gb = 33.0),
+        ("a GPU, although no machine type has one", |s| s.gpus = 1.0),
+        ("an unknown machine type", |s| s.types = Some(vec!["g8".into()])),
+        ("an empty list of machine types", |s| s.types = Some(Vec::new())),
         ("an unknown zone", |s| s.zone = Some("c".into())),
-        ("a gang above the limit", |s| (s.shape, s.tasks) = (JobKind::Gang, 5)),
-        ("a service above the limit", |s| (s.shape, s.tasks) = (JobKind::Service, 5)),
-        ("a service spread in one zone", |s| {
+        ("a gang that exceeds the quota", |s| (s.shape, s.tasks) = (JobKind::Gang, 5)),
+        ("a service that exceeds the quota", |s| (s.shape, s.tasks) = (JobKind::Service, 5)),
+        ("a service spread over zones but bound to one zone", |s| {
             (s.shape, s.tasks, s.spread, s.zone) = (JobKind::Service, 3, true, Some("a".into()))
         }),
-        ("a gang spread in one zone", |s| {
+        ("a gang spread over zones but bound to one zone", |s| {
             (s.shape, s.tasks, s.spread, s.zone) = (JobKind::Gang, 2, true, Some("b".into()))
         }),
-        ("a gang together and spread", |s| {
+        ("a gang that is both together and spread", |s| {
             (s.shape, s.tasks, s.spread, s.together) = (JobKind::Gang, 2, true, true)
         }),
     ];
-    let fine: [(&str, Change); 5] = [
-        ("an array of which one fits the limit", |s| s.tasks = 9),
-        ("an array spread in one zone", |s| {
+    let runnable: [(&str, Change); 5] = [
+        ("an array whose single tasks fit the quota", |s| s.tasks = 9),
+        ("an array spread over zones but bound to one zone", |s| {
             (s.tasks, s.spread, s.zone) = (3, true, Some("a".into()))
         }),
-        ("an array together and spread", |s| (s.tasks, s.spread, s.together) = (3, true, true)),
-        ("one task, spread, in one zone", |s| (s.spread, s.zone) = (true, Some("a".into()))),
+        ("an array that is both together and spread", |s| {
+            (s.tasks, s.spread, s.together) = (3, true, true)
+        }),
+        ("one task, spread over zones but bound to one zone", |s| {
+            (s.spread, s.zone) = (true, Some("a".into()))
+        }),
         ("a gang that is spread", |s| (s.shape, s.tasks, s.spread) = (JobKind::Gang, 4, true)),
     ];
     let mut cluster = Cluster::activated(4, 16.0, 15_200, 1_000);
-    for (description, change) in never {
+    for (description, change) in unrunnable {
         for node in 0..3 {
             let request = cluster.submit_unrunnable(node, change);
             cluster.run_for_ms(500);
             assert_eq!(cluster.status_code(request), 422, "{description}, at {node}");
         }
     }
-    let ids: Vec<String> = (1..=fine.len()).map(|n| format!("wk-00000{n}")).collect();
-    for ((_, change), id) in fine.iter().zip(&ids) {
+    let ids: Vec<String> = (1..=runnable.len()).map(|n| format!("wk-00000{n}")).collect();
+    for ((_, change), id) in runnable.iter().zip(&ids) {
         let mut spec = job(id, JobKind::Array, 1);
         change(&mut spec);
         cluster.submit_until_accepted(&spec);
     }
-    for ((description, _), id) in fine.iter().zip(&ids) {
+    for ((description, _), id) in runnable.iter().zip(&ids) {
         println!("{description}");
         cluster.run_until_done(id, 60_000);
     }
     cluster.assert_recovered();
 }
 
-/// Invalid heartbeats, mesh messages, mailboxes and handoff entries are refused with 400 or
-/// dropped: no process ends, no running task is lost, and no task that a heartbeat invents is
-/// believed.
+/// Invalid heartbeats, mesh messages, mailbox records and handoff entries are refused with 400 or
+/// dropped. No controller crashes, no running task is lost, and tasks that a heartbeat reports
+/// without a submitted job are ignored.
 #[test]
 fn invalid_messages_are_refused_and_change_nothing() {
     let mut cluster = Cluster::activated(4, 0.0, 15_300, 1_000);
@@ -300,19 +315,19 @@
     (0..3).for_each(|node| assert_invalid_mesh_messages_are_refused(&mut cluster, node));
     write_foreign_values(&mut cluster);
     cluster.run_for_ms(3_000);
-    // The next leader reads all of them during recovery.
+    // The next leader reads all foreign values during its recovery.
     let leader = cluster.leader().unwrap();
     cluster.crash_for_ms(leader, 200);
     cluster.run_for_ms(10_000);
     assert!((0..3).all(|n| cluster.is_up(n)));
     assert_eq!(cluster.live_tasks("wk-000001").len(), 3);
-    assert_eq!(cluster.task_starts, starts, "no task had to start again");
+    assert_eq!(cluster.task_starts, starts, "a task was started again");
     cluster.submit_until_accepted(&job("wk-000002", JobKind::Array, 2));
     cluster.run_until_done("wk-000002", 20_000);
     cluster.assert_recovered();
 }
 
-/// A heartbeat with another value of one field, or without it.
+/// Returns an encoded heartbeat in which one field is set to another value or absent.
 fn heartbeat_with(heartbeat: &Value, field: &str, value: Option<Value>) -> Vec<u8> {
     let Value::Map(mut map) = heartbeat.clone() else { unreachable!("a heartbeat is a map") };
     map.retain(|(key, _)| key.as_text() != Some(field));
@@ -320,8 +335,8 @@
     to_cbor(&Value::Map(map))
 }
 
-/// Sends a heartbeat to all controllers; the statuses of their answers.
-fn check_in_everywhere(cluster: &mut Cluster, body: &[u8]) -> [u16; 3] {
+/// Sends a heartbeat to all controllers and returns the status codes of their answers.
+fn send_heartbeat_to_all(cluster: &mut Cluster, body: &[u8]) -> [u16; 3] {
     let requests =
         [0, 1, 2].map(|node| cluster.send_request(node, "POST", "/checkin", body.to_vec()));
     cluster.run_for_ms(300);
@@ -346,12 +361,12 @@
         changed("pieces", Some(Value::from(3))),
         changed("pieces", Some(Value::Array(vec![Value::Map(Vec::new())]))),
     ];
-    for (at, body) in invalid.iter().enumerate() {
-        assert_eq!(check_in_everywhere(cluster, body), [400; 3], "heartbeat {at}");
+    for (index, body) in invalid.iter().enumerate() {
+        assert_eq!(send_heartbeat_to_all(cluster, body), [400; 3], "heartbeat {index}");
     }
 }
 
-/// Well-formed heartbeats with tasks that nobody submitted, impossible names, and duplicates.
+/// Sends well-formed heartbeats with tasks of unknown jobs, invalid task names and duplicate tasks.
 fn assert_odd_heartbeats_change_nothing(cluster: &mut Cluster, heartbeat: &Value) {
     let task = |name: &str, attempt: u64, status: &str| {
         Value::Map(vec![
@@ -366,17 +381,17 @@
         vec![task("wk-000001/99999999999", 1, "running"), task("wk-000001/77", 1, "exited")],
         vec![task("wk-000001/0", 1, "running"), task("wk-000001/0", 2, "running")],
     ];
-    for (at, tasks) in odd.into_iter().enumerate() {
+    for (index, tasks) in odd.into_iter().enumerate() {
         let body = heartbeat_with(heartbeat, "pieces", Some(Value::Array(tasks)));
-        let got = check_in_everywhere(cluster, &body);
-        assert!(got.iter().all(|s| matches!(s, 200 | 400 | 421)), "odd heartbeat {at}: {got:?}");
+        let got = send_heartbeat_to_all(cluster, &body);
+        assert!(got.iter().all(|s| matches!(s, 200 | 400 | 421)), "odd heartbeat {index}: {got:?}");
         cluster.run_for_ms(3_000);
-        assert_eq!(cluster.live_tasks("wk-000001").len(), 3, "odd heartbeat {at}");
+        assert_eq!(cluster.live_tasks("wk-000001").len(), 3, "odd heartbeat {index}");
     }
 }
 
-/// Mesh messages that are none, of another version or an unknown sender, and orders from a
-/// follower.
+/// Sends malformed mesh messages, messages of another version or from an unknown sender, and
+/// forwarded requests with paths that are invalid or not permitted, such as orders from a follower.
 fn assert_invalid_mesh_messages_are_refused(cluster: &mut Cluster, node: usize) {
     let message = |from: &str, version: u32, path: Option<&str>| {
         let forward = path.map(|path| Forward {
@@ -404,14 +419,15 @@
         message(&sibling, 1, Some("/checkin")),
         message(&sibling, 1, Some("/api/jobs")),
     ];
-    for (at, body) in invalid.into_iter().enumerate() {
+    for (index, body) in invalid.into_iter().enumerate() {
         let status = cluster.send_mesh_request(node, "/mesh", body);
-        assert_eq!(status, Some(400), "mesh message {at} to n{node}");
+        assert_eq!(status, Some(400), "mesh message {index} to n{node}");
     }
     assert_eq!(cluster.send_mesh_request(node, "/elsewhere", Vec::new()), Some(404));
 }
 
-/// Writes foreign values: mailboxes, handoff entries, claims, member keys.
+/// Writes values that controllers cannot read to mailbox, handoff, lease proxy and member
+/// keys.
 fn write_foreign_values(cluster: &mut Cluster) {
     let keys = [
         "view/post/n0/n1",
--- a/crates/core/tests/simulation/job_lifecycle.rs
+++ b/crates/core/tests/simulation/job_lifecycle.rs
@@ -1,10 +1,11 @@
-//! Jobs without faults in the control plane: submission, completion, repeated requests, gangs.
+//! The life cycle of jobs without control plane faults: submission, completion, repeated
+//! submissions and gang restarts.
 
 use crate::cluster::{job, Cluster};
 use quartzgate_wire::msg::{JobKind, TaskStatus};
 
-/// The ordinary path: a job is accepted, started and reported done; a service keeps its replicas
-/// until it is aborted; an unknown job is 404.
+/// An array job is accepted, started and reported done. A service keeps its replicas until it is
+/// aborted. Queries and aborts of an unknown job get 404.
 #[test]
 fn jobs_complete_without_faults() {
     let mut cluster = Cluster::new(3, 4, 0.0, 1);
@@ -14,17 +15,17 @@
     cluster.run_until_done("wk-000001", 20_000);
     assert_eq!(cluster.live_tasks("wk-000002").len(), 2);
     cluster.abort_until_confirmed("wk-000002");
-    cluster.run_until(3_000, "replicas are gone", |cluster| {
+    cluster.run_until(3_000, "the replicas of the service are stopped", |cluster| {
         cluster.live_tasks("wk-000002").is_empty()
     });
-    let (poll, abort) = (cluster.query(1, "wk-000009"), cluster.abort(2, "wk-000009"));
+    let (query, abort) = (cluster.query(1, "wk-000009"), cluster.abort(2, "wk-000009"));
     cluster.run_for_ms(1_000);
-    assert_eq!((cluster.status_code(poll), cluster.status_code(abort)), (404, 404));
+    assert_eq!((cluster.status_code(query), cluster.status_code(abort)), (404, 404));
     cluster.check_invariants();
 }
 
-/// The same job is submitted several times at once: one job results, and no answer says that the
-/// job is unknown.
+/// Guards against wrong answers to concurrent submissions of the same job: each gets 200, 201 or
+/// 503, none is told that the job is unknown, and one job results.
 #[test]
 fn concurrent_submissions_create_one_job() {
     let mut cluster = Cluster::new(3, 2, 0.0, 3);
@@ -33,13 +34,16 @@
     let spec = job("wk-000001", JobKind::Array, 1);
     let requests: Vec<usize> = (0..4).map(|_| cluster.submit(leader, &spec)).collect();
     cluster.run_for_ms(500);
-    assert!(requests.iter().all(|a| [200, 201, 503].contains(&cluster.status_code(*a))));
+    assert!(requests
+        .iter()
+        .all(|request| [200, 201, 503].contains(&cluster.status_code(*request))));
     cluster.run_until_done("wk-000001", 20_000);
     cluster.check_invariants();
 }
 
-/// Idempotent submission: a known job, finished or not, is answered 200 with its present state by
-/// every controller, even if the repeated request could not run.
+/// Submission is idempotent: every controller answers a repeated submission of a known job,
+/// finished or not, with 200 and the job's current state, even if the repeated specification could
+/// not run.
 #[test]
 fn repeated_submission_returns_the_present_state() {
     let mut cluster = Cluster::new(3, 2, 0.0, 2);
@@ -47,18 +51,18 @@
     let spec = job("wk-000001", JobKind::Array, 1);
     cluster.submit_until_accepted(&spec);
     cluster.run_until_done("wk-000001", 20_000);
-    let mut misfit = spec.clone();
-    misfit.cpus = 500.0;
+    let mut oversized = spec.clone();
+    oversized.cpus = 500.0;
     for n in 0..3 {
-        let (same, other) = (cluster.submit(n, &spec), cluster.submit(n, &misfit));
+        let (identical, changed) = (cluster.submit(n, &spec), cluster.submit(n, &oversized));
         cluster.run_for_ms(500);
-        assert_eq!((cluster.status_code(same), cluster.status_code(other)), (200, 200));
+        assert_eq!((cluster.status_code(identical), cluster.status_code(changed)), (200, 200));
     }
     cluster.check_invariants();
 }
 
-/// Gang scheduling: all tasks run in one attempt or none does, and the loss of one member restarts
-/// the whole gang.
+/// Gang scheduling: either all tasks of a gang run in the same attempt or none, so that the loss of
+/// one member's machine restarts the whole gang.
 #[test]
 fn whole_gang_restarts_when_a_member_machine_dies() {
     let mut cluster = Cluster::new(3, 4, 0.0, 1200);
@@ -67,9 +71,10 @@
     let mut spec = job("wk-000001", JobKind::Gang, 4);
     spec.together = true;
     cluster.submit_until_accepted(&spec);
-    cluster.run_until(5_000, "the job runs", |cluster| running(cluster, "wk-000001") == 4);
-    let lost = cluster.live_tasks("wk-000001")[0].machine.clone();
-    cluster.kill_machine(&lost);
+    cluster
+        .run_until(5_000, "the job runs", |cluster| running_task_count(cluster, "wk-000001") == 4);
+    let lost_machine = cluster.live_tasks("wk-000001")[0].machine.clone();
+    cluster.kill_machine(&lost_machine);
     cluster.add_worker();
     cluster.add_worker();
     cluster.run_until_done("wk-000001", 60_000);
@@ -79,14 +84,14 @@
     cluster.check_invariants();
 }
 
-/// Number of a job's running tasks.
-fn running(cluster: &Cluster, id: &str) -> usize {
+/// Returns the number of a job's tasks that run on live machines.
+fn running_task_count(cluster: &Cluster, id: &str) -> usize {
     let prefix = format!("{id}/");
     cluster
         .workers
         .values()
         .filter(|worker| !worker.dead)
         .flat_map(|worker| &worker.tasks)
-        .filter(|(t, h)| t.starts_with(&prefix) && h.status == TaskStatus::Running)
+        .filter(|(task, held)| task.starts_with(&prefix) && held.status == TaskStatus::Running)
         .count()
 }
--- a/crates/core/tests/simulation/rolling_upgrades.rs
+++ b/crates/core/tests/simulation/rolling_upgrades.rs
@@ -1,7 +1,7 @@
-//! Rolling upgrades: several builds at once, every order of controllers, faults at each step.
-//! What the next builds know is a feature table of these tests. At each activation the cluster
-//! checks that it is one step, that nothing is deactivated, and that every live controller
-//! supports it (`check_activation`).
+//! Rolling upgrades: several builds run at the same time, controllers are replaced in every order,
+//! and faults are injected at each step. The features of future builds are defined by feature
+//! tables in this file. At each activation the cluster checks that it is a single step, that it
+//! deactivates nothing, and that every live controller supports it (`check_activation`).
 
 use crate::cluster::{job, Cluster, LinkFault, CANCEL_MS};
 use std::collections::BTreeSet;
@@ -26,7 +26,8 @@
     FormatEntry { version, name, description: "" }
 }
 
-/// A build that knows a later version, and features that are activated by themselves.
+/// A build that supports formats up to 4 and two features that are activated as steps of
+/// their own.
 static NEXT_BUILD: GateTable = GateTable {
     formats: &[version(2, "format-2"), version(3, "format-3"), version(4, "format-4")],
     features: &[
@@ -41,7 +42,7 @@
     ],
 };
 
-/// A build that knows format 2 and no features of its own.
+/// A build that supports format 2 and only the features that are activated with it.
 pub static FORMAT_2_BUILD: GateTable = GateTable {
     formats: &[version(2, "format-2")],
     features: &[
@@ -52,21 +53,22 @@
     ],
 };
 
-/// Steps from nothing to all that `NEXT_BUILD` knows.
+/// The activation steps from format 1 to everything that `NEXT_BUILD` supports, in order.
 const ALL_STEPS: [&str; 5] = ["format-2", "format-3", "format-4", "even-shares", "owners"];
 
-/// A cluster of the first version (`first`) or of `FORMAT_2_BUILD`, with work.
-fn settled_cluster(nodes: usize, first: bool, seed: u64) -> Cluster {
+/// Returns a cluster before the upgrade to `NEXT_BUILD`, with an array job and a service. Its
+/// controllers are of the first version or, if `first_version` is false, of `FORMAT_2_BUILD`.
+fn cluster_before_upgrade(nodes: usize, first_version: bool, seed: u64) -> Cluster {
     let mut cluster = Cluster::new(nodes, 8, 0.0, seed);
     for n in 0..nodes {
         cluster.crash(n);
         cluster.feature_tables.insert(n, &FORMAT_2_BUILD);
-        if first {
+        if first_version {
             cluster.legacy_controllers.insert(n);
         }
         cluster.start_controller(n);
     }
-    if !first {
+    if !first_version {
         cluster.run_until(20_000, "format 2 is activated", |cluster| {
             cluster.activated_format().version == 2
         });
@@ -82,21 +84,25 @@
     cluster.activated_format().version == 4 && cluster.activated_format().features.len() == 2
 }
 
-/// What was activated, in order.
+/// Returns the activation records in the order in which they were written.
 fn activations(cluster: &Cluster) -> Vec<ActivationRecord> {
-    let set = cluster.state.write_log.iter().filter(|written| written.key == FORMAT_KEY);
-    set.map(|written| written.value.deserialized().unwrap()).collect()
+    let writes = cluster.state.write_log.iter().filter(|written| written.key == FORMAT_KEY);
+    writes.map(|written| written.value.deserialized().unwrap()).collect()
 }
 
-/// All steps were activated one after the other, none skipped, none twice.
+/// Asserts that all steps were activated one after the other, none of them skipped or repeated.
 fn assert_activated_in_order(cluster: &Cluster) {
-    let seen = activations(cluster);
-    let steps: Vec<(u32, usize)> = seen.iter().map(|r| (r.version, r.features.len())).collect();
+    let records = activations(cluster);
+    let steps: Vec<(u32, usize)> = records.iter().map(|r| (r.version, r.features.len())).collect();
     assert_eq!(steps, [(2, 0), (3, 0), (4, 0), (4, 1), (4, 2)]);
-    assert!(seen[3].features.contains("even-shares"), "a feature follows those that it needs");
+    assert!(
+        records[3].features.contains("even-shares"),
+        "a feature was activated before the one that it requires"
+    );
 }
 
-/// Existing work continues, new work is done, and every controller reports the same format.
+/// Asserts that existing jobs continue, that a new job completes, and that every controller reports
+/// format 4 and no blocked step.
 fn assert_upgraded_and_serving(cluster: &mut Cluster) {
     cluster.submit_until_accepted(&job("wk-000009", JobKind::Array, 3));
     cluster.run_until_done("wk-000001", 120_000);
@@ -104,27 +110,27 @@
     cluster.run_for_ms(3_000);
     assert_eq!(cluster.live_tasks("wk-000002").len(), 3);
     for n in (0..cluster.controller_count()).filter(|n| cluster.is_up(*n)).collect::<Vec<_>>() {
-        let seen = cluster.metrics_of(n);
-        assert_eq!((seen["format"], seen["format_foreign"]), (4.0, 0.0), "n{n}");
-        assert!(!seen.keys().any(|k| k.starts_with("step_held")), "n{n}");
+        let metrics = cluster.metrics_of(n);
+        assert_eq!((metrics["format"], metrics["format_foreign"]), (4.0, 0.0), "n{n}");
+        assert!(!metrics.keys().any(|k| k.starts_with("step_held")), "n{n}");
     }
     cluster.check_invariants();
 }
 
-/// From format 1 or 2, in whatever order the controllers are replaced, nothing is activated before
-/// the last one is new; then every step follows in turn.
+/// Upgrades from format 1 or 2, with the controllers replaced in every order. Nothing may be
+/// activated before the last one runs the new build; then every step is activated in turn.
 #[test]
 fn features_activate_in_order_for_every_upgrade_order() {
     let orders = [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]];
     for (case, order) in orders.into_iter().enumerate() {
-        for first in [true, false] {
-            let mut cluster = settled_cluster(3, first, 300 + case as u64);
-            let before = cluster.activated_format();
+        for first_version in [true, false] {
+            let mut cluster = cluster_before_upgrade(3, first_version, 300 + case as u64);
+            let initial_format = cluster.activated_format();
             for n in order {
                 assert_eq!(
                     cluster.activated_format(),
-                    before,
-                    "nothing is activated before the last one is new"
+                    initial_format,
+                    "a step was activated before the last controller ran the new build"
                 );
                 cluster.replace_build(n, &NEXT_BUILD, 500);
                 cluster.run_for_ms(3_000);
@@ -136,12 +142,12 @@
     }
 }
 
-/// One controller or all crash at any moment after the last one was replaced: the steps are
-/// activated all the same, in order.
+/// One controller or all of them crash at varying times after the last one was replaced. All steps
+/// must still be activated, in order.
 #[test]
 fn features_activate_in_order_when_controllers_crash() {
     for case in 0..24u64 {
-        let mut cluster = settled_cluster(3, case % 2 == 0, 320 + case);
+        let mut cluster = cluster_before_upgrade(3, case % 2 == 0, 320 + case);
         (0..3).for_each(|n| cluster.replace_build(n, &NEXT_BUILD, 300));
         cluster.run_for_ms(1_000 + case * 130);
         match case % 4 {
@@ -154,45 +160,52 @@
     }
 }
 
-/// A controller has announced the new build's formats, and an older build runs in its place when
-/// the last of the others is upgraded. Nothing is activated until it is upgraded again, and
-/// operators see which controller blocks which step, and since when.
+/// Guards against relying on an outdated announcement: a controller has announced the new build's
+/// formats, but is rolled back to an older build before the last of the others is upgraded. Nothing
+/// may be activated until it is upgraded again, and the metrics show which controller blocks which
+/// step, and for how long.
 #[test]
 fn activation_waits_when_a_controller_is_rolled_back() {
-    for (case, first) in [(0u64, true), (1, false), (2, true), (3, false)] {
-        let mut cluster = settled_cluster(3, first, 350 + case);
-        let (back, last) = ([0, 1, 2, 0][case as usize], [1, 2, 0, 2][case as usize]);
+    for (case, first_version) in [(0u64, true), (1, false), (2, true), (3, false)] {
+        let mut cluster = cluster_before_upgrade(3, first_version, 350 + case);
+        let (rolled_back, last) = ([0, 1, 2, 0][case as usize], [1, 2, 0, 2][case as usize]);
         (0..3).filter(|n| *n != last).for_each(|n| cluster.replace_build(n, &NEXT_BUILD, 300));
         cluster.run_for_ms(6_000);
-        // Rolled back, while its announcement of the newer build still exists.
-        cluster.replace_build(back, &FORMAT_2_BUILD, 300);
-        if first {
-            cluster.legacy_controllers.insert(back);
+        // The controller is rolled back while its announcement of the newer build still exists.
+        cluster.replace_build(rolled_back, &FORMAT_2_BUILD, 300);
+        if first_version {
+            cluster.legacy_controllers.insert(rolled_back);
         }
         cluster.run_for_ms(300 + case * 400);
         cluster.replace_build(last, &NEXT_BUILD, 200);
         cluster.run_for_ms(15_000);
-        assert_eq!(cluster.activated_format().version, if first { 1 } else { 2 });
-        let step = if first { "format-2" } else { "format-3" };
+        assert_eq!(cluster.activated_format().version, if first_version { 1 } else { 2 });
+        let step = if first_version { "format-2" } else { "format-3" };
         let leader = cluster.leader().unwrap();
-        if leader != back {
-            let held = cluster.metrics_of(leader)[&format!("step_held_s.{step}.n{back}")];
-            assert!(held > 5.0, "since when: {held}");
-            let said = cluster.metrics_of(leader)[&format!("format_node.n{back}")];
-            assert!(first || said == 2.0, "the format it supports now: {said}");
+        if leader != rolled_back {
+            let blocked_s =
+                cluster.metrics_of(leader)[&format!("step_held_s.{step}.n{rolled_back}")];
+            assert!(blocked_s > 5.0, "blocked for only {blocked_s} s");
+            let supported_format =
+                cluster.metrics_of(leader)[&format!("format_node.n{rolled_back}")];
+            assert!(
+                first_version || supported_format == 2.0,
+                "reported as supporting format {supported_format}"
+            );
         }
         cluster.check_invariants();
-        cluster.replace_build(back, &NEXT_BUILD, 300);
+        cluster.replace_build(rolled_back, &NEXT_BUILD, 300);
         cluster.run_until(40_000, "all features are activated", all_features_active);
         assert_upgraded_and_serving(&mut cluster);
     }
 }
 
-/// A controller announces what it supports and is down when the others are ready. Nobody knows
-/// which build will come back, so nothing is activated; an older build does come back.
+/// A controller announces the formats that it supports, and is down when the others are upgraded.
+/// Nothing may be activated, because it is unknown which build it will run when it comes back; here
+/// it is an older one.
 #[test]
 fn activation_waits_when_a_controller_is_down() {
-    let mut cluster = settled_cluster(3, true, 360);
+    let mut cluster = cluster_before_upgrade(3, true, 360);
     cluster.replace_build(0, &NEXT_BUILD, 300);
     cluster.run_for_ms(4_000);
     cluster.crash(0);
@@ -211,13 +224,13 @@
     assert_upgraded_and_serving(&mut cluster);
 }
 
-/// The leader is partitioned from the state service between the last announcement and the
-/// activation, while another leads; its write is applied late or without an answer, or an outage
-/// falls on it. Each step is activated once.
+/// Guards against repeated or skipped activation steps: around the activation the leader is
+/// partitioned from the state service so that its writes arrive late and another controller leads,
+/// writes get no answer, or the state service is down. Each step must be activated once.
 #[test]
-fn features_activate_once_when_the_activation_write_is_late_or_lost() {
+fn steps_activate_once_when_the_write_is_late_or_lost() {
     for case in 0..18u64 {
-        let mut cluster = settled_cluster(3, case % 2 == 0, 370 + case);
+        let mut cluster = cluster_before_upgrade(3, case % 2 == 0, 370 + case);
         (0..3).for_each(|n| cluster.replace_build(n, &NEXT_BUILD, 300));
         cluster.run_until(20_000, "a controller leads", |cluster| cluster.leader().is_some());
         cluster.run_for_ms(200 + case * 110);
@@ -241,21 +254,22 @@
     }
 }
 
-/// An activation write is applied long after it was sent: a controller was rolled back in the
-/// meantime, another leads, or the same step was sent twice.
+/// Guards against activating a step by an outdated write: an activation is applied long after it
+/// was sent, when a controller has been rolled back, another controller leads, or the same step has
+/// been sent again.
 #[test]
-fn delayed_activation_has_no_effect() {
+fn delayed_activation_write_has_no_effect_when_outdated() {
     for case in 0..3u64 {
-        let mut cluster = settled_cluster(3, true, 395 + case);
+        let mut cluster = cluster_before_upgrade(3, true, 395 + case);
         cluster.state.hold_activations = true;
         (0..3).for_each(|n| cluster.replace_build(n, &NEXT_BUILD, 300));
         cluster.run_until(20_000, "an activation is sent", |cluster| cluster.held_call_count() > 0);
         let leader = cluster.leader().unwrap();
-        let other = (leader + 1) % 3;
+        let follower = (leader + 1) % 3;
         match case {
             0 => {
-                cluster.replace_build(other, &FORMAT_2_BUILD, 100);
-                cluster.legacy_controllers.insert(other);
+                cluster.replace_build(follower, &FORMAT_2_BUILD, 100);
+                cluster.legacy_controllers.insert(follower);
                 cluster.run_for_ms(1_200);
             }
             1 => {
@@ -273,7 +287,7 @@
         cluster.check_invariants();
         if case == 0 {
             assert_eq!(cluster.activated_format().version, 1);
-            cluster.replace_build(other, &NEXT_BUILD, 100);
+            cluster.replace_build(follower, &NEXT_BUILD, 100);
         }
         cluster.run_until(40_000, "all features are activated", all_features_active);
         assert_activated_in_order(&cluster);
@@ -282,13 +296,13 @@
     }
 }
 
-/// A controller announces its formats under the key on its lease. The first write of that key is
-/// refused, and it is written again.
+/// A controller announces its formats under a key that is bound to its lease. The first write of
+/// that key is refused. The controller must write it again, so that the activation proceeds.
 #[test]
 fn member_key_is_rewritten_when_its_first_write_is_refused() {
-    let mut cluster = settled_cluster(3, true, 392);
+    let mut cluster = cluster_before_upgrade(3, true, 392);
     cluster.state.refused_key_part = Some("members/n1".into());
-    // They are down for longer than their leases.
+    // The controllers are down for longer than their leases, so that their keys have expired.
     (0..3).for_each(|n| cluster.replace_build(n, &NEXT_BUILD, 4_000));
     cluster.run_for_ms(12_000);
     assert_eq!(cluster.activated_format().version, 1);
@@ -297,11 +311,12 @@
     assert_upgraded_and_serving(&mut cluster);
 }
 
-/// A build that lacks an activated feature neither leads nor is ready, also when all others are
-/// down, and announces what it supports, so that no further step is activated.
+/// A controller whose build lacks an activated feature neither becomes leader nor reports itself
+/// ready, even if all others are down. Its announcement of the features that it supports blocks
+/// further activations.
 #[test]
 fn outdated_controller_neither_leads_nor_serves() {
-    let mut cluster = settled_cluster(3, false, 400);
+    let mut cluster = cluster_before_upgrade(3, false, 400);
     (0..3).for_each(|n| cluster.replace_build(n, &NEXT_BUILD, 300));
     cluster.run_until(40_000, "all features are activated", all_features_active);
     cluster.replace_build(1, &FORMAT_2_BUILD, 300);
@@ -315,45 +330,51 @@
     assert_eq!(cluster.metrics_of(1)["format_foreign"], 1.0);
     (0..3).filter(|n| *n != 1).for_each(|n| cluster.start_controller(n));
     cluster.run_for_ms(6_000);
-    assert_eq!(cluster.activated_format().features.len(), 2, "activated features stay activated");
+    assert_eq!(cluster.activated_format().features.len(), 2, "activated features were deactivated");
     cluster.replace_build(1, &NEXT_BUILD, 300);
     cluster.run_for_ms(4_000);
     assert_upgraded_and_serving(&mut cluster);
 }
 
-/// An operator withholds a format or feature on one controller by its name: that step and those
-/// that need it wait, all others are activated; once it is released, the rest follows.
+/// An operator withholds a format or feature on one controller by its name. That step and those
+/// that require it wait, while all others are activated. Once it is no longer withheld, the
+/// remaining steps follow.
 #[test]
 fn withheld_step_is_activated_only_when_released() {
-    for (at, name) in ALL_STEPS.into_iter().enumerate() {
-        let mut cluster = settled_cluster(3, true, 410 + at as u64);
-        let holder = at % 3;
-        cluster.withheld_features.insert(holder, vec![name.to_string()]);
+    for (step_index, name) in ALL_STEPS.into_iter().enumerate() {
+        let mut cluster = cluster_before_upgrade(3, true, 410 + step_index as u64);
+        let withholding_node = step_index % 3;
+        cluster.withheld_features.insert(withholding_node, vec![name.to_string()]);
         (0..3).for_each(|n| cluster.replace_build(n, &NEXT_BUILD, 300));
         cluster.run_for_ms(20_000);
-        assert_eq!(activations(&cluster).len(), at, "up to {name}");
+        assert_eq!(
+            activations(&cluster).len(),
+            step_index,
+            "only the steps before {name} are to be activated"
+        );
         let leader = cluster.leader().unwrap();
-        assert!(cluster.metrics_of(leader).contains_key(&format!("step_held_s.{name}.n{holder}")));
+        assert!(cluster
+            .metrics_of(leader)
+            .contains_key(&format!("step_held_s.{name}.n{withholding_node}")));
         cluster.withheld_features.clear();
-        cluster.crash_for_ms(holder, 300);
+        cluster.crash_for_ms(withholding_node, 300);
         cluster.run_until(40_000, "all features are activated", all_features_active);
         assert_upgraded_and_serving(&mut cluster);
     }
 }
 
-/// A controller that the settings name and that never starts blocks every step; so does one that
-/// is alive and not named by the leader's settings any more, or not yet. Seven controllers, and a
-/// list that changes on the way.
+/// Of seven configured controllers one never starts: it blocks every step. A live controller that
+/// the leader's settings do not name, or no longer name, blocks every step too.
 #[test]
-fn activation_waits_for_every_configured_and_every_live_controller() {
-    let mut cluster = settled_cluster(7, true, 430);
+fn activation_waits_for_all_configured_and_live_controllers() {
+    let mut cluster = cluster_before_upgrade(7, true, 430);
     cluster.crash(6);
     (0..6).for_each(|n| cluster.replace_build(n, &NEXT_BUILD, 300 + n as u64 * 100));
     cluster.run_for_ms(12_000);
     assert_eq!(cluster.activated_format().version, 1);
     let leader = cluster.leader().unwrap();
     assert!(cluster.metrics_of(leader).contains_key("step_held_s.format-2.n6"));
-    // The sixth is rolled back, and the settings of the others come to name five.
+    // Controller n5 is rolled back, and the others' settings are reduced to five controllers.
     cluster.replace_build(5, &FORMAT_2_BUILD, 300);
     cluster.legacy_controllers.insert(5);
     for n in 0..5 {
@@ -362,17 +383,21 @@
         cluster.run_for_ms(1_500);
     }
     cluster.run_for_ms(12_000);
-    assert_eq!(cluster.activated_format().version, 1, "the sixth controller is alive");
+    assert_eq!(
+        cluster.activated_format().version,
+        1,
+        "a step was activated although the live controller n5 does not support it"
+    );
     cluster.crash(5);
     cluster.run_until(60_000, "all features are activated", all_features_active);
     assert_upgraded_and_serving(&mut cluster);
 }
 
-/// An unreadable announcement counts as none, and an unreadable record of what is activated is not
-/// guessed at.
+/// An unreadable announcement counts as a missing one and blocks the activation. If the activation
+/// record is unreadable, a controller reports an unsupported format instead of assuming one.
 #[test]
 fn activation_waits_when_an_announcement_is_damaged() {
-    let mut cluster = settled_cluster(3, true, 440);
+    let mut cluster = cluster_before_upgrade(3, true, 440);
     (0..2).for_each(|n| cluster.replace_build(n, &NEXT_BUILD, 300));
     cluster.run_for_ms(6_000);
     let revision = cluster.state.revision;
@@ -388,41 +413,42 @@
     cluster.check_invariants();
 }
 
-/// A random rollout: which controller is replaced when, by what, and what fails meanwhile.
+/// Simulates a rollout that replaces random controllers by either build at random times while
+/// random faults are injected, and then completes the upgrade.
 fn random_rollout(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let nodes = [3, 3, 3, 5][rng.random_range(0..4)];
-    let mut cluster = settled_cluster(nodes, rng.random_bool(0.5), seed);
-    let begin = cluster.activated_format();
-    let mut left: BTreeSet<usize> = (0..nodes).collect();
-    let mut jobs = 10;
+    let mut cluster = cluster_before_upgrade(nodes, rng.random_bool(0.5), seed);
+    let initial_format = cluster.activated_format();
+    let mut not_upgraded: BTreeSet<usize> = (0..nodes).collect();
+    let mut next_job = 10;
     for _ in 0..rng.random_range(8..24) {
         let n = rng.random_range(0..nodes);
         match rng.random_range(0..12) {
             0..4 => {
                 cluster.replace_build(n, &NEXT_BUILD, rng.random_range(50..2_000));
-                left.remove(&n);
+                not_upgraded.remove(&n);
             }
-            // Rolled back, as long as nothing new is activated.
-            4 if cluster.activated_format() == begin => {
+            // A controller can be rolled back only while no further step is activated.
+            4 if cluster.activated_format() == initial_format => {
                 cluster.replace_build(n, &FORMAT_2_BUILD, rng.random_range(50..2_000));
-                if begin.version == 1 {
+                if initial_format.version == 1 {
                     cluster.legacy_controllers.insert(n);
                 }
-                left.insert(n);
+                not_upgraded.insert(n);
             }
             5 => cluster.crash_for_ms(n, rng.random_range(50..4_000)),
             6 => {
-                let how = [LinkFault::Drop, LinkFault::Hold][rng.random_range(0..2)];
-                cluster.cut_from_state_service(n, how);
+                let link_fault = [LinkFault::Drop, LinkFault::Hold][rng.random_range(0..2)];
+                cluster.cut_from_state_service(n, link_fault);
             }
             7 => cluster.cut_controllers(n, rng.random_range(0..nodes), LinkFault::Drop),
             8 => cluster.heal_links(),
             9 => cluster.state.unanswered_writes = rng.random_range(1..4),
             10 if cluster.is_up(n) => cluster.stall(n, rng.random_range(300..5_000)),
             _ => {
-                let id = format!("wk-{jobs:06}");
-                jobs += 1;
+                let id = format!("wk-{next_job:06}");
+                next_job += 1;
                 cluster.submit(n, &job(&id, JobKind::Array, 2));
                 if rng.random_bool(0.3) {
                     cluster.abort(rng.random_range(0..nodes), &id);
@@ -434,7 +460,7 @@
     }
     cluster.heal_links();
     cluster.state.unanswered_writes = 0;
-    for n in left {
+    for n in not_upgraded {
         cluster.replace_build(n, &NEXT_BUILD, 300);
         cluster.run_for_ms(rng.random_range(0..1_500));
     }
@@ -443,15 +469,16 @@
     assert_upgraded_and_serving(&mut cluster);
 }
 
-/// Random rollouts violate no invariant and end with everything activated. More seeds: `ROLLS=2000
-/// cargo test -p quartzgate-core --test simulation rollouts_complete_under_random_faults`.
+/// Random rollouts violate no invariant and end with all steps activated. To run more seeds:
+/// `ROLLS=2000 cargo test -p quartzgate-core --test simulation
+/// rollouts_complete_under_random_faults`.
 #[test]
 fn rollouts_complete_under_random_faults() {
-    let many = std::env::var("ROLLS").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
-    (0..many).for_each(|n| random_rollout(50_000 + n));
+    let seed_count = std::env::var("ROLLS").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
+    (0..seed_count).for_each(|n| random_rollout(50_000 + n));
 }
 
-/// The feature tables of these tests are valid and extend the real one.
+/// The feature tables of these tests are valid and contain all features of the real table.
 #[test]
 fn test_feature_tables_extend_the_real_one() {
     assert_eq!(
@@ -459,6 +486,7 @@
         (Ok(()), Ok(()), Ok(()))
     );
     assert_eq!(NEXT_BUILD.step_names(), ALL_STEPS);
-    let known = GATES.features.iter().all(|f| NEXT_BUILD.features.iter().any(|g| g.name == f.name));
-    assert!(known && NEXT_BUILD.newest_format() == GATES.newest_format());
+    let all_known =
+        GATES.features.iter().all(|f| NEXT_BUILD.features.iter().any(|g| g.name == f.name));
+    assert!(all_known && NEXT_BUILD.newest_format() == GATES.newest_format());
 }
