--- a/crates/quartzgate/src/connection.rs
+++ b/crates/quartzgate/src/connection.rs
@@ -1,7 +1,7 @@
 //! One TCP connection: its buffers, its state and its deadlines.
 //!
-//! A connection knows HTTP messages and bytes, but neither the table that holds it nor the
-//! core. Its state changes only in [`Connection::transition_to`].
+//! A connection handles bytes and HTTP messages; it depends neither on the table that holds it
+//! nor on the core. Its state changes only in [`Connection::transition_to`].
 
 use std::io::{self, ErrorKind, Read, Write};
 
@@ -9,23 +9,24 @@
 use quartzgate_core::{CallId, Peer, RequestId};
 use quartzgate_wire::http::{self, HttpError, Request, Response};
 
-/// Time for the rest of a request, for the core's response, or for taking that response.
+/// Time limit for each phase of an inbound exchange: receiving the rest of a request, the core's
+/// response, and sending that response.
 const MAX_EXCHANGE_MS: u64 = 10_000;
-/// Idle inbound connections are closed after this.
+/// Idle time after which an inbound connection is closed.
 const MAX_INBOUND_IDLE_MS: u64 = 12 * MAX_EXCHANGE_MS;
-/// Idle outbound connections are closed after this.
+/// Idle time after which an outbound connection is closed.
 const MAX_OUTBOUND_IDLE_MS: u64 = 3 * MAX_EXCHANGE_MS;
-/// Stands for the absence of a deadline.
+/// Deadline value that stands for no deadline.
 const NO_DEADLINE: u64 = u64::MAX;
-/// Largest capacity that an empty buffer keeps, so that idle connections hold no memory.
+/// Largest capacity that an empty buffer keeps, so that idle connections hold little memory.
 const MAX_EMPTY_CAPACITY: usize = 4 * 1024;
 
-/// Bytes buffered of a request beyond its body: its head and a part of the next one.
+/// Bytes buffered in addition to the body of a request: its head and a part of the next request.
 const REQUEST_BUFFER_MARGIN: usize = 2 * http::MAX_HEAD;
-/// Bytes buffered of a response beyond its body: its head.
+/// Bytes buffered in addition to the body of a response: its head.
 const RESPONSE_BUFFER_MARGIN: usize = http::MAX_HEAD;
 
-/// The address on which an inbound connection was accepted.
+/// The listening address on which an inbound connection was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
     /// Users, workers and health checks.
@@ -34,7 +35,7 @@
     Mesh,
 }
 
-/// Which end opened a connection, and who is at the other one.
+/// Which end opened a connection, with the kind of the remote end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// Accepted from a client.
@@ -46,92 +47,93 @@
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Inbound: between two requests, or one is partly read.
+    /// Inbound: no request is being processed; a part of the next one may have been read, and the
+    /// last response may not be fully sent.
     Reading,
-    /// Inbound: its request is queued or with the core.
+    /// Inbound: a request is queued or is being handled by the core.
     Processing(RequestId),
-    /// Outbound: the handshake is not over; the call's request is in the output buffer.
+    /// Outbound: the TCP handshake is not complete; the call's request is in the output buffer.
     Connecting(CallId),
     /// Outbound: a request is being sent, or its response is outstanding.
     Calling(CallId),
-    /// Outbound: pooled for the next call.
+    /// Outbound: no call is in flight; the connection can be pooled for the next one.
     Idle,
 }
 
-/// What a socket is ready for.
+/// Readiness of a socket as the poll reports it.
 #[derive(Clone, Copy, Debug)]
 pub struct Readiness {
     pub readable: bool,
     pub writable: bool,
 }
 
-/// How far the handshake of an outbound connection has come.
+/// Progress of the TCP handshake of an outbound connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Handshake {
-    /// The socket says nothing yet.
+    /// The handshake is still in progress.
     Pending,
-    /// The peer has accepted; the request can be sent.
+    /// The connection is established; the request can be sent.
     Complete,
-    /// The peer refused, or it took too long; nothing was sent.
+    /// The peer refused the connection, or the call's deadline has passed; nothing was sent.
     Failed,
 }
 
-/// What an inbound connection has for its owner.
+/// Progress of reading the next request from an inbound connection.
 #[derive(Debug)]
 pub enum RequestProgress {
-    /// Nothing yet.
+    /// No complete request can be taken yet.
     Incomplete,
-    /// A whole request.
+    /// A complete request.
     Complete(Request),
-    /// The connection has no further use.
+    /// The connection has no further use and is to be closed.
     Finished,
 }
 
-/// What an outbound connection has for its owner.
+/// Progress of reading the response from an outbound connection.
 #[derive(Debug)]
 pub enum ResponseProgress {
-    /// Nothing yet.
+    /// The response is not complete yet, or no call is in flight.
     Incomplete,
-    /// The whole response to a call. The connection is idle now, and can carry another
-    /// call if it is `reusable`.
+    /// The complete response to a call. The connection is idle now, and can carry another call if
+    /// it is `reusable`.
     Complete { call: CallId, response: Response, reusable: bool },
     /// The peer closed the connection before the response was complete.
     Interrupted,
-    /// The response can't be read.
+    /// The response is not valid HTTP, or exceeds a size limit.
     Malformed,
     /// The peer closed an idle connection, or sent data without a request.
     Finished,
 }
 
-/// A TCP connection.
+/// A TCP connection with its buffers, state and deadlines.
 pub struct Connection {
     stream: TcpStream,
     direction: Direction,
     state: State,
-    /// Largest body of a message that comes in, in bytes.
+    /// Largest body of a received message, in bytes.
     max_body: usize,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Bytes of `output` that are written already.
+    /// Number of bytes of `output` that have been written to the socket.
     written: usize,
-    /// When it was last ready or changed its state.
-    active_ms: u64,
-    /// When the present call or request must be over.
+    /// Time at which the socket last became ready or the state last changed.
+    last_active_ms: u64,
+    /// Deadline of the current call or of the current phase of the exchange.
     deadline_ms: u64,
-    /// Inbound: when a request on it was last answered with 200.
-    succeeded_ms: u64,
-    /// Inbound: a worker has sent a heartbeat on it.
+    /// Inbound: time at which a request was last answered with status 200; 0 if none was.
+    last_success_ms: u64,
+    /// Inbound: whether a worker has sent a heartbeat on this connection.
     serves_worker: bool,
-    /// The connection is to be closed after this exchange.
-    closing: bool,
-    /// Outbound: it has completed a call before.
+    /// Whether the connection is to be closed after the current exchange.
+    close_after_exchange: bool,
+    /// Outbound: whether an earlier call completed on this connection.
     reused: bool,
-    /// The other end has sent all that it will.
-    ended: bool,
+    /// Whether the remote end has closed its sending direction.
+    eof_received: bool,
 }
 
 impl Connection {
-    /// A connection that was accepted.
+    /// Creates the state of an accepted connection.
     pub fn inbound(stream: TcpStream, endpoint: Endpoint, now_ms: u64) -> Self {
         let max_body = match endpoint {
             Endpoint::Clients => http::MAX_BODY,
@@ -140,8 +142,8 @@
         Self::new(stream, Direction::Inbound(endpoint), State::Reading, max_body, now_ms)
     }
 
-    /// A connection that is being opened for a call, whose response may have a body of so many
-    /// bytes.
+    /// Creates the state of a connection that is being opened for a call. The body of a response
+    /// may have at most `max_body` bytes.
     pub fn outbound(
         stream: TcpStream,
         peer: Peer,
@@ -171,54 +173,54 @@
             input: Vec::new(),
             output: Vec::new(),
             written: 0,
-            active_ms: now_ms,
+            last_active_ms: now_ms,
             deadline_ms: NO_DEADLINE,
-            succeeded_ms: 0,
+            last_success_ms: 0,
             serves_worker: false,
-            closing: false,
+            close_after_exchange: false,
             reused: false,
-            ended: false,
+            eof_received: false,
         }
     }
 
-    /// The one function that changes the state.
+    /// Changes the state. No other function does.
     fn transition_to(&mut self, state: State, now_ms: u64, deadline_ms: u64) {
         self.state = state;
-        self.active_ms = now_ms;
+        self.last_active_ms = now_ms;
         self.deadline_ms = deadline_ms;
     }
 
-    /// The socket, to register it with the poll.
+    /// Returns the socket, for registration with the poll.
     pub fn stream_mut(&mut self) -> &mut TcpStream {
         &mut self.stream
     }
 
-    /// Which end opened it, and who is at the other one.
+    /// Returns which end opened the connection, with the kind of the remote end.
     pub fn direction(&self) -> &Direction {
         &self.direction
     }
 
-    /// What it is doing.
+    /// Returns the state of the connection.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// When it was last ready or changed its state.
-    pub fn active_ms(&self) -> u64 {
-        self.active_ms
+    /// Returns the time at which the socket last became ready or the state last changed.
+    pub fn last_active_ms(&self) -> u64 {
+        self.last_active_ms
     }
 
-    /// When its present call or request must be over.
+    /// Returns the deadline of the current call or of the current phase of the exchange.
     pub fn deadline_ms(&self) -> u64 {
         self.deadline_ms
     }
 
-    /// Its socket has become ready.
-    pub fn touch(&mut self, now_ms: u64) {
-        self.active_ms = now_ms;
+    /// Records that the socket has become ready.
+    pub fn record_activity(&mut self, now_ms: u64) {
+        self.last_active_ms = now_ms;
     }
 
-    /// A client's connection on which nothing has come and nothing is to go.
+    /// Returns whether this is a client's connection between two requests with empty buffers.
     pub fn is_idle_client(&self) -> bool {
         self.direction == Direction::Inbound(Endpoint::Clients)
             && self.state == State::Reading
@@ -229,7 +231,7 @@
         self.input.is_empty() && self.output.is_empty()
     }
 
-    /// Its exchange has exceeded its deadline, or it has been idle for too long.
+    /// Returns whether the exchange is past its deadline or the connection has been idle too long.
     pub fn is_expired(&self, now_ms: u64) -> bool {
         self.is_overdue(now_ms) || self.is_idle_too_long(now_ms)
     }
@@ -247,11 +249,12 @@
             Direction::Inbound(_) => MAX_INBOUND_IDLE_MS,
             Direction::Outbound(_) => MAX_OUTBOUND_IDLE_MS,
         };
-        matches!(self.state, State::Reading | State::Idle) && now_ms >= self.active_ms + max_idle_ms
+        matches!(self.state, State::Reading | State::Idle)
+            && now_ms >= self.last_active_ms + max_idle_ms
     }
 
-    /// Writes and reads what the socket is ready for; an error means that the connection
-    /// is broken. `buffer` is scratch space for reading.
+    /// Writes and reads as far as the socket is ready; an error means that the connection is
+    /// broken. `buffer` is scratch space for reading.
     pub fn transfer(&mut self, ready: Readiness, buffer: &mut [u8]) -> io::Result<()> {
         if ready.writable && !self.output.is_empty() {
             self.flush()?;
@@ -262,7 +265,8 @@
         Ok(())
     }
 
-    /// Reads what has come, up to a bound: the peer can't make us buffer more.
+    /// Reads the available data until the input exceeds a bound, so that the remote end can't make
+    /// this process buffer an unlimited amount.
     fn fill(&mut self, buffer: &mut [u8]) -> io::Result<()> {
         let max_input = match self.direction {
             Direction::Inbound(_) => self.max_body + REQUEST_BUFFER_MARGIN,
@@ -271,12 +275,12 @@
         while self.input.len() <= max_input {
             match self.stream.read(buffer) {
                 Ok(0) => {
-                    self.ended = true;
+                    self.eof_received = true;
                     break;
                 }
                 Ok(length) => {
                     self.input.extend_from_slice(&buffer[..length]);
-                    // A short read has emptied the socket; more brings a new event.
+                    // A short read has emptied the socket; further data causes a new event.
                     if length < buffer.len() {
                         break;
                     }
@@ -289,7 +293,7 @@
         Ok(())
     }
 
-    /// Writes as much of the output as the socket takes.
+    /// Writes as much of the output as the socket accepts.
     fn flush(&mut self) -> io::Result<()> {
         while self.written < self.output.len() {
             match self.stream.write(&self.output[self.written..]) {
@@ -306,7 +310,7 @@
         Ok(())
     }
 
-    /// Drops a message that was taken off the front of the input.
+    /// Removes a parsed message of `length` bytes from the front of the input.
     fn consume(&mut self, length: usize) {
         self.input.drain(..length);
         if self.input.is_empty() {
@@ -315,32 +319,33 @@
     }
 }
 
-/// Inbound connections: requests are read and answered one after the other.
+/// Inbound connections: requests are read and answered one at a time.
 impl Connection {
-    /// Takes the next request off the input. While one is being processed, the next waits.
+    /// Takes the next request off the input. While a request is being processed, the next one
+    /// stays in the input.
     pub fn next_request(&mut self, now_ms: u64) -> Result<RequestProgress, HttpError> {
         if matches!(self.state, State::Processing(_)) {
-            // If the client has disconnected, nobody can receive the response.
-            return Ok(self.finished_if(self.ended));
+            // Without a client to receive the response, the connection has no further use.
+            return Ok(self.finished_if(self.eof_received));
         }
-        if self.closing {
-            return Ok(self.finished_if(self.ended || self.output.is_empty()));
+        if self.close_after_exchange {
+            return Ok(self.finished_if(self.eof_received || self.output.is_empty()));
         }
         if self.input.is_empty() {
-            if !self.ended {
+            if !self.eof_received {
                 self.deadline_ms = NO_DEADLINE;
             }
-            return Ok(self.finished_if(self.ended));
+            return Ok(self.finished_if(self.eof_received));
         }
         let Some((request, length)) = http::parse_request_within(&self.input, self.max_body)?
         else {
-            if !self.ended && self.deadline_ms == NO_DEADLINE {
+            if !self.eof_received && self.deadline_ms == NO_DEADLINE {
                 self.deadline_ms = now_ms + MAX_EXCHANGE_MS;
             }
-            return Ok(self.finished_if(self.ended));
+            return Ok(self.finished_if(self.eof_received));
         };
         self.consume(length);
-        self.closing = request.close;
+        self.close_after_exchange = request.close;
         Ok(RequestProgress::Complete(request))
     }
 
@@ -351,32 +356,32 @@
         }
     }
 
-    /// A request that was taken off it is queued under this id.
+    /// Records that a request taken off this connection is queued under this id.
     pub fn begin_processing(&mut self, id: RequestId, now_ms: u64) {
         self.transition_to(State::Processing(id), now_ms, now_ms + MAX_EXCHANGE_MS);
     }
 
-    /// Whether this request is being processed on it.
+    /// Returns whether the request with this id is being processed on this connection.
     pub fn is_processing(&self, id: RequestId) -> bool {
         self.state == State::Processing(id)
     }
 
-    /// Answers the request that is being processed; an error means that the connection is
-    /// broken.
+    /// Sends the response to the request that is being processed; an error means that the
+    /// connection is broken.
     pub fn send_response(&mut self, mut response: Response, now_ms: u64) -> io::Result<()> {
-        response.close = self.closing;
+        response.close = self.close_after_exchange;
         if response.status == 200 {
-            self.succeeded_ms = now_ms;
+            self.last_success_ms = now_ms;
         }
         http::write_response(&mut self.output, &response);
         self.transition_to(State::Reading, now_ms, now_ms + MAX_EXCHANGE_MS);
         self.flush()
     }
 
-    /// Answers a request that can't be read; since its end is unknown, the connection has
-    /// no use afterwards. True if the response is written whole.
+    /// Answers a request that can't be parsed. Since the end of that request is unknown, the
+    /// connection can't be used afterwards. Returns whether the response is completely written.
     pub fn send_rejection(&mut self, error: HttpError, now_ms: u64) -> io::Result<bool> {
-        self.closing = true;
+        self.close_after_exchange = true;
         self.input = Vec::new();
         let mut response = Response::new(error.status(), Vec::new());
         response.close = true;
@@ -386,23 +391,23 @@
         Ok(self.output.is_empty())
     }
 
-    /// When a request on it was last answered with 200; 0 if none was.
-    pub fn succeeded_ms(&self) -> u64 {
-        self.succeeded_ms
+    /// Returns the time at which a request was last answered with status 200; 0 if none was.
+    pub fn last_success_ms(&self) -> u64 {
+        self.last_success_ms
     }
 
-    /// A worker's heartbeat has come on it.
+    /// Records that a worker has sent a heartbeat on this connection.
     pub fn mark_worker(&mut self) {
         self.serves_worker = true;
     }
 
-    /// Whether a worker's heartbeat has come on it.
+    /// Returns whether a worker has sent a heartbeat on this connection.
     pub fn serves_worker(&self) -> bool {
         self.serves_worker
     }
 }
 
-/// The request of a call, ready to be sent.
+/// The encoded request of a call.
 #[derive(Debug)]
 pub struct OutboundRequest {
     pub id: CallId,
@@ -410,9 +415,10 @@
     pub deadline_ms: u64,
 }
 
-/// Outbound connections: they carry one call after the other.
+/// Outbound connections: calls are carried one at a time.
 impl Connection {
-    /// Looks whether the handshake is over; if so, the request can be sent.
+    /// Checks whether the TCP handshake is complete. The handshake fails if the socket becomes
+    /// ready only after the call's deadline.
     pub fn advance_handshake(&mut self, ready: Readiness, now_ms: u64) -> Handshake {
         let State::Connecting(call) = self.state else { return Handshake::Complete };
         if !ready.readable && !ready.writable {
@@ -440,40 +446,41 @@
         self.flush()
     }
 
-    /// Takes the response to the present call off the input.
+    /// Takes the response to the current call off the input.
     pub fn next_response(&mut self, now_ms: u64) -> ResponseProgress {
         let State::Calling(call) = self.state else {
-            return match self.ended || !self.input.is_empty() {
+            return match self.eof_received || !self.input.is_empty() {
                 true => ResponseProgress::Finished,
                 false => ResponseProgress::Incomplete,
             };
         };
         let (response, length) = match http::parse_response_within(&self.input, self.max_body) {
             Ok(Some(parsed)) => parsed,
-            Ok(None) if self.ended => return ResponseProgress::Interrupted,
+            Ok(None) if self.eof_received => return ResponseProgress::Interrupted,
             Ok(None) => return ResponseProgress::Incomplete,
             Err(_) => return ResponseProgress::Malformed,
         };
         self.consume(length);
         self.reused = true;
         self.transition_to(State::Idle, now_ms, NO_DEADLINE);
-        let reusable = !response.close && !self.ended && self.input.is_empty();
+        let reusable = !response.close && !self.eof_received && self.input.is_empty();
         ResponseProgress::Complete { call, response, reusable }
     }
 
-    /// It can carry another call.
+    /// Returns whether the connection is idle and the peer has not closed it.
     pub fn is_available(&self) -> bool {
-        self.state == State::Idle && !self.ended
+        self.state == State::Idle && !self.eof_received
     }
 
-    /// If it breaks now, the peer most likely closed it before it saw the request: an idle
-    /// connection may be closed at any time.
+    /// Returns whether the connection was reused and no byte of a response has arrived. If such a
+    /// connection breaks, the peer most likely closed it before it received the request, since an
+    /// idle connection may be closed at any time.
     pub fn broke_before_response(&self) -> bool {
         self.reused && self.input.is_empty()
     }
 }
 
-/// Gives back a large allocation of an empty buffer.
+/// Releases the allocation of an empty buffer if it exceeds [`MAX_EMPTY_CAPACITY`].
 fn shrink(buffer: &mut Vec<u8>) {
     if buffer.capacity() > MAX_EMPTY_CAPACITY {
         *buffer = Vec::new();
--- a/crates/quartzgate/src/event_loop.rs
+++ b/crates/quartzgate/src/event_loop.rs
@@ -1,10 +1,10 @@
-//! The event loop: brings sockets, timers and clocks to the core, and carries out what it
-//! decides.
+//! The event loop: passes socket events and clock ticks to the core, and executes the actions
+//! that the core decides on.
 //!
-//! One thread does everything. Each round waits for sockets, reads what has come, serves
-//! queued requests for a bounded time, and tells the core the time. The core answers every
-//! event with actions; they are carried out before the next event is looked at, so that it
-//! never sees the world change in between.
+//! The loop runs on a single thread. Each iteration passes a tick to the core when one is due,
+//! waits for sockets, reads the received data, and serves queued requests for a bounded time.
+//! The core answers every event with actions; all of them are executed before the next socket
+//! event or tick is handled, so that the state can't change between a decision and its execution.
 
 use std::collections::VecDeque;
 use std::io;
@@ -24,38 +24,38 @@
 use crate::listeners::{ListenError, Listeners};
 use crate::outbound::{OutboundCalls, PeerAddresses, WaitingLimits};
 
-/// How often the core is told the time.
+/// Interval between two ticks of the core.
 const TICK_INTERVAL_MS: u64 = 25;
-/// How often connections and calls are checked for what has taken too long.
+/// Interval between two checks for expired connections and waiting calls.
 const EXPIRY_INTERVAL_MS: u64 = 4 * TICK_INTERVAL_MS;
-/// Time without a look at the sockets past which this process must have been stalled.
+/// Longest regular time between two polls of the sockets; a longer gap is a process stall.
 const MAX_POLL_GAP_MS: u64 = EXPIRY_INTERVAL_MS;
-/// Longest time for which queued requests are served before the sockets are looked at
-/// again, so that what is more urgent overtakes them.
+/// Longest time for which queued requests are served before the sockets are polled again, so
+/// that more urgent requests that have arrived meanwhile overtake them.
 const MAX_SERVE_SLICE_MS: u64 = TICK_INTERVAL_MS;
-/// Most ready sockets reported in one round.
+/// Largest number of ready sockets that one poll reports.
 const MAX_EVENTS: usize = 1_024;
 
 /// Why the event loop could not start, or has ended.
 #[derive(Debug, thiserror::Error)]
 pub enum EventLoopError {
-    /// The settings hold an invalid address.
+    /// An address in the settings is not an IP address with a port.
     #[error("invalid address in the settings: {0}")]
     Address(#[from] AddrParseError),
-    /// An address can't be listened on.
+    /// Binding a listening socket to its address, or registering it with the poll, failed.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The operating system refuses to report ready sockets.
+    /// Creating the poll failed, or the operating system failed to report ready sockets.
     #[error("waiting for sockets failed: {0}")]
     Poll(#[from] io::Error),
 }
 
-/// Serves with these settings, until an error ends it.
+/// Runs the controller with these settings; returns only when an error ends the event loop.
 pub fn run(config: Config) -> Result<(), EventLoopError> {
     EventLoop::new(config)?.run()
 }
 
-/// An action of the core, and when it was decided.
+/// An action to execute, with the time at which it was decided.
 struct DecidedAction {
     decided_ms: u64,
     action: Action,
@@ -68,7 +68,7 @@
     connections: ConnectionTable,
     inbound: InboundRequests,
     outbound: OutboundCalls,
-    /// Actions that are to be carried out, in order.
+    /// Actions still to be executed, in the order in which they were decided.
     actions: VecDeque<DecidedAction>,
 }
 
@@ -126,18 +126,18 @@
         }
     }
 
-    /// Does the periodic work.
+    /// Runs the periodic work: expiry, the tick of the core, and the load state.
     fn tick(&mut self, now_ms: u64, schedule: &mut Schedule) {
         if schedule.take_expiry(now_ms) {
             self.expire(now_ms);
         }
-        self.feed(Event::Tick);
+        self.process(Event::Tick);
         if let Some(event) = self.inbound.update_load(now_ms, &self.connections) {
-            self.feed(event);
+            self.process(event);
         }
     }
 
-    /// Waits until sockets are ready or a tick is due; with work queued, only polls.
+    /// Waits until sockets are ready or a tick is due; polls without waiting while work is queued.
     fn wait(&mut self, events: &mut Events, schedule: &mut Schedule) -> io::Result<()> {
         let work_queued = schedule.reads_backlog() || !self.inbound.is_empty();
         let before_ms = self.clock.steady_ms();
@@ -147,13 +147,13 @@
         };
         self.connections.wait(events, timeout)?;
         let after_ms = self.clock.steady_ms();
-        schedule.note_poll(after_ms);
-        // What was there without waiting may have come at any time before.
+        schedule.record_poll(after_ms);
+        // Data that a poll without waiting finds may have arrived at any time before it.
         self.inbound.set_arrival(if work_queued { before_ms } else { after_ms });
         Ok(())
     }
 
-    /// Handles a ready socket, and all that follows.
+    /// Handles a ready socket, then executes all resulting actions.
     fn dispatch(&mut self, event: &mio::event::Event) {
         let ready = Readiness { readable: event.is_readable(), writable: event.is_writable() };
         match EventSource::from_token(event.token()) {
@@ -162,14 +162,14 @@
             }
             EventSource::Connection(key) => self.on_ready(key, ready),
         }
-        self.settle();
+        self.run_pending();
     }
 
     fn on_ready(&mut self, key: ConnectionKey, ready: Readiness) {
         match self.connections.get(key).map(|connection| connection.direction()) {
             Some(Direction::Inbound(_)) => {
                 let refusal = self.inbound.on_ready(&mut self.connections, key, ready);
-                self.decide(refusal);
+                self.queue_action(refusal);
             }
             Some(Direction::Outbound(_)) => {
                 self.outbound.on_ready(&mut self.connections, key, ready);
@@ -178,17 +178,18 @@
         }
     }
 
-    /// Serves queued requests, the most urgent first, for a slice of time.
+    /// Serves queued requests, the most urgent first, until [`MAX_SERVE_SLICE_MS`] have passed or
+    /// the queue is empty.
     fn serve_queued(&mut self) {
         let mut now_ms = self.clock.steady_ms();
         let end_ms = now_ms + MAX_SERVE_SLICE_MS;
         while now_ms < end_ms {
             match self.inbound.next(now_ms) {
                 None => return,
-                Some(NextRequest::Handle(event)) => self.feed(event),
+                Some(NextRequest::Handle(event)) => self.process(event),
                 Some(NextRequest::Refuse(action)) => {
-                    self.decide(Some(action));
-                    self.settle();
+                    self.queue_action(Some(action));
+                    self.run_pending();
                 }
                 Some(NextRequest::Abandoned) => {}
             }
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Ends what has taken too long.
+    /// Ends connections and waiting calls that have exceeded their deadline or idle limit.
     fn expire(&mut self, now_ms: u64) {
         for key in self.connections.expired(now_ms) {
             match self.connections.get(key).map(|connection| connection.direction()) {
@@ -208,30 +209,30 @@
             }
         }
         self.outbound.expire_waiting(now_ms);
-        self.settle();
+        self.run_pending();
     }
 
-    /// Gives the core an event and carries out all that follows.
-    fn feed(&mut self, event: Event) {
+    /// Passes an event to the core, then executes all resulting actions.
+    fn process(&mut self, event: Event) {
         self.handle(event);
-        self.settle();
+        self.run_pending();
     }
 
-    /// Carries out the queued actions, and lets the core handle the outcomes of its calls,
-    /// until nothing is left.
-    fn settle(&mut self) {
+    /// Executes the queued actions and passes the outcomes of calls to the core, until neither
+    /// is left. Outcomes go first.
+    fn run_pending(&mut self) {
         loop {
             if let Some(outcome) = self.outbound.next_outcome() {
                 self.handle(outcome);
             } else if let Some(decided) = self.actions.pop_front() {
-                self.carry_out(decided);
+                self.execute(decided);
             } else {
                 return;
             }
         }
     }
 
-    /// Lets the core decide on an event.
+    /// Passes an event to the core and queues the actions that the core decides on.
     fn handle(&mut self, event: Event) {
         let now = self.clock.now();
         let decided_ms = now.steady_ms;
@@ -239,32 +240,33 @@
         self.actions.extend(actions.map(|action| DecidedAction { decided_ms, action }));
     }
 
-    /// Queues an action that was decided here, without the core.
-    fn decide(&mut self, action: Option<Action>) {
+    /// Queues an action that was decided without the core, such as a refusal under overload.
+    fn queue_action(&mut self, action: Option<Action>) {
         if let Some(action) = action {
             let decided_ms = self.clock.steady_ms();
             self.actions.push_back(DecidedAction { decided_ms, action });
         }
     }
 
-    fn carry_out(&mut self, DecidedAction { decided_ms, action }: DecidedAction) {
+    fn execute(&mut self, DecidedAction { decided_ms, action }: DecidedAction) {
         match action {
             Action::Answer { id, response } => {
                 let refusal = self.inbound.respond(&mut self.connections, id, response);
-                self.decide(refusal);
+                self.queue_action(refusal);
             }
             Action::Call(call) => self.outbound.start(&mut self.connections, call, decided_ms),
         }
     }
 }
 
-/// When periodic work is due, and whether this process was stalled.
+/// Schedule of the periodic work, and detection of process stalls.
 struct Schedule {
     next_tick_ms: u64,
     next_expiry_ms: u64,
     last_poll_ms: u64,
-    /// After a stall, the sockets' buffers are read before any timeout is checked and before
-    /// the core is told the time: else responses that arrived in time would count as lost.
+    /// Set for one iteration after a process stall: the sockets' buffers are read before any
+    /// deadline is checked and before the core gets a tick. Otherwise responses that arrived in
+    /// time would count as lost.
     reads_backlog: bool,
 }
 
@@ -273,7 +275,8 @@
         Schedule { next_tick_ms: 0, next_expiry_ms: 0, last_poll_ms: now_ms, reads_backlog: false }
     }
 
-    /// Holds ticks back for one round if the sockets were not looked at for too long.
+    /// Suppresses ticks for one iteration if the last poll of the sockets is more than
+    /// [`MAX_POLL_GAP_MS`] ago.
     fn detect_stall(&mut self, now_ms: u64) {
         let stalled = now_ms > self.last_poll_ms + MAX_POLL_GAP_MS;
         self.reads_backlog = stalled && !self.reads_backlog;
@@ -283,7 +286,7 @@
         self.reads_backlog
     }
 
-    /// Whether a tick is due now; if so, the next one is scheduled.
+    /// Returns whether a tick is due now, and if so schedules the next one.
     fn take_tick(&mut self, now_ms: u64) -> bool {
         let due = now_ms >= self.next_tick_ms && !self.reads_backlog;
         if due {
@@ -292,7 +295,7 @@
         due
     }
 
-    /// Whether expiry is due now; if so, the next one is scheduled.
+    /// Returns whether an expiry check is due now, and if so schedules the next one.
     fn take_expiry(&mut self, now_ms: u64) -> bool {
         let due = now_ms >= self.next_expiry_ms;
         if due {
@@ -301,11 +304,11 @@
         due
     }
 
-    fn note_poll(&mut self, now_ms: u64) {
+    fn record_poll(&mut self, now_ms: u64) {
         self.last_poll_ms = now_ms;
     }
 
-    /// Time until the next tick, and a millisecond at least.
+    /// Returns the time until the next tick, at least 1 ms.
     fn time_to_tick(&self, now_ms: u64) -> Duration {
         Duration::from_millis(self.next_tick_ms.saturating_sub(now_ms).max(1))
     }
--- a/crates/quartzgate/src/inbound.rs
+++ b/crates/quartzgate/src/inbound.rs
@@ -1,9 +1,9 @@
-//! Requests of users, workers and other controllers, from the socket to the core.
+//! Requests of users, workers and other controllers, on their way from the socket to the core.
 //!
-//! A request that was read whole is classified and queued. The queues are served in the
-//! order of the classes, so that heartbeats, which keep leases alive, overtake requests
-//! that can wait. Under overload, or when it has waited too long, a request is refused
-//! with `Retry-After` before the core sees it.
+//! A complete request is classified and queued. The queues are served in the order of the
+//! classes, so that heartbeats, which renew leases, overtake requests that can wait. Under
+//! overload, or after too long a wait in the queue, a request is refused with `Retry-After`
+//! before it reaches the core.
 
 use std::collections::HashMap;
 
@@ -19,16 +19,16 @@
 use crate::connection::{Direction, Endpoint, Readiness, RequestProgress};
 use crate::connections::{ConnectionKey, ConnectionTable, Removed};
 
-/// How often the core is given new metrics.
+/// Interval at which the core is given new metrics.
 const METRICS_INTERVAL_MS: u64 = 1_000;
-/// `Retry-After` of a refused heartbeat or health check, in seconds: their clients
-/// retry soon in any case, and must not wait longer.
+/// `Retry-After` of a refused heartbeat or health check, in seconds. Their clients retry soon in
+/// any case, and must not wait longer.
 const MIN_RETRY_AFTER_S: u32 = 1;
 
-/// How long a user waits for the answer to a status query.
+/// Time for which a user waits for the answer to a status query.
 const STATUS_QUERY_TIMEOUT_MS: u64 = 2_000;
 
-/// A request that waits for the core.
+/// A request that waits to be handled by the core.
 struct QueuedRequest {
     id: RequestId,
     endpoint: Endpoint,
@@ -45,26 +45,26 @@
     }
 }
 
-/// A request that was read and not answered yet.
+/// A request that was read and has not been answered yet.
 struct OpenRequest {
     connection: ConnectionKey,
-    /// The job whose status it queries.
+    /// The job whose status a user queries; `None` for any other request.
     queried_job: Option<String>,
     arrived_ms: u64,
 }
 
-/// What is to be done about the request that was queued longest in the first class.
+/// What to do with the request that was taken off the queue.
 #[derive(Debug)]
 pub enum NextRequest {
-    /// The core handles it.
+    /// The event passes the request to the core.
     Handle(Event),
-    /// It is refused.
+    /// The action refuses the request.
     Refuse(Action),
-    /// Its client has disconnected.
+    /// The client has disconnected; the request is dropped.
     Abandoned,
 }
 
-/// How many of the users' requests are served in a second.
+/// Number of user requests that are served per second.
 #[derive(Default)]
 struct Throughput {
     last_second: f64,
@@ -72,17 +72,18 @@
 }
 
 impl Throughput {
-    fn count_one(&mut self) {
+    fn record_request(&mut self) {
         self.this_second += 1;
     }
 
-    /// A second is over.
-    fn roll_over(&mut self) {
+    /// Starts a new second. The rate of the last one is at least 1.
+    fn start_second(&mut self) {
         self.last_second = f64::from(std::mem::take(&mut self.this_second)).max(1.0);
     }
 }
 
-/// Requests that were read and not answered yet.
+/// Requests that were read and have not been answered yet, queued by class until the core handles
+/// them.
 pub struct InboundRequests {
     clock: Clock,
     queue: RequestQueue<QueuedRequest>,
@@ -93,25 +94,25 @@
     open_requests: HashMap<RequestId, OpenRequest>,
     unanswered_jobs: UnansweredJobs,
     next_id: RequestId,
-    /// Earliest moment at which what is read now may have reached the sockets.
+    /// Earliest time at which data that is read now may have reached the sockets.
     arrived_ms: u64,
     heartbeat_interval_ms: u64,
     next_metrics_ms: u64,
 }
 
-/// What the request queue needs to know of the settings.
+/// The settings that the handling of requests depends on.
 pub struct InboundSettings {
-    /// Requests that may be queued in a class; with as many as there are sockets, the bound
-    /// is never reached.
+    /// Largest number of requests queued in a class. With the socket limit as the value, the
+    /// requests of open connections alone never reach it.
     pub max_queued_per_class: usize,
-    /// Interval between two heartbeats of a worker.
+    /// Interval between two heartbeats of a worker, in milliseconds.
     pub heartbeat_interval_ms: u64,
-    /// How long a worker waits for the response to its heartbeat.
+    /// Time for which a worker waits for the response to its heartbeat, in milliseconds.
     pub heartbeat_timeout_ms: u64,
 }
 
 impl InboundRequests {
-    /// No requests yet. `rng` spreads the times at which refused clients retry.
+    /// Creates an empty queue. `rng` randomizes the times at which refused clients retry.
     pub fn new(clock: Clock, settings: InboundSettings, rng: SmallRng) -> Self {
         InboundRequests {
             clock,
@@ -129,25 +130,25 @@
         }
     }
 
-    /// No request is queued.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// What is read from now on has reached the sockets at this moment at the earliest.
+    /// Sets the earliest time at which data that is read from now on may have reached the sockets.
     pub fn set_arrival(&mut self, arrived_ms: u64) {
         self.arrived_ms = arrived_ms;
     }
 
-    /// A connection's socket has become ready. Gives the refusal of the request that was
-    /// read, if it is refused at once.
+    /// Handles a ready socket: transfers data and queues the next request. Returns the refusal if
+    /// that request is refused at once.
     pub fn on_ready(
         &mut self,
         connections: &mut ConnectionTable,
         key: ConnectionKey,
         ready: Readiness,
     ) -> Option<Action> {
-        connections.get_mut(key)?.touch(self.clock.steady_ms());
+        connections.get_mut(key)?.record_activity(self.clock.steady_ms());
         if connections.transfer(key, ready).is_err() {
             self.close(connections, key);
             return None;
@@ -155,8 +156,8 @@
         self.read_request(connections, key)
     }
 
-    /// Sends the response to a request; if its client has disconnected, it is dropped. Gives the
-    /// refusal of the connection's next request, if it is refused at once.
+    /// Sends the response to a request; drops the response if the client has disconnected. Returns
+    /// the refusal of the connection's next request if that request is refused at once.
     pub fn respond(
         &mut self,
         connections: &mut ConnectionTable,
@@ -165,19 +166,20 @@
     ) -> Option<Action> {
         let now_ms = self.clock.steady_ms();
         let open = self.open_requests.remove(&id)?;
-        self.on_status_response(&open, response.status, now_ms);
+        self.record_status_response(&open, response.status, now_ms);
         let key = open.connection;
         let connection = connections.get_mut(key).filter(|c| c.is_processing(id))?;
         if connection.send_response(response, now_ms).is_err() {
             self.close(connections, key);
             return None;
         }
-        // The next request may be in the buffer already.
+        // The next request may already be in the input buffer.
         self.read_request(connections, key)
     }
 
-    /// Notes whether a status query was answered.
-    fn on_status_response(&mut self, open: &OpenRequest, status: u16, now_ms: u64) {
+    /// Records the answer to a status query. Only an answer with status 200 or 404 within
+    /// [`STATUS_QUERY_TIMEOUT_MS`] ends the time for which the job counts as unanswered.
+    fn record_status_response(&mut self, open: &OpenRequest, status: u16, now_ms: u64) {
         let Some(job) = &open.queried_job else { return };
         let took_ms = now_ms.saturating_sub(open.arrived_ms);
         let in_time = took_ms < STATUS_QUERY_TIMEOUT_MS;
@@ -187,18 +189,18 @@
         }
     }
 
-    /// Closes a connection; its request, if it has one, is answered no more.
+    /// Closes a connection; the request that is being processed on it, if any, gets no response.
     pub fn close(&mut self, connections: &mut ConnectionTable, key: ConnectionKey) {
         if let Some(Removed::Inbound(Some(id))) = connections.remove(key) {
             self.open_requests.remove(&id);
         }
     }
 
-    /// The next request by urgency.
+    /// Takes the next request off the queue, the most urgent class first.
     pub fn next(&mut self, now_ms: u64) -> Option<NextRequest> {
         Some(match self.queue.pop(now_ms)? {
             Dequeued::Reject { class, request } => {
-                NextRequest::Refuse(self.refuse(class, request.id))
+                NextRequest::Refuse(self.refuse_with_retry(class, request.id))
             }
             Dequeued::Serve { class, request, waited_ms } => {
                 self.record_service(class, waited_ms);
@@ -215,12 +217,12 @@
             RequestClass::Heartbeat => self.load_monitor.record_heartbeat_wait(waited_ms),
             RequestClass::HealthCheck | RequestClass::Other => {}
             RequestClass::Abort | RequestClass::Submit | RequestClass::StatusQuery => {
-                self.throughput.count_one();
+                self.throughput.record_request();
             }
         }
     }
 
-    /// Follows how loaded this process is. Gives an event for the core when the load state
+    /// Updates the load state of this process. Returns an event for the core when the load state
     /// has changed or new metrics are due.
     pub fn update_load(&mut self, now_ms: u64, connections: &ConnectionTable) -> Option<Event> {
         let oldest_ms = self.queue.oldest_wait_ms(now_ms);
@@ -230,7 +232,7 @@
         }
         if now_ms >= self.next_metrics_ms {
             self.next_metrics_ms = now_ms + METRICS_INTERVAL_MS;
-            self.throughput.roll_over();
+            self.throughput.start_second();
         } else if transition.is_none() {
             return None;
         }
@@ -252,14 +254,15 @@
         metrics.push(("sockets_inbound".into(), connections.inbound() as f64));
         metrics.push(("sockets_outbound".into(), connections.outbound() as f64));
         metrics.push(("intake_turned_away".into(), self.retry_advisor.total_rejections() as f64));
-        let longest = self.unanswered_jobs.longest(now_ms);
-        let longest_ms = longest.map_or(0, |longest| longest.age_ms);
+        let oldest = self.unanswered_jobs.longest(now_ms);
+        let oldest_ms = oldest.map_or(0, |oldest| oldest.age_ms);
         metrics.push(("unanswered_jobs".into(), self.unanswered_jobs.len() as f64));
-        metrics.push(("unanswered_oldest_s".into(), longest_ms as f64 / 1000.0));
+        metrics.push(("unanswered_oldest_s".into(), oldest_ms as f64 / 1000.0));
         metrics
     }
 
-    /// Takes the next request off a connection, if it has come whole.
+    /// Takes the next request off a connection, if it is complete, and queues it. Returns the
+    /// refusal if the request can't be queued.
     fn read_request(
         &mut self,
         connections: &mut ConnectionTable,
@@ -276,13 +279,13 @@
                 None
             }
             Err(error) => {
-                self.reject(connections, key, error);
+                self.reject_malformed(connections, key, error);
                 None
             }
         }
     }
 
-    /// Queues a request for the core; the refusal if it can't be queued.
+    /// Queues a request for the core. Returns the refusal if the request can't be queued.
     fn enqueue(
         &mut self,
         connections: &mut ConnectionTable,
@@ -299,8 +302,8 @@
         if class == RequestClass::Heartbeat {
             connection.mark_worker();
         }
-        let order = self.order_in_class(class, endpoint, connection.succeeded_ms());
-        // A query that a sibling forwards is followed where the user asked it.
+        let order = self.order_in_class(class, endpoint, connection.last_success_ms());
+        // A forwarded query is tracked by the controller that received it from the user.
         let queried_job = match endpoint {
             Endpoint::Clients => queried_job(&request),
             Endpoint::Mesh => None,
@@ -313,15 +316,15 @@
         let request = QueuedRequest { id, endpoint, request };
         let arrival = Arrival { class, order, arrived_ms, request };
         let queued = self.queue.push(arrival, self.load_monitor.state());
-        queued.err().map(|refused| self.refuse(class, refused.id))
+        queued.err().map(|refused| self.refuse_with_retry(class, refused.id))
     }
 
-    /// Order within a class, lowest first. Workers whose last heartbeat was answered longest
-    /// ago go first: their leases expire first. A sibling's message ranks as a heartbeat
-    /// that was last answered one interval ago.
-    fn order_in_class(&self, class: RequestClass, endpoint: Endpoint, succeeded_ms: u64) -> u64 {
+    /// Returns the order key of a request within its class; the lowest is served first. Workers
+    /// whose last heartbeat was answered longest ago go first, since their leases expire first. A
+    /// message of another controller is ordered like a heartbeat last answered one interval ago.
+    fn order_in_class(&self, class: RequestClass, endpoint: Endpoint, last_success_ms: u64) -> u64 {
         match (class, endpoint) {
-            (RequestClass::Heartbeat, Endpoint::Clients) => succeeded_ms,
+            (RequestClass::Heartbeat, Endpoint::Clients) => last_success_ms,
             (RequestClass::Heartbeat, Endpoint::Mesh) => {
                 self.arrived_ms.saturating_sub(self.heartbeat_interval_ms)
             }
@@ -329,8 +332,8 @@
         }
     }
 
-    /// Refuses a request that the core has not seen, and says when to retry.
-    fn refuse(&mut self, class: RequestClass, id: RequestId) -> Action {
+    /// Refuses a request before it reaches the core, with the time after which to retry.
+    fn refuse_with_retry(&mut self, class: RequestClass, id: RequestId) -> Action {
         let mut response = Response::new(503, Vec::new());
         response.retry_after_s = Some(match class {
             RequestClass::Heartbeat | RequestClass::HealthCheck => MIN_RETRY_AFTER_S,
@@ -342,8 +345,13 @@
         Action::Answer { id, response }
     }
 
-    /// Answers a request that can't be read.
-    fn reject(&mut self, connections: &mut ConnectionTable, key: ConnectionKey, error: HttpError) {
+    /// Answers a request that can't be parsed, and closes the connection.
+    fn reject_malformed(
+        &mut self,
+        connections: &mut ConnectionTable,
+        key: ConnectionKey,
+        error: HttpError,
+    ) {
         let now_ms = self.clock.steady_ms();
         let Some(connection) = connections.get_mut(key) else { return };
         let written = connection.send_rejection(error, now_ms);
@@ -353,14 +361,14 @@
     }
 }
 
-/// The job whose status a user's request queries.
+/// Returns the job whose status a user's request queries; `None` for any other request.
 fn queried_job(request: &Request) -> Option<String> {
     let path = request.target.split('?').next()?;
     let job = path.strip_prefix("/api/jobs/").filter(|_| request.method == "GET")?;
     Some(job.to_string())
 }
 
-/// The class of work that a request is.
+/// Returns the class of a request, which determines its priority.
 fn classify(request: &Request, endpoint: Endpoint) -> RequestClass {
     let path = request.target.split('?').next().unwrap_or("");
     match (request.method.as_str(), path) {
@@ -374,8 +382,8 @@
     }
 }
 
-/// The class of a sibling's message. Users' requests that it forwards keep their own class;
-/// the path inside tells, without decoding the message.
+/// Returns the class of a message from another controller. A forwarded user request keeps its own
+/// class, which is recognized by the path in the message without decoding the message.
 fn classify_forwarded(body: &[u8]) -> RequestClass {
     let contains = |text: &str| memchr::memmem::find(body, text.as_bytes()).is_some();
     if contains("/checkin") || !contains("/api/jobs") {
--- a/crates/quartzgate/src/listeners.rs
+++ b/crates/quartzgate/src/listeners.rs
@@ -16,16 +16,16 @@
 }
 
 impl Listeners {
-    /// Listens on both addresses, and has the poll report when connections come.
+    /// Listens on both addresses, and registers the sockets with the poll of `connections`.
     pub fn bind(
         clients: SocketAddr,
         mesh: SocketAddr,
         connections: &ConnectionTable,
     ) -> Result<Self, ListenError> {
         let listen = |address: SocketAddr, endpoint: Endpoint| -> Result<_, ListenError> {
-            let failed = |source| ListenError { address, source };
-            let mut listener = TcpListener::bind(address).map_err(failed)?;
-            connections.register_listener(&mut listener, endpoint).map_err(failed)?;
+            let to_listen_error = |source| ListenError { address, source };
+            let mut listener = TcpListener::bind(address).map_err(to_listen_error)?;
+            connections.register_listener(&mut listener, endpoint).map_err(to_listen_error)?;
             Ok(listener)
         };
         Ok(Listeners {
@@ -34,9 +34,9 @@
         })
     }
 
-    /// Accepts all connections that wait. Above the limit for inbound connections, one of a
-    /// client is accepted only if an idle one can be closed for it; the other controllers
-    /// are always accepted.
+    /// Accepts all pending connections. At the limit for inbound connections, a client's
+    /// connection is kept only if an idle one can be evicted for it; connections of the other
+    /// controllers are always kept.
     pub fn accept(&self, endpoint: Endpoint, connections: &mut ConnectionTable, clock: Clock) {
         loop {
             let stream = match self.listener(endpoint).accept() {
@@ -44,8 +44,8 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(_) => {
-                    // Out of sockets: an idle connection is evicted, or we retry at the next
-                    // event.
+                    // The process is probably out of sockets: an idle connection is evicted to
+                    // make room. If none is idle, the next event of this listener retries.
                     if !connections.evict_idle_client() {
                         return;
                     }
@@ -56,9 +56,9 @@
             if endpoint == Endpoint::Clients && full && !connections.evict_idle_client() {
                 continue;
             }
-            // Latency is worse without it, but the connection works.
+            // Without `TCP_NODELAY` the latency is higher, but the connection works.
             let _ = stream.set_nodelay(true);
-            // A connection that can't be registered is closed; its client tries again.
+            // A connection that can't be registered with the poll is closed; its client retries.
             let _ = connections.insert_inbound(stream, endpoint, clock.steady_ms());
         }
     }
@@ -70,14 +70,14 @@
         }
     }
 
-    /// Address on which clients are accepted.
+    /// Returns the address on which clients' connections are accepted.
     #[cfg(test)]
     pub fn client_address(&self) -> SocketAddr {
         self.clients.local_addr().expect("a bound listener has an address")
     }
 }
 
-/// An address on which this process can't listen.
+/// A failure to listen on an address, with its cause.
 #[derive(Debug, thiserror::Error)]
 #[error("can't listen on {address}: {source}")]
 pub struct ListenError {
--- a/crates/quartzgate/src/main.rs
+++ b/crates/quartzgate/src/main.rs
@@ -1,12 +1,12 @@
 //! quartzgate: a cluster scheduler with constraint-aware, late-binding probes.
 //!
-//! This program does the input and output for the core (`quartzgate-core`), which makes all
-//! decisions:
+//! This program performs the input and output for the core (`quartzgate-core`), which makes all
+//! scheduling decisions:
 //!
-//! - [`settings`] reads and checks the files;
-//! - [`event_loop`] brings events to the core and carries out its actions;
-//! - [`listeners`], [`connections`] and [`connection`] hold the sockets;
-//! - [`inbound`] queues requests for the core, [`outbound`] carries out its calls.
+//! - [`settings`] reads and checks the settings files;
+//! - [`event_loop`] passes events to the core and executes its actions;
+//! - [`listeners`], [`connections`] and [`connection`] manage the sockets;
+//! - [`inbound`] queues requests for the core, and [`outbound`] executes the core's calls.
 
 mod clock;
 mod connection;
@@ -22,7 +22,7 @@
 
 use clap::Parser;
 
-/// Exit code for a command line, an environment or settings that can't be used.
+/// Exit code for an invalid command line, environment variable or settings file.
 const EXIT_USAGE: u8 = 2;
 
 /// A cluster scheduler with constraint-aware, late-binding probes.
@@ -43,11 +43,11 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     if let Err(error) = start_logging() {
-        return fail(error, ExitCode::from(EXIT_USAGE));
+        return report_error(error, ExitCode::from(EXIT_USAGE));
     }
     let config = match settings::load(&cli.config, cli.operator.as_deref()) {
         Ok(config) => config,
-        Err(error) => return fail(error, ExitCode::from(EXIT_USAGE)),
+        Err(error) => return report_error(error, ExitCode::from(EXIT_USAGE)),
     };
     if cli.check {
         print!("{}", settings::report(&config));
@@ -55,22 +55,23 @@
     }
     match event_loop::run(config) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(error, ExitCode::FAILURE),
+        Err(error) => report_error(error, ExitCode::FAILURE),
     }
 }
 
-/// Says on standard error why the program ends.
-fn fail(error: impl std::error::Error, code: ExitCode) -> ExitCode {
+/// Prints on standard error why the program ends, and returns the exit code.
+fn report_error(error: impl std::error::Error, code: ExitCode) -> ExitCode {
     eprintln!("quartzgate: {error}");
     code
 }
 
-/// The environment names an unknown log level.
+/// The environment variable `LOG_LEVEL` holds an unknown log level.
 #[derive(Debug, thiserror::Error)]
 #[error("LOG_LEVEL is error, info or debug, not `{0}`")]
 struct UnknownLogLevel(String);
 
-/// Structured logs on standard error, in the amount that LOG_LEVEL names.
+/// Starts structured logging on standard error, at the level that the environment variable
+/// `LOG_LEVEL` names; the default is `info`.
 fn start_logging() -> Result<(), UnknownLogLevel> {
     let name = std::env::var("LOG_LEVEL").unwrap_or_default().to_ascii_lowercase();
     let level = match name.as_str() {
--- a/crates/quartzgate/src/outbound.rs
+++ b/crates/quartzgate/src/outbound.rs
@@ -1,8 +1,8 @@
-//! Calls of the core to its peers: those that wait for a connection, and those in flight.
+//! Calls of the core to its peers: calls that wait for a connection, and calls in flight.
 //!
-//! Every call ends in exactly one outcome. `NotSent` is reported only when nothing of the
-//! request has left this process, so that it can't have any effect; a call that may have
-//! reached its peer and has no response is `Lost`.
+//! Every call ends in exactly one outcome. `NotSent` is reported only when no byte of the
+//! request has left this process, so that the call can't have had any effect; a call that may
+//! have reached its peer but got no valid response is `Lost`.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::{AddrParseError, SocketAddr};
@@ -18,10 +18,10 @@
 };
 use crate::connections::{ConnectionKey, ConnectionTable, OutboundCapacity, Removed};
 
-/// Room for the head of a request beside its body, in bytes.
+/// Buffer capacity reserved for the head of a request in addition to its body, in bytes.
 const HEAD_CAPACITY: usize = 160;
 
-/// Addresses of the peers that the settings name.
+/// Addresses of the state service, of the cloud and of the other controllers, from the settings.
 pub struct PeerAddresses {
     state: SocketAddr,
     cloud: SocketAddr,
@@ -29,7 +29,7 @@
 }
 
 impl PeerAddresses {
-    /// Reads them from the settings.
+    /// Parses the addresses in the settings.
     pub fn from_settings(platform: &Platform) -> Result<Self, AddrParseError> {
         let siblings = platform.siblings.iter().map(|sibling| sibling.addr.parse());
         Ok(PeerAddresses {
@@ -58,7 +58,8 @@
 /// A call whose request has been handed to a connection.
 struct InFlightCall {
     peer: Peer,
-    /// The request once more, if it may be sent twice.
+    /// Copy of the encoded request for one retry; `None` if the request is not a read or the
+    /// retry is used up.
     retry: Option<Vec<u8>>,
 }
 
@@ -71,21 +72,22 @@
 /// Limits on the calls that wait for a connection, over all peers.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitingLimits {
-    /// Number of calls.
+    /// Largest number of waiting calls.
     pub max_calls: usize,
-    /// Bytes of their bodies. A single call may exceed it.
+    /// Largest total size of the bodies of waiting calls, in bytes. A call that waits alone may
+    /// exceed it.
     pub max_bytes: usize,
 }
 
-/// Calls that wait for a connection, by peer.
+/// Queues of the calls that wait for a connection, by peer.
 struct WaitingCalls {
     limits: WaitingLimits,
     queues: HashMap<Peer, VecDeque<WaitingCall>>,
     calls: usize,
     bytes: usize,
-    /// Peers whose calls wait for room under the limit of all connections together, in
-    /// order. A peer stands here once for each such call.
-    starved_peers: VecDeque<Peer>,
+    /// Peers whose calls wait because all outbound connections together have reached their
+    /// limit, in order of arrival. A peer occurs once for each such call.
+    socket_limited_peers: VecDeque<Peer>,
 }
 
 impl WaitingCalls {
@@ -95,7 +97,7 @@
             queues: HashMap::new(),
             calls: 0,
             bytes: 0,
-            starved_peers: VecDeque::new(),
+            socket_limited_peers: VecDeque::new(),
         }
     }
 
@@ -110,8 +112,8 @@
         self.queues.entry(waiting.call.peer.clone()).or_default().push_back(waiting);
     }
 
-    fn push_starved(&mut self, waiting: WaitingCall) {
-        self.starved_peers.push_back(waiting.call.peer.clone());
+    fn push_socket_limited(&mut self, waiting: WaitingCall) {
+        self.socket_limited_peers.push_back(waiting.call.peer.clone());
         self.push(waiting);
     }
 
@@ -125,11 +127,11 @@
         Some(waiting)
     }
 
-    fn pop_starved_peer(&mut self) -> Option<Peer> {
-        self.starved_peers.pop_front()
+    fn pop_socket_limited_peer(&mut self) -> Option<Peer> {
+        self.socket_limited_peers.pop_front()
     }
 
-    /// Takes out the calls whose time is over.
+    /// Removes the calls that are past their deadline, and returns their ids.
     fn take_expired(&mut self, now_ms: u64) -> Vec<CallId> {
         let mut expired = Vec::new();
         for queue in self.queues.values_mut() {
@@ -147,18 +149,18 @@
     }
 }
 
-/// Carries out the calls of the core.
+/// Executes the calls of the core.
 pub struct OutboundCalls {
     clock: Clock,
     addresses: PeerAddresses,
     waiting: WaitingCalls,
     in_flight: HashMap<CallId, InFlightCall>,
-    /// Calls that have ended, for the core.
+    /// Outcomes of ended calls that the core has not handled yet.
     outcomes: VecDeque<Event>,
 }
 
 impl OutboundCalls {
-    /// No calls yet.
+    /// Creates a table without calls; `limits` bounds the calls that wait for a connection.
     pub fn new(clock: Clock, addresses: PeerAddresses, limits: WaitingLimits) -> Self {
         OutboundCalls {
             clock,
@@ -169,19 +171,19 @@
         }
     }
 
-    /// The outcome of a call that has ended.
+    /// Returns the next outcome for the core, in the order in which the calls ended.
     pub fn next_outcome(&mut self) -> Option<Event> {
         self.outcomes.pop_front()
     }
 
-    /// Starts a call. Its time counts from when it was decided: after a process stall in
-    /// between, one that is too late is not sent at all.
+    /// Starts a call. The call's timeout counts from the time of the decision: after a process
+    /// stall in between, a call past its deadline is not sent at all.
     pub fn start(&mut self, connections: &mut ConnectionTable, call: Call, decided_ms: u64) {
         let deadline_ms = decided_ms + call.timeout_ms;
-        self.place(connections, WaitingCall { call, deadline_ms });
+        self.send_or_queue(connections, WaitingCall { call, deadline_ms });
     }
 
-    /// A connection's socket has become ready.
+    /// Handles a ready socket: advances the handshake, transfers data and takes the response.
     pub fn on_ready(
         &mut self,
         connections: &mut ConnectionTable,
@@ -190,7 +192,7 @@
     ) {
         let now_ms = self.clock.steady_ms();
         let Some(connection) = connections.get_mut(key) else { return };
-        connection.touch(now_ms);
+        connection.record_activity(now_ms);
         match connection.advance_handshake(ready, now_ms) {
             Handshake::Pending => return,
             Handshake::Failed => return self.fail(connections, key, Outcome::NotSent),
@@ -202,7 +204,8 @@
         }
     }
 
-    /// A connection has exceeded its time.
+    /// Ends a connection past its deadline or idle limit. Its call is `NotSent` if the handshake
+    /// was not complete, else `Lost`.
     pub fn on_expired(&mut self, connections: &mut ConnectionTable, key: ConnectionKey) {
         match connections.get(key).map(|connection| connection.state()) {
             Some(State::Connecting(_)) => self.fail(connections, key, Outcome::NotSent),
@@ -210,15 +213,16 @@
         }
     }
 
-    /// Gives up the waiting calls whose time is over.
+    /// Ends the waiting calls that are past their deadline.
     pub fn expire_waiting(&mut self, now_ms: u64) {
         for call in self.waiting.take_expired(now_ms) {
             self.finish(call, Outcome::NotSent);
         }
     }
 
-    /// Sends a call on a pooled connection or a new one, or queues it until there is one.
-    fn place(&mut self, connections: &mut ConnectionTable, waiting: WaitingCall) {
+    /// Sends a call on a pooled or a new connection, or queues it until a connection is available.
+    /// A call that is past its deadline or exceeds the limits of the queue is not sent.
+    fn send_or_queue(&mut self, connections: &mut ConnectionTable, waiting: WaitingCall) {
         if self.clock.steady_ms() >= waiting.deadline_ms {
             return self.finish(waiting.call.id, Outcome::NotSent);
         }
@@ -237,11 +241,12 @@
                 self.finish(waiting.call.id, Outcome::NotSent);
             }
             OutboundCapacity::PeerLimit => self.waiting.push(waiting),
-            OutboundCapacity::SocketLimit => self.waiting.push_starved(waiting),
+            OutboundCapacity::SocketLimit => self.waiting.push_socket_limited(waiting),
         }
     }
 
-    /// Encodes a call's request. A read is kept, since it may be sent twice.
+    /// Registers a call as in flight and encodes its request. A copy of a `GET` request is kept,
+    /// since a read may be sent twice.
     fn put_in_flight(&mut self, waiting: WaitingCall) -> OutboundRequest {
         let WaitingCall { call, deadline_ms } = waiting;
         let host = self.addresses.of(&call.peer).to_string();
@@ -252,7 +257,7 @@
         OutboundRequest { id: call.id, bytes, deadline_ms }
     }
 
-    /// Sends a request on a connection that is idle.
+    /// Sends a request on an idle connection.
     fn send(
         &mut self,
         connections: &mut ConnectionTable,
@@ -266,11 +271,11 @@
         }
     }
 
-    /// Opens a connection for a request, which is sent once the handshake is over.
+    /// Opens a connection for a request; the request is sent once the handshake is complete.
     fn connect(&mut self, connections: &mut ConnectionTable, peer: Peer, request: OutboundRequest) {
         let (now_ms, call) = (self.clock.steady_ms(), request.id);
         let connected = TcpStream::connect(self.addresses.of(&peer)).and_then(|stream| {
-            // Latency is worse without it, but the connection works.
+            // Without `TCP_NODELAY` the latency is higher, but the connection works.
             let _ = stream.set_nodelay(true);
             connections.insert_outbound(stream, peer, request, now_ms)
         });
@@ -294,13 +299,14 @@
                     true => connections.pool(key, peer.clone()),
                     false => self.close(connections, key),
                 }
-                self.place_next(connections, &peer);
+                self.start_next_waiting(connections, &peer);
             }
         }
     }
 
-    /// A connection broke. If it had been idle before, a read is sent once more on a new
-    /// one; any other request may have been executed.
+    /// Handles a broken connection. If the connection was reused and no byte of a response has
+    /// arrived, a read is retried once on a new connection. Any other request that was being sent
+    /// may have been executed, so its call is `Lost`.
     fn on_broken(&mut self, connections: &mut ConnectionTable, key: ConnectionKey) {
         let Some(connection) = connections.get(key) else { return };
         let call = match connection.state() {
@@ -320,14 +326,15 @@
         self.connect(connections, peer, OutboundRequest { id: call, bytes, deadline_ms });
     }
 
-    /// The request of a call that may be sent once more, and its peer.
+    /// Takes the copy of the request for a retry, with its peer; `None` if no retry is allowed.
     fn take_retry(&mut self, call: CallId) -> Option<(Peer, Vec<u8>)> {
         let in_flight = self.in_flight.get_mut(&call)?;
         let bytes = in_flight.retry.take()?;
         Some((in_flight.peer.clone(), bytes))
     }
 
-    /// The call on a connection, if there is one, has failed, and the connection with it.
+    /// Ends the call on a connection, if there is one, with this outcome, and closes the
+    /// connection.
     fn fail(&mut self, connections: &mut ConnectionTable, key: ConnectionKey, outcome: Outcome) {
         let Some(connection) = connections.get(key) else { return };
         if let State::Connecting(call) | State::Calling(call) = connection.state() {
@@ -336,7 +343,7 @@
         self.close(connections, key);
     }
 
-    /// The one function that ends a call.
+    /// Ends a call and queues its outcome. No other function ends calls.
     fn finish(&mut self, call: CallId, outcome: Outcome) {
         self.in_flight.remove(&call);
         self.outcomes.push_back(Event::Outcome { call, outcome });
@@ -344,27 +351,28 @@
 
     fn close(&mut self, connections: &mut ConnectionTable, key: ConnectionKey) {
         if let Some(Removed::Outbound(peer)) = connections.remove(key) {
-            self.place_next(connections, &peer);
+            self.start_next_waiting(connections, &peer);
         }
     }
 
-    /// A connection to a peer has become idle or was closed: the next call that waits for
-    /// the peer is placed, or else one that waits for room among all connections.
-    fn place_next(&mut self, connections: &mut ConnectionTable, peer: &Peer) {
-        if self.place_next_to(connections, peer) {
+    /// Starts the next waiting call after a connection to `peer` has become idle or was closed:
+    /// a call that waits for this peer, else one that waits for the limit of all connections.
+    fn start_next_waiting(&mut self, connections: &mut ConnectionTable, peer: &Peer) {
+        if self.start_next_waiting_for(connections, peer) {
             return;
         }
-        if let Some(starved) = self.waiting.pop_starved_peer() {
-            self.place_next_to(connections, &starved);
+        if let Some(limited_peer) = self.waiting.pop_socket_limited_peer() {
+            self.start_next_waiting_for(connections, &limited_peer);
         }
     }
 
-    /// Places the next call that waits for this peer; false if none does.
-    fn place_next_to(&mut self, connections: &mut ConnectionTable, peer: &Peer) -> bool {
+    /// Starts the next call that waits for this peer, and ends those before it that are past
+    /// their deadline; returns false if no call was started.
+    fn start_next_waiting_for(&mut self, connections: &mut ConnectionTable, peer: &Peer) -> bool {
         let now_ms = self.clock.steady_ms();
         while let Some(waiting) = self.waiting.pop(peer) {
             if waiting.deadline_ms > now_ms {
-                self.place(connections, waiting);
+                self.send_or_queue(connections, waiting);
                 return true;
             }
             self.finish(waiting.call.id, Outcome::NotSent);
--- a/crates/quartzgate/src/settings.rs
+++ b/crates/quartzgate/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reading and checking the settings files.
+//! Reads and checks the platform's and the operators' settings files.
 
 use std::path::Path;
 
@@ -8,19 +8,19 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// Longest value that an error quotes, in characters.
+/// Length to which an error truncates the value that it quotes, in characters.
 const MAX_QUOTED_CHARS: usize = 200;
 
-/// Why settings can't be used. Every message is a single line and names the file.
+/// Why settings can't be used. Each message names the file and fits on one line.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
     /// A file can't be read.
     #[error("{file}: {source}")]
     Read { file: String, source: std::io::Error },
-    /// A file is no JSON, or has a field of the wrong type or none that is required.
+    /// A file is not valid JSON, has a field of the wrong type, or lacks a required field.
     #[error("{file}: {source}")]
     Json { file: String, source: serde_json::Error },
-    /// A file is no YAML, or has an unknown field or one of the wrong type.
+    /// A file is not valid YAML, or has an unknown field or a field of the wrong type.
     #[error("{file}: {source}")]
     Yaml { file: String, source: serde_yaml_ng::Error },
     /// A field has a value that is not allowed.
@@ -28,7 +28,7 @@
     Invalid { file: String, field: String, value: String, allowed: String },
 }
 
-/// A settings file that was read but not understood yet.
+/// The name and the unparsed text of a settings file.
 struct SettingsFile {
     name: String,
     text: String,
@@ -48,7 +48,7 @@
         parsed.map_err(|source| LoadError::Json { file: self.name.clone(), source })
     }
 
-    /// Every key may be left out, so an empty file stands for the defaults.
+    /// Parses the file as YAML. Every key may be omitted, so an empty file stands for the defaults.
     fn parse_yaml<T: DeserializeOwned + Default>(&self) -> Result<T, LoadError> {
         if self.text.trim().is_empty() {
             return Ok(T::default());
@@ -57,17 +57,18 @@
         parsed.map_err(|source| LoadError::Yaml { file: self.name.clone(), source })
     }
 
-    /// An error about a field, with the value that `document`, this file's content, has.
+    /// Creates an error about a field, quoting the field's value in `document`, the parsed content
+    /// of this file.
     fn invalid(self, error: SettingsError, document: &Value) -> LoadError {
-        let value = value_at(document, &error.field);
+        let value = quoted_value(document, &error.field);
         LoadError::Invalid { file: self.name, field: error.field, value, allowed: error.problem }
     }
 }
 
-/// The value of a field that is named by its path with dots. Within a list, the values of
-/// all entries are given.
-fn value_at(document: &Value, field: &str) -> String {
-    match descend(document, field.split('.')) {
+/// Formats the value of the field with this dotted path. For a field of the entries of a list, the
+/// result holds the values of all entries.
+fn quoted_value(document: &Value, field: &str) -> String {
+    match value_at_path(document, field.split('.')) {
         Value::Null => "not set".into(),
         value => {
             let quoted: String = value.to_string().chars().take(MAX_QUOTED_CHARS).collect();
@@ -76,19 +77,20 @@
     }
 }
 
-fn descend<'a>(value: &Value, mut path: impl Iterator<Item = &'a str> + Clone) -> Value {
+fn value_at_path<'a>(value: &Value, mut path: impl Iterator<Item = &'a str> + Clone) -> Value {
     if let Value::Array(entries) = value {
         if path.clone().next().is_some() {
-            return entries.iter().map(|entry| descend(entry, path.clone())).collect();
+            return entries.iter().map(|entry| value_at_path(entry, path.clone())).collect();
         }
     }
     match path.next() {
         None => value.clone(),
-        Some(key) => value.get(key).map_or(Value::Null, |inner| descend(inner, path)),
+        Some(key) => value.get(key).map_or(Value::Null, |inner| value_at_path(inner, path)),
     }
 }
 
-/// Reads and checks the platform's settings and, if there are any, the operators' own.
+/// Reads and checks the platform's settings and the operators' settings. Without a file of the
+/// operators, the defaults apply.
 pub fn load(platform: &Path, operator: Option<&Path>) -> Result<Config, LoadError> {
     let platform = load_platform(platform)?;
     let operator = operator.map(load_operator).transpose()?.unwrap_or_default();
@@ -115,26 +117,26 @@
     Ok(operator)
 }
 
-/// What `--check` prints of valid settings: the formats and features that this build
+/// Returns what `--check` prints for valid settings: the formats and features that this build
 /// knows, and which of them this controller withholds.
 pub fn report(config: &Config) -> String {
     let withheld = config.operator.withheld();
-    let line = |name: &str, how: String, description: &str| {
-        let mark = if withheld.contains(name) { " (withheld here)" } else { "" };
-        format!("{name}: {how}{mark}: {description}\n")
+    let line = |name: &str, activation: String, description: &str| {
+        let suffix = if withheld.contains(name) { " (withheld here)" } else { "" };
+        format!("{name}: {activation}{suffix}: {description}\n")
     };
     let formats = config.table.formats.iter().map(|format| {
-        let how = "format of the records".to_string();
-        line(format.name, how, format.description)
+        let activation = "format of the records".to_string();
+        line(format.name, activation, format.description)
     });
     let features = config.table.features.iter().map(|feature| {
-        let how = match feature.activation {
+        let activation = match feature.activation {
             Activation::WithFormat(format) => format!("feature, with format {format}"),
             Activation::Separate { min_format } => {
                 format!("feature, its own step from format {min_format} on")
             }
         };
-        line(feature.name, how, feature.description)
+        line(feature.name, activation, feature.description)
     });
     let title = format!("settings of {} are in order\n", config.platform.node);
     std::iter::once(title).chain(formats).chain(features).collect()
