--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -1,9 +1,10 @@
-//! HTTP/1.1 over byte buffers, as much of it as the protocols use.
+//! HTTP/1.1 over byte buffers, limited to the parts that the protocols use.
 //!
-//! The parsers take one message off the front of a buffer that may hold a part of it or
-//! more than it. `httparse` reads the heads; bodies are framed by `Content-Length` or by
-//! chunks. A message that claims both, or two different lengths, is malformed: the two
-//! ends could disagree about where it ends. Nothing here does input or output.
+//! The parsers take one message off the front of a buffer, which may hold only a part of the
+//! message or additional data after it. `httparse` parses the heads; bodies are framed by
+//! `Content-Length` or by chunked encoding. A message with both, or with two different lengths,
+//! is malformed, since the two ends could disagree about where the message ends. This module
+//! performs no input or output.
 
 #![warn(missing_docs)]
 
@@ -15,55 +16,56 @@
 pub const MAX_HEAD: usize = 8 * 1024;
 /// Largest body of a request, in bytes; a larger one is refused with 413.
 pub const MAX_BODY: usize = 64 * 1024;
-/// Largest body of a request between controllers, in bytes: it carries a whole request of a user
-/// or a worker, and what the sender says of itself.
+/// Largest body of a request between controllers, in bytes. Such a body carries a complete request
+/// of a user or a worker, together with the sender's own fields.
 pub const MAX_MESH_BODY: usize = MAX_BODY + MAX_HEAD;
-/// Smallest limit for the body of a response to a call of ours, in bytes: a listing of 4,500
-/// machines takes less. The protocol sets no limit for watches.
+/// Smallest limit for the body of a response to a controller's call, in bytes. A list of 4,500
+/// machines is smaller. The protocol sets no limit for the responses to watches.
 pub const MIN_ANSWER_LIMIT: usize = 4 * 1024 * 1024;
-/// Most headers accepted in a head.
+/// Largest number of headers accepted in a head.
 const MAX_HEADERS: usize = 48;
-/// Longest line that gives the size of a chunk, in bytes.
+/// Longest chunk size line accepted, in bytes.
 const MAX_CHUNK_SIZE_LINE: usize = 64;
-/// End of a line, and of a chunk's data.
+/// Terminator of a line and of a chunk's data.
 const CRLF: &[u8] = b"\r\n";
 /// Media type of all bodies.
 const CONTENT_TYPE: &str = "application/cbor";
 
-/// A request, read whole.
+/// A complete request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Method, in upper case as sent.
+    /// Method, spelled as received.
     pub method: String,
-    /// Path with its query.
+    /// Request target: the path with its query string.
     pub target: String,
     /// Body without its framing.
     pub body: Vec<u8>,
-    /// The client closes the connection after this exchange.
+    /// Whether the client expects the connection to be closed after this exchange.
     pub close: bool,
 }
 
-/// A response, read whole or to be written.
+/// A complete response, either received or to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// Status code.
     pub status: u16,
     /// Body without its framing.
     pub body: Vec<u8>,
-    /// Value of `Retry-After`, in seconds.
+    /// Value of the `Retry-After` header in seconds; `None` if the header is absent or, in a
+    /// received response, not a number of seconds.
     pub retry_after_s: Option<u32>,
-    /// The server closes the connection after this exchange.
+    /// Whether the server closes the connection after this exchange.
     pub close: bool,
 }
 
 impl Response {
-    /// A response after which the connection stays open.
+    /// Creates a response without `Retry-After`, after which the connection stays open.
     pub fn new(status: u16, body: Vec<u8>) -> Self {
         Response { status, body, retry_after_s: None, close: false }
     }
 }
 
-/// Why a message can't be read.
+/// Why a message can't be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
     /// The bytes are not an HTTP/1.1 message with unambiguous framing.
@@ -78,7 +80,7 @@
 }
 
 impl HttpError {
-    /// Status of the response to a request that can't be read.
+    /// Returns the status code of the response to a request that can't be parsed.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed => 400,
@@ -88,13 +90,13 @@
     }
 }
 
-/// Takes one request off the front of `buffer`, and says how many bytes it took; `None`
-/// while it is incomplete.
+/// Parses the request at the front of `buffer` and returns it with its length in bytes; returns
+/// `None` while the request is incomplete.
 pub fn parse_request(buffer: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
     parse_request_within(buffer, MAX_BODY)
 }
 
-/// Like [`parse_request`], with another limit for the body, in bytes.
+/// Parses a request like [`parse_request`], with `max_body` as the limit for the body, in bytes.
 pub fn parse_request_within(
     buffer: &[u8],
     max_body: usize,
@@ -118,13 +120,13 @@
     Ok(Some((request, body.end)))
 }
 
-/// Takes one response off the front of `buffer`, and says how many bytes it took; `None`
-/// while it is incomplete.
+/// Parses the response at the front of `buffer` and returns it with its length in bytes; returns
+/// `None` while the response is incomplete.
 pub fn parse_response(buffer: &[u8]) -> Result<Option<(Response, usize)>, HttpError> {
     parse_response_within(buffer, MIN_ANSWER_LIMIT)
 }
 
-/// Like [`parse_response`], with another limit for the body, in bytes.
+/// Parses a response like [`parse_response`], with `max_body` as the limit for the body, in bytes.
 pub fn parse_response_within(
     buffer: &[u8],
     max_body: usize,
@@ -147,7 +149,7 @@
     Ok(Some((response, body.end)))
 }
 
-/// Appends a response to `out`.
+/// Appends an encoded response to `out`.
 pub fn write_response(out: &mut Vec<u8>, response: &Response) {
     append(out, format_args!("HTTP/1.1 {} {}\r\n", response.status, reason(response.status)));
     write_content_headers(out, &response.body);
@@ -161,7 +163,8 @@
     out.extend_from_slice(&response.body);
 }
 
-/// Appends a request to `out`. `POST` announces its body even when it is empty.
+/// Appends an encoded request to `out`. A `POST` request has content headers even if its body is
+/// empty.
 pub fn write_request(out: &mut Vec<u8>, method: &str, target: &str, host: &str, body: &[u8]) {
     append(out, format_args!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n"));
     if !body.is_empty() || method == "POST" {
@@ -180,7 +183,7 @@
     out.write_fmt(text).expect("writing to a Vec can't fail");
 }
 
-/// What the headers say about the end of the message and of the connection.
+/// The headers that determine the end of the message, the reuse of the connection and the retry.
 struct Framing {
     length: Option<usize>,
     chunked: bool,
@@ -191,7 +194,7 @@
 /// A body without its framing.
 struct Body {
     data: Vec<u8>,
-    /// Where the message ends in the buffer.
+    /// Offset in the buffer at which the message ends.
     end: usize,
 }
 
@@ -200,7 +203,7 @@
         let mut framing =
             Framing { length: None, chunked: false, close: !keep_alive, retry_after_s: None };
         for header in headers {
-            framing.add(header)?;
+            framing.apply_header(header)?;
         }
         if framing.chunked && framing.length.is_some() {
             return Err(HttpError::Malformed);
@@ -208,7 +211,7 @@
         Ok(framing)
     }
 
-    fn add(&mut self, header: &Header) -> Result<(), HttpError> {
+    fn apply_header(&mut self, header: &Header) -> Result<(), HttpError> {
         let value = std::str::from_utf8(header.value).map_err(|_| HttpError::Malformed)?.trim();
         let name = header.name;
         if name.eq_ignore_ascii_case("content-length") {
@@ -232,7 +235,7 @@
             return Err(HttpError::Malformed);
         }
         let length = value.parse().map_err(|_| HttpError::BodyTooLarge)?;
-        if self.length.is_some_and(|earlier| earlier != length) {
+        if self.length.is_some_and(|previous| previous != length) {
             return Err(HttpError::Malformed);
         }
         self.length = Some(length);
@@ -249,7 +252,8 @@
         }
     }
 
-    /// Body of a message whose head ends at `start`; `None` while it is incomplete.
+    /// Reads the body of a message whose head ends at `start`; returns `None` while the body is
+    /// incomplete.
     fn read_body(
         &self,
         buffer: &[u8],
@@ -280,14 +284,14 @@
     Ok(None)
 }
 
-/// One chunk; the last one of a body is empty.
+/// One chunk of a body; the last chunk is empty.
 struct Chunk<'a> {
     data: &'a [u8],
-    /// Bytes that it takes in the buffer, with its size line and the end of its data.
+    /// Length in the buffer, including the size line and the terminator, in bytes.
     encoded_length: usize,
 }
 
-/// Reads the chunk at the front of `buffer`; `None` while it is incomplete.
+/// Reads the chunk at the front of `buffer`; returns `None` while the chunk is incomplete.
 fn read_chunk(buffer: &[u8], max: usize) -> Result<Option<Chunk<'_>>, HttpError> {
     let (data_start, size) = match httparse::parse_chunk_size(buffer) {
         Ok(Status::Complete(line)) => line,
@@ -307,7 +311,7 @@
     Ok(Some(Chunk { data, encoded_length }))
 }
 
-/// Reason phrase of a status code.
+/// Returns the reason phrase of a status code, or `Status` for a code that is not in use.
 fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! Messages of quartzgate's protocols and the HTTP codec that carries them.
 //!
-//! The protocols have names of their own for many things. They appear in the serde attributes
-//! of this crate only; everywhere else the names are the field's.
+//! The protocols use their own names for many concepts. Those names appear only in the serde
+//! attributes of this crate; the code uses the usual terms of distributed systems.
 
 #![warn(missing_docs)]
 
@@ -11,7 +11,7 @@
 
 use serde::{de::DeserializeOwned, Serialize};
 
-/// Deepest nesting accepted in a CBOR body; nothing in the protocols goes deeper.
+/// Largest nesting depth accepted in a CBOR body; no message of the protocols is nested deeper.
 const MAX_DEPTH: usize = 32;
 
 /// A body that is not one well-formed message.
@@ -19,14 +19,14 @@
 #[error("malformed CBOR body: {0}")]
 pub struct BodyError(String);
 
-/// Encodes a message. Our own message types always encode.
+/// Encodes a message as CBOR. The message types of this crate can always be encoded.
 pub fn to_cbor<T: Serialize>(value: &T) -> Vec<u8> {
     let mut out = Vec::with_capacity(256);
     ciborium::into_writer(value, &mut out).expect("messages are plain data");
     out
 }
 
-/// Decodes exactly one message; bytes left over are an error.
+/// Decodes a body that holds exactly one message; trailing bytes are an error.
 pub fn from_cbor<T: DeserializeOwned>(body: &[u8]) -> Result<T, BodyError> {
     let mut rest = body;
     let value = ciborium::de::from_reader_with_recursion_limit(&mut rest, MAX_DEPTH)
--- a/crates/wire/src/msg/decode.rs
+++ b/crates/wire/src/msg/decode.rs
@@ -1,13 +1,13 @@
-//! Forms in which values may come on the wire.
+//! Deserialization of values that have more than one form on the wire.
 
 use serde::Deserialize;
 
-/// Default of a field that may be absent.
+/// Returns `false`, the default of a flag that may be absent.
 pub(super) fn no() -> bool {
     false
 }
 
-/// Decodes an amount: a decimal number; a whole one may come as an integer.
+/// Decodes an amount, which is a floating-point number or an integer on the wire.
 pub(super) fn amount<'de, D: serde::Deserializer<'de>>(d: D) -> Result<f64, D::Error> {
     struct Amount;
     impl serde::de::Visitor<'_> for Amount {
@@ -28,19 +28,19 @@
     d.deserialize_any(Amount)
 }
 
-/// The same for an amount that may be absent or null.
+/// Decodes an amount that may be null; with serde's `default`, it may also be absent.
 pub(super) fn maybe_amount<'de, D: serde::Deserializer<'de>>(
     d: D,
 ) -> Result<Option<f64>, D::Error> {
     #[derive(Deserialize)]
     struct Wrapped(#[serde(deserialize_with = "amount")] f64);
-    Ok(Option::<Wrapped>::deserialize(d)?.map(|w| w.0))
+    Ok(Option::<Wrapped>::deserialize(d)?.map(|wrapped| wrapped.0))
 }
 
-/// Decodes a list of names, or null; a name that comes again counts once.
+/// Decodes a list of names and removes duplicates; null is decoded as an empty list.
 pub(super) fn named_once<'de, D: serde::Deserializer<'de>>(d: D) -> Result<Vec<String>, D::Error> {
     let mut names = Option::<Vec<String>>::deserialize(d)?.unwrap_or_default();
     let mut seen = std::collections::HashSet::new();
-    names.retain(|n| seen.insert(n.clone()));
+    names.retain(|name| seen.insert(name.clone()));
     Ok(names)
 }
--- a/crates/wire/src/msg/jobs.rs
+++ b/crates/wire/src/msg/jobs.rs
@@ -4,13 +4,13 @@
 
 use super::decode::{amount, maybe_amount, named_once};
 
-/// What the tasks of a job have to do with one another.
+/// How the tasks of a job relate to one another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     Array,
-    /// All tasks run at the same time, or none does.
+    /// Tasks that run all at the same time or not at all.
     Gang,
     /// Replicas that run until the job is cancelled.
     Service,
@@ -19,10 +19,10 @@
 /// Priority of a job, lowest first so that the derived order is the ranking.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Makes way for all other work.
+    /// Yields to all other work.
     #[serde(rename = "idle")]
     Low,
-    /// The ordinary priority.
+    /// The priority of ordinary work.
     #[serde(rename = "normal")]
     Normal,
     /// Preempts lower priorities.
@@ -33,10 +33,10 @@
     Production,
 }
 
-/// A job as its user submits it. Amounts are for each task.
+/// The specification of a job as its user submits it. Amounts of resources are per task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Unique identifier, chosen by the user; a retry uses the same one.
+    /// Unique identifier, chosen by the user; a retry of the submission uses the same one.
     #[serde(rename = "ref")]
     pub id: String,
     /// Class of jobs that the service-level objectives name.
@@ -45,19 +45,19 @@
     /// Team whose quota applies.
     #[serde(rename = "owner")]
     pub team: String,
-    /// What the tasks have to do with one another.
+    /// How the tasks relate to one another.
     #[serde(rename = "shape")]
     pub shape: JobKind,
-    /// Priority set by the user.
+    /// Priority, set by the user.
     #[serde(rename = "rank")]
     pub priority: Priority,
     /// Number of tasks, from 1 to [`MAX_TASKS`].
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// Processors.
+    /// Number of CPUs.
     #[serde(rename = "vcpus", deserialize_with = "amount")]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(deserialize_with = "amount")]
     pub gpus: f64,
     /// Memory, in GB.
@@ -69,29 +69,29 @@
     /// Size of the image, in GB.
     #[serde(deserialize_with = "amount")]
     pub image_gb: f64,
-    /// Machine types allowed; all if `None`.
+    /// Machine types on which the tasks may run; all if `None`.
     #[serde(rename = "host_types", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The only zone allowed; any if `None`.
+    /// The only zone in which the tasks may run; any if `None`.
     #[serde(rename = "hall", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks run in one zone.
+    /// Whether all tasks must run in one zone.
     pub together: bool,
-    /// Tasks are spread evenly over the zones.
+    /// Whether the tasks are spread evenly over the zones.
     pub spread: bool,
-    /// Tasks may run on spot machines.
+    /// Whether the tasks may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The user's estimate of how long a task runs, in seconds.
+    /// The user's estimate of the run time of a task, in seconds.
     #[serde(rename = "expected_s", deserialize_with = "amount")]
     pub estimate_s: f64,
-    /// Time between two checkpoints, in seconds; 0 if the tasks take none.
+    /// Time between two checkpoints, in seconds; 0 if the tasks take no checkpoints.
     #[serde(rename = "snapshot_every_s", deserialize_with = "amount")]
     pub checkpoint_interval_s: f64,
-    /// How long taking a checkpoint takes, in seconds.
+    /// Duration of taking a checkpoint, in seconds.
     #[serde(rename = "snapshot_cost_s", deserialize_with = "amount")]
     pub checkpoint_cost_s: f64,
-    /// Deadline, in seconds after the submission.
+    /// Deadline, in seconds after the submission; `None` if the job has none.
     #[serde(
         rename = "due_s",
         default,
@@ -99,8 +99,8 @@
         skip_serializing_if = "Option::is_none"
     )]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts, each named once.
-    /// Absent, null and an empty list are the same.
+    /// Jobs that must be done before any task of this job starts, without duplicates. An absent
+    /// field, null and an empty list mean the same.
     #[serde(
         rename = "prereqs",
         default,
@@ -116,10 +116,10 @@
 const MAX_AMOUNT: f64 = 1e9;
 /// Longest text accepted in a submission, in bytes.
 const MAX_TEXT_BYTES: usize = 128;
-/// Machine types that a job may name.
+/// Largest number of machine types that a job may name.
 const MAX_MACHINE_TYPES: usize = 64;
 
-/// What is wrong with a submission whatever the cluster looks like, and in which field of the
+/// An error in a submission that does not depend on the cluster, with the field's name on the
 /// wire.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {problem}")]
@@ -137,7 +137,7 @@
 }
 
 impl JobSpec {
-    /// Checks everything that does not depend on the cluster.
+    /// Checks the limits and formats that do not depend on the cluster; returns the first error.
     pub fn check(&self) -> Result<(), JobSpecError> {
         if !valid_job_id(&self.id) {
             return Err(JobSpecError::new("ref", "not of the form wk- and digits"));
@@ -193,16 +193,16 @@
     }
 }
 
-/// Whether a job identifier has the only form allowed: `wk-` and 1 to 20 digits.
+/// Returns whether a job identifier has the only form allowed: `wk-` and 1 to 20 digits.
 pub fn valid_job_id(id: &str) -> bool {
     id.strip_prefix("wk-")
         .is_some_and(|n| (1..=20).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
 }
 
-/// Status of a job as users see it.
+/// Status of a job, as reported to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
-    /// Accepted, and no task has been seen running.
+    /// The job is accepted, and no task has been reported as running.
     #[serde(rename = "pending")]
     Queued,
     /// At least one task is on a machine.
@@ -211,7 +211,7 @@
     /// All tasks have completed.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled.
+    /// The job was aborted.
     #[serde(rename = "aborted")]
     Aborted,
 }
@@ -219,15 +219,15 @@
 /// Answer to a submission, a status query or an abort.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobAnswer {
-    /// The job.
+    /// Identifier of the job.
     #[serde(rename = "ref")]
     pub id: String,
-    /// Its status.
+    /// Status of the job.
     pub status: JobStatus,
-    /// Tasks that have completed, while the job is live.
+    /// Number of tasks that have completed; absent unless the job is live.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub done: Option<u32>,
-    /// Tasks that are on machines, while the job is live.
+    /// Number of tasks that are on machines; absent unless the job is live.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub running: Option<u32>,
 }
@@ -235,6 +235,6 @@
 /// Body of an answer with an error status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorAnswer {
-    /// What is wrong, and where.
+    /// Description of the error, for the user.
     pub error: String,
 }
--- a/crates/wire/src/msg/mesh.rs
+++ b/crates/wire/src/msg/mesh.rs
@@ -2,19 +2,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A message between controllers: a heartbeat, or a request that is forwarded.
+/// A message between controllers: a heartbeat or a forwarded request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MeshMessage {
-    /// Version of these messages ([`MESH_VERSION`]); another version is refused.
+    /// Version of the message format; a receiver refuses any version but [`MESH_VERSION`].
     pub version: u32,
-    /// Name of the sender.
+    /// Name of the controller that sends the message.
     pub from: String,
-    /// Epoch that the sender leads; 0 if it does not lead.
+    /// Epoch in which the sender is the leader; 0 if the sender is not the leader.
     pub epoch: u64,
-    /// The key-value store answers the sender.
+    /// Whether the sender can reach the key-value store.
     #[serde(rename = "has_state")]
     pub store_reachable: bool,
-    /// A request to be handled as if it had come here.
+    /// A request that the receiver handles as if a client had sent it to the receiver.
     #[serde(default)]
     pub forward: Option<Forward>,
 }
@@ -22,19 +22,20 @@
 /// Version of the messages between controllers.
 pub const MESH_VERSION: u32 = 1;
 
-/// A request that one controller hands to another.
+/// A request that one controller forwards to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Forward {
-    /// HTTP method.
+    /// HTTP method of the original request.
     pub method: String,
-    /// HTTP path.
+    /// HTTP path of the original request.
     pub path: String,
-    /// Its body.
+    /// Body of the original request.
     #[serde(with = "bytes")]
     pub body: Vec<u8>,
 }
 
-/// Byte strings inside messages between controllers, which may use binary data.
+/// Serialization as CBOR byte strings, for messages between controllers, which may contain binary
+/// data.
 mod bytes {
     use ciborium::value::Value;
     use serde::{de::Error, Deserialize, Deserializer, Serializer};
--- a/crates/wire/src/msg/mod.rs
+++ b/crates/wire/src/msg/mod.rs
@@ -1,7 +1,7 @@
-//! Message bodies, a module for each peer and one struct a message.
+//! Message bodies: one module for each kind of peer, and one struct for each message.
 //!
-//! Fields have the terms of the field; the names that the protocols use on the wire stand in
-//! the serde attributes here, and nowhere else.
+//! Fields are named with the usual terms of distributed systems. The names that the protocols use
+//! on the wire appear only in the serde attributes of these modules.
 
 mod cloud;
 mod decode;
--- a/crates/wire/src/msg/store.rs
+++ b/crates/wire/src/msg/store.rs
@@ -3,17 +3,17 @@
 use ciborium::value::Value;
 use serde::{Deserialize, Serialize};
 
-/// A key of the key-value store, and what it holds.
+/// An entry of the key-value store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyValue {
-    /// The key.
+    /// Key of the entry.
     pub path: String,
-    /// Its value.
+    /// Value under the key.
     pub value: Value,
     /// Revision of the store at which the key was last written.
     #[serde(rename = "stamp")]
     pub revision: u64,
-    /// Lease that the key hangs on, if any.
+    /// Lease that the key is attached to, if any; the key is deleted when the lease expires.
     #[serde(rename = "permit", default)]
     pub lease_id: Option<u64>,
 }
@@ -21,9 +21,9 @@
 /// One page of a list of keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyValueList {
-    /// Keys in their order.
+    /// Entries in the order of their keys.
     pub pairs: Vec<KeyValue>,
-    /// There are more after the last one.
+    /// Whether further entries follow on the next page.
     #[serde(default)]
     pub more: bool,
     /// Revision of the store at which the list was read.
@@ -31,50 +31,50 @@
     pub store_revision: u64,
 }
 
-/// A condition of a transaction: the key was last written at this revision.
+/// A condition of a transaction: the key must have been last written at this revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Guard {
-    /// The key.
+    /// Key that the condition applies to.
     pub path: String,
-    /// Its revision; 0 if it must not exist.
+    /// Revision at which the key was last written; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
 
-/// A change of one key.
+/// A change of one key in a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
     /// Writes a key.
     Set {
-        /// The key.
+        /// Key to write.
         set: String,
-        /// Its new value.
+        /// New value of the key.
         value: Value,
-        /// Lease on which the key hangs from now on.
+        /// Lease that the key is attached to from now on; none if absent.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
         lease_id: Option<u64>,
     },
     /// Deletes a key.
     Delete {
-        /// The key.
+        /// Key to delete.
         delete: String,
     },
 }
 
-/// Compare-and-swap over several keys: all changes are made if all guards hold, else none.
+/// Compare-and-swap over several keys: all changes are applied if all guards hold, else none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Conditions.
+    /// Conditions that must all hold.
     pub guards: Vec<Guard>,
-    /// Changes.
+    /// Changes to apply.
     pub apply: Vec<Change>,
 }
 
 /// Answer to a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransactionAnswer {
-    /// Revision of the store after it.
+    /// Revision of the store after the transaction.
     #[serde(rename = "ledger_rev")]
     pub store_revision: u64,
     /// Keys whose guards did not hold.
@@ -89,27 +89,27 @@
     pub ttl_ms: u64,
 }
 
-/// A lease that was granted.
+/// Answer to a [`LeaseRequest`]: the lease that was granted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseAnswer {
-    /// Its identifier.
+    /// Identifier of the lease, for its renewals and for the keys to attach to it.
     #[serde(rename = "permit")]
     pub lease_id: u64,
 }
 
-/// One change in the log of the store: `set` or `delete` names the key.
+/// One change in the log of the store; either `set` or `delete` holds the key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeEvent {
-    /// Key that was written.
+    /// Key that was written; absent for a deletion.
     #[serde(default)]
     pub set: Option<String>,
-    /// Key that was deleted, or whose lease expired.
+    /// Key that was deleted or whose lease expired; absent for a write.
     #[serde(default)]
     pub delete: Option<String>,
-    /// The value written.
+    /// Value that was written; absent for a deletion.
     #[serde(default)]
     pub value: Option<Value>,
-    /// Revision of the change.
+    /// Revision of the store at which the change was made.
     #[serde(rename = "stamp")]
     pub revision: u64,
 }
@@ -117,10 +117,10 @@
 /// Answer to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeLog {
-    /// Revision up to which the log is told.
+    /// Revision of the store up to which the log is complete.
     #[serde(rename = "ledger_rev")]
     pub store_revision: u64,
-    /// Changes in their order.
+    /// Changes in the order in which they were made.
     #[serde(default)]
     pub log: Vec<ChangeEvent>,
 }
--- a/crates/wire/src/msg/workers.rs
+++ b/crates/wire/src/msg/workers.rs
@@ -4,22 +4,23 @@
 
 use super::decode::{maybe_amount, no};
 
-/// Where a task stands on its machine.
+/// State of a task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskStatus {
-    /// Its image is being fetched.
+    /// The machine is fetching the image of the task.
     #[serde(rename = "pulling")]
     Fetching,
-    /// A gang member that waits for the others to be ready.
+    /// The task is a gang member and waits for the other members to be ready.
     #[serde(rename = "waiting")]
     Waiting,
-    /// It runs.
+    /// The task is running.
     #[serde(rename = "running")]
     Running,
-    /// It takes a checkpoint before it stops.
+    /// The task is taking a checkpoint before it stops.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// It has exited; the cause is told until the worker is told to forget it.
+    /// The task has exited; heartbeats report the cause until a command makes the worker forget the
+    /// attempt.
     #[serde(rename = "exited")]
     Exited,
 }
@@ -27,25 +28,25 @@
 /// Why a task exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitCause {
-    /// It completed.
+    /// The task completed.
     #[serde(rename = "done")]
     Done,
-    /// It was told to stop.
+    /// A command stopped the task.
     #[serde(rename = "stopped")]
     Stopped,
-    /// A gang member: another member exited.
+    /// The task is a gang member, and another member exited.
     #[serde(rename = "peers")]
     Peers,
-    /// A gang member: the others did not come in time.
+    /// The task is a gang member, and the other members were not ready in time.
     #[serde(rename = "incomplete")]
     Alone,
-    /// It failed.
+    /// The task failed.
     #[serde(rename = "error")]
     Error,
-    /// The machine has too little left for it.
+    /// The free resources of the machine are too small for the task.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// The same task runs there already, in another attempt.
+    /// Another attempt of the same task is already on the machine.
     #[serde(rename = "in_use")]
     Busy,
     /// The worker does not know the job.
@@ -53,44 +54,44 @@
     Unknown,
 }
 
-/// One task in a heartbeat.
+/// The status of one task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatTask {
-    /// Name of the task: the job, a slash and its number.
+    /// Name of the task: the job's identifier, a slash and the task's number.
     #[serde(rename = "piece")]
     pub task: String,
-    /// Attempt of the task that the machine runs or ran.
+    /// Attempt of the task that this status is about.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Where it stands.
+    /// State of the attempt.
     pub status: TaskStatus,
-    /// Why it exited, if it has.
+    /// Cause of the exit; absent unless the attempt has exited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitCause>,
-    /// Whether what it had done is in a checkpoint.
+    /// Whether the progress of the attempt is saved in a checkpoint.
     #[serde(rename = "saved", default, skip_serializing_if = "Option::is_none")]
     pub checkpointed: Option<bool>,
 }
 
-/// A worker's heartbeat, with the status of all tasks on its machine. Also the answer to commands
-/// and to an inspection.
+/// A worker's heartbeat, with the status of all tasks on its machine. A worker also sends it as the
+/// answer to commands and to an inspection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Name of the machine.
     #[serde(rename = "host")]
     pub machine: String,
-    /// Address at which the worker takes commands.
+    /// Address on which the worker accepts commands.
     pub addr: String,
-    /// Machine type.
+    /// Type of the machine.
     #[serde(rename = "host_type")]
     pub kind: String,
-    /// Zone that it is in.
+    /// Zone of the machine.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// It is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "loaners", default = "no")]
     pub spot: bool,
-    /// Incarnation of the worker's agent: rises when its lease has expired or it was restarted.
+    /// Incarnation of the worker's agent; increases when its lease expires or the agent restarts.
     #[serde(rename = "tenure")]
     pub agent_epoch: u64,
     /// Sequence number of the message within the agent epoch.
@@ -99,10 +100,11 @@
     /// Highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Seconds until the cloud takes the machine away, once that is announced.
+    /// Time until the cloud reclaims the machine, in seconds; absent without an interruption
+    /// notice.
     #[serde(rename = "recall_s", default, deserialize_with = "maybe_amount")]
     pub interruption_notice_s: Option<f64>,
-    /// All tasks that the worker knows.
+    /// Status of every task that the worker knows.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<HeartbeatTask>,
 }
@@ -117,7 +119,7 @@
         /// Name of the task.
         #[serde(rename = "piece")]
         task: String,
-        /// The attempt meant.
+        /// Attempt that the command applies to.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -127,44 +129,44 @@
         /// Name of the task.
         #[serde(rename = "piece")]
         task: String,
-        /// The attempt meant.
+        /// Attempt that the command applies to.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds that it is given.
+        /// Time that the attempt is given to stop, in seconds.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
-    /// Forgets an attempt that has exited.
+    /// Makes the worker forget an attempt that has exited, so that heartbeats no longer report it.
     #[serde(rename = "clear")]
     Forget {
         /// Name of the task.
         #[serde(rename = "piece")]
         task: String,
-        /// The attempt meant.
+        /// Attempt that the command applies to.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// Answer to a heartbeat: it renews the lease of the worker.
+/// Answer to a heartbeat, which renews the lease of the worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatAnswer {
-    /// The fencing token to accept commands with from now on.
+    /// Fencing token with which the worker accepts commands from now on.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Commands to carry out.
+    /// Commands that the worker is to execute.
     pub orders: Vec<Order>,
 }
 
-/// Answer that sends a worker to another controller.
+/// Answer that redirects a worker to another controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Name of the controller to turn to, if one is known.
+    /// Name of the controller to which the worker is to send its heartbeats; absent if none is known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none", default)]
     pub leader: Option<String>,
 }
 
-/// Commands to a worker, carried out only if token and agent epoch match.
+/// Commands to a worker, which executes them only if the fencing token and the agent epoch match.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OrdersRequest {
     /// Fencing token of the sender.
@@ -173,6 +175,6 @@
     /// Agent epoch for which the commands are meant.
     #[serde(rename = "tenure")]
     pub agent_epoch: u64,
-    /// The commands.
+    /// Commands that the worker is to execute.
     pub orders: Vec<Order>,
 }
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,9 +1,9 @@
-//! The settings file that the platform hands to each controller (JSON).
+//! The JSON settings file that the platform provides to each controller.
 //!
-//! The operators' names for some fields differ from the terms used in this code; they
-//! appear only in the serde renames. Unknown fields are ignored, so that the platform
-//! can add to the file without a new build. [`Platform::check`] refuses values with which
-//! a controller could not work and names the field as the file spells it.
+//! Some fields have a name in the file that differs from the term used in this code; those names
+//! appear only in the serde attributes. Unknown fields are ignored, so that the platform can add
+//! fields without a new build of the controller. [`Platform::check`] rejects values with which a
+//! controller could not work, and names the field as the file spells it.
 
 #![warn(missing_docs)]
 
@@ -13,19 +13,21 @@
 
 /// Longest text accepted for a node name or an address, in bytes.
 const MAX_TEXT_BYTES: usize = 100;
-/// Bound below which every amount in the file must stay.
+/// Exclusive upper bound of the amounts that are checked.
 const MAX_AMOUNT: f64 = 1e9;
-/// Fewest operations that a transaction must allow.
+/// Smallest allowed limit on the operations in a transaction.
 const MIN_TXN_OPS: usize = 4;
-/// Smallest value limit, in KiB, that holds the smallest job together with its placement.
+/// Smallest allowed limit on the size of a value, in KiB. The smallest job together with its
+/// placement fits a value of this size.
 const MIN_VALUE_KB: f64 = 1.0;
-/// Fewest sockets with which a controller can serve workers, users and its own calls.
+/// Smallest number of sockets with which a controller can serve workers and users and make its own
+/// calls.
 const MIN_SOCKETS: usize = 32;
 
 /// All settings of one controller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Platform {
-    /// Name of this controller.
+    /// Name of this controller, without spaces and slashes.
     pub node: String,
     /// Zone in which this controller runs.
     #[serde(rename = "domain")]
@@ -50,12 +52,12 @@
 /// Another controller of the same cluster.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Sibling {
-    /// Its name.
+    /// Name of that controller.
     pub node: String,
-    /// Zone in which it runs.
+    /// Zone in which that controller runs; empty if the file does not name one.
     #[serde(rename = "domain", default)]
     pub zone: String,
-    /// Its mesh address.
+    /// Address on which that controller serves the other controllers.
     pub addr: String,
 }
 
@@ -89,7 +91,7 @@
     /// Resources that one controller may use.
     #[serde(rename = "resources")]
     pub limits: Limits,
-    /// Bound on the error of the time of day, in milliseconds.
+    /// Bound on the error of the wall clocks, in milliseconds.
     #[serde(default)]
     pub clock_off_ms: f64,
 }
@@ -116,18 +118,18 @@
 /// A service-level objective for one kind of event.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Objective {
-    /// What is measured.
+    /// Kind of event that the objective measures.
     pub kind: String,
-    /// Class of jobs to which it applies; all classes if absent.
+    /// Class of jobs to which the objective applies; all classes if absent.
     #[serde(default)]
     pub class: Option<String>,
     /// Time allowed, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// For deadlines: how many times the deadline the objective allows.
+    /// For objectives on deadlines: multiple of the deadline that is allowed.
     #[serde(default)]
     pub times: Option<f64>,
-    /// Fraction of the events that must meet it.
+    /// Fraction of the events that must meet the objective.
     #[serde(default)]
     pub share: Option<f64>,
 }
@@ -139,13 +141,13 @@
     pub report_s: f64,
     /// Length of a worker's lease.
     pub lease_s: f64,
-    /// How long the first tasks of a gang wait for the others.
+    /// Time for which the first tasks of a gang wait for the others.
     #[serde(default)]
     pub gang_wait_s: f64,
-    /// How long a running gang survives without one of its tasks.
+    /// Time for which a running gang survives without one of its tasks.
     #[serde(default)]
     pub gang_peer_s: f64,
-    /// Time within which every task of an aborted job must be gone.
+    /// Time within which every task of an aborted job must have ended; must exceed the lease.
     pub cancel_s: f64,
 }
 
@@ -160,12 +162,13 @@
     pub value_kb: f64,
     /// Puts and deletes in one transaction.
     pub txn_ops: usize,
-    /// Limits that will hold from some moment after an upgrade, without notice.
+    /// Limits that will take effect at an unannounced time after an upgrade; absent if no change is
+    /// planned.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next: Option<NextLimits>,
 }
 
-/// Announced limits of the state service; an absent one stays as it is.
+/// Announced limits of the state service; a limit that is absent does not change.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct NextLimits {
     /// Requests per second.
@@ -183,8 +186,8 @@
 }
 
 impl StateLimits {
-    /// The lower of the present and the announced limits: what keeps to these is within
-    /// the limits at any moment.
+    /// Returns the lower of the current and the announced limits. A controller that respects these
+    /// stays within the limits at any time.
     pub fn lowest(&self) -> StateLimits {
         let next = self.next.unwrap_or_default();
         StateLimits {
@@ -202,19 +205,19 @@
 pub struct CloudLimits {
     /// Requests per second.
     pub rps: f64,
-    /// How far the list of machines may lag, in seconds.
+    /// Largest staleness of the list of machines, in seconds.
     pub list_lag_s: f64,
 }
 
 /// Resources that one controller may use.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Limits {
-    /// Processor time, in cores.
+    /// CPU time, in cores.
     pub cpu_share: f64,
     /// Memory, in MB.
     #[serde(rename = "mem_mb")]
     pub memory_mb: f64,
-    /// Open sockets.
+    /// Number of open sockets.
     pub max_sockets: usize,
 }
 
@@ -222,10 +225,10 @@
 #[derive(Debug, thiserror::Error)]
 #[error("setting `{field}` {problem}")]
 pub struct SettingsError {
-    /// Path of the field as the file spells it, with dots; it does not tell the entries of
-    /// a list apart.
+    /// Dotted path of the field as the file spells it. The path does not identify the entry of a
+    /// list.
     pub field: String,
-    /// What is allowed.
+    /// The values that are allowed, as the end of a sentence about the field.
     pub problem: String,
 }
 
@@ -236,7 +239,8 @@
 }
 
 impl Platform {
-    /// Refuses values with which a controller could not work, naming the first one.
+    /// Checks the values; returns an error for the first one with which a controller could not
+    /// work.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_node()?;
         self.check_addresses()?;
