--- a/crates/quartzgate/tests/command_line.rs
+++ b/crates/quartzgate/tests/command_line.rs
@@ -1,9 +1,9 @@
-//! The command line and the settings files, tested through the program.
+//! Tests of the command line and the settings files, run through the program.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// The platform's settings that the README shows.
+/// Returns the path of the platform's example settings that the README shows.
 fn example_settings() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/example.json")
 }
@@ -12,7 +12,7 @@
     Command::new(env!("CARGO_BIN_EXE_quartzgate")).args(args).output().unwrap()
 }
 
-/// Whether `--check` accepts these settings, and what it says on standard error.
+/// Returns whether `--check` accepts these settings, and its standard error.
 fn check(name: &str, platform: &str, operator: Option<&str>) -> (bool, String) {
     let dir = std::env::temp_dir().join(format!("quartzgate-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
@@ -26,11 +26,11 @@
     let out = run(&args);
     std::fs::remove_dir_all(&dir).unwrap();
     let text = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(text.lines().count() <= 1, "one clear line, not: {text}");
+    assert!(text.lines().count() <= 1, "expected a one-line error, got: {text}");
     (out.status.success(), text)
 }
 
-/// Guards the example files that the README points at.
+/// The example files that the README refers to must be valid.
 #[test]
 fn example_settings_are_valid() {
     let platform = std::fs::read_to_string(example_settings()).unwrap();
@@ -42,8 +42,8 @@
     assert!(run(&["--help"]).status.success());
 }
 
-/// Guards the start: a field that is missing or invalid is named in one line, and the
-/// program ends; an unknown field in the platform's file is ignored.
+/// A missing or invalid field must end the program with one line that names the field; an unknown
+/// field in the platform's file must be ignored.
 #[test]
 fn invalid_settings_are_refused_by_field() {
     let good = std::fs::read_to_string(example_settings()).unwrap();
@@ -59,8 +59,8 @@
         ("json", "{".to_string(), "EOF"),
     ];
     for (name, text, word) in cases {
-        let (ok, said) = check(name, &text, None);
-        assert!(!ok && said.contains(word), "{name}: {said}");
+        let (ok, message) = check(name, &text, None);
+        assert!(!ok && message.contains(word), "{name}: {message}");
     }
     let extra = edited("\"node\":", "\"unknown\": 1, \"node\":");
     assert!(check("extra", &extra, None).0);
@@ -70,36 +70,40 @@
         ("kind", "slack_cap: many", "slack_cap"),
         ("step", "withhold: [format-99]", "format-99"),
     ] {
-        let (ok, said) = check(name, &good, Some(yaml));
-        assert!(!ok && said.contains(word), "{name}: {said}");
+        let (ok, message) = check(name, &good, Some(yaml));
+        assert!(!ok && message.contains(word), "{name}: {message}");
     }
 }
 
-/// Guards a refusal's message: file, field, value and what is allowed.
+/// The error for an invalid value must name the file, the field, the value and what is allowed.
 #[test]
 fn refusal_names_file_field_value_and_what_is_allowed() {
     let good = std::fs::read_to_string(example_settings()).unwrap();
     let bad = good.replacen("\"max_sockets\": 1024", "\"max_sockets\": 8", 1);
-    let (ok, said) = check("socket-limit", &bad, None);
+    let (ok, message) = check("socket-limit", &bad, None);
     assert!(!ok);
     let expected =
         "settings.json: setting `facts.resources.max_sockets` is `8`, but must be at least 32";
-    assert!(said.trim_end().ends_with(expected), "{said}");
+    assert!(message.trim_end().ends_with(expected), "{message}");
     let bad = good.replacen("\"cpus_max\": 256.0", "\"cpus_max\": -1.0", 1);
-    let (ok, said) = check("team", &bad, None);
-    assert!(!ok && said.contains("`facts.teams` is `[{") && said.contains("-1.0"), "{said}");
+    let (ok, message) = check("team", &bad, None);
+    assert!(
+        !ok && message.contains("`facts.teams` is `[{") && message.contains("-1.0"),
+        "{message}"
+    );
     let siblings = r#""siblings": [{"node": "b", "addr": "b:80"}, {"node": "c", "addr": "c:80"}]"#;
     let bad = good.replacen("\"siblings\": []", siblings, 1);
-    let (ok, said) = check("sibling", &bad, None);
+    let (ok, message) = check("sibling", &bad, None);
     let expected = r#"`siblings.addr` is `["b:80","c:80"]`, but must be an IP address and a port"#;
-    assert!(!ok && said.contains(expected), "{said}");
-    let (ok, said) = check("probe-count", &good, Some("probes: 99"));
+    assert!(!ok && message.contains(expected), "{message}");
+    let (ok, message) = check("probe-count", &good, Some("probes: 99"));
     assert!(!ok);
     let expected = "operator.yaml: setting `probes` is `99`, but must be from 1 to 16";
-    assert!(said.trim_end().ends_with(expected), "{said}");
+    assert!(message.trim_end().ends_with(expected), "{message}");
 }
 
-/// Guards the dry run of a rollout: what this build knows, and what is withheld here.
+/// `--check` serves as the dry run of a rollout: it must list the formats and features that this
+/// build knows, and which of them are withheld.
 #[test]
 fn check_lists_formats_and_features() {
     let dir = std::env::temp_dir().join(format!("quartzgate-steps-{}", std::process::id()));
--- a/crates/quartzgate/tests/golden/expected.rs
+++ b/crates/quartzgate/tests/golden/expected.rs
@@ -1,4 +1,4 @@
-//! Comparison with the golden files, and the settings that the tests start from.
+//! Comparison with the golden files, and the settings that the golden tests modify.
 
 use std::path::{Path, PathBuf};
 
@@ -8,8 +8,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/expected").join(format!("{name}.txt"))
 }
 
-/// Compares with the golden file, line by line. `GOLDEN_UPDATE=1` writes the file instead: only
-/// for a change that is meant to change what others see, never for a refactoring.
+/// Compares a text with the golden file, line by line. `GOLDEN_UPDATE=1` overwrites the file first;
+/// this is meant only for intended changes of the visible behaviour, never for a refactoring.
 pub fn assert_golden(name: &str, text: &str) {
     let file = golden_file(name);
     if std::env::var_os("GOLDEN_UPDATE").is_some() {
@@ -25,16 +25,16 @@
     assert!(expected == text, "expected/{name}.txt: line ends");
 }
 
-/// A file of the test with this content.
+/// Creates a file with this content in the test's directory and returns its path.
 pub fn file(test: &str, name: &str, content: &str) -> PathBuf {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden").join(test);
-    std::fs::create_dir_all(&folder).expect("the folder can be made");
-    let path = folder.join(name);
+    let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden").join(test);
+    std::fs::create_dir_all(&directory).expect("the directory can be made");
+    let path = directory.join(name);
     std::fs::write(&path, content).expect("the file can be written");
     path
 }
 
-/// Platform settings with every field that there is.
+/// Returns platform settings in which every known field is set.
 pub fn every_setting() -> Value {
     json!({
         "node": "n0",
--- a/crates/quartzgate/tests/golden/main.rs
+++ b/crates/quartzgate/tests/golden/main.rs
@@ -1,5 +1,5 @@
-//! Golden tests of the program: its command line, both settings files, and its sockets. They know
-//! none of the project's own names; what is expected stands in `expected/`.
+//! Golden tests of the program: its command line, both settings files, and its sockets. The tests
+//! use none of the program's internal names; the expected results are in `expected/`.
 
 mod command;
 mod expected;
--- a/crates/quartzgate/tests/golden/settings.rs
+++ b/crates/quartzgate/tests/golden/settings.rs
@@ -1,5 +1,5 @@
-//! Every field of the platform's settings and every key of the operators' own: which must be
-//! there, what they may hold, and what is said otherwise.
+//! Golden tests of every field of the platform's settings and every key of the operators'
+//! settings: which of them are required, which values are allowed, and which errors result.
 
 use std::path::Path;
 
@@ -14,26 +14,27 @@
     verdict(&shown(&output, &[&json]))
 }
 
-/// Whether settings are taken, and which field is named if they are not: the words may get better.
+/// Reduces the output to whether the settings are accepted and which field an error names, so that
+/// the wording of errors may be improved without a change of the golden files.
 pub fn verdict(shown: &str) -> String {
     if shown.starts_with("exit 0") {
         return "accepted".into();
     }
-    assert!(shown.lines().count() == 2, "one clear line, not: {shown}");
-    let (exit, said) = shown.split_once('\n').expect("two lines");
-    let said = said.split(" at line ").next().unwrap_or(said).trim_end();
-    if said.contains("unknown field") {
-        // It lists all keys.
-        return format!("{exit}: {said}");
+    assert!(shown.lines().count() == 2, "expected a one-line error, got: {shown}");
+    let (exit, message) = shown.split_once('\n').expect("two lines");
+    let message = message.split(" at line ").next().unwrap_or(message).trim_end();
+    if message.contains("unknown field") {
+        // Such an error lists all known keys.
+        return format!("{exit}: {message}");
     }
-    if said.contains("invalid type") || said.contains("invalid value") {
+    if message.contains("invalid type") || message.contains("invalid value") {
         return format!("{exit}, wrong kind");
     }
-    let named = said.split('`').nth(1).unwrap_or_else(|| panic!("no field is named: {said}"));
+    let named = message.split('`').nth(1).unwrap_or_else(|| panic!("no field is named: {message}"));
     format!("{exit}, names {named}")
 }
 
-/// JSON pointers of all fields.
+/// Collects the JSON pointers of all fields.
 fn pointers(value: &Value, at: &str, out: &mut Vec<String>) {
     let inner: Vec<(String, &Value)> = match value {
         Value::Object(map) => map.iter().map(|(k, v)| (k.clone(), v)).collect(),
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn fields_of_the_platform() {
+fn platform_fields_match_the_golden_file() {
     let all = every_setting();
     assert_eq!(check("fields", &all), "accepted");
     let mut every = Vec::new();
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn values_of_the_platform() {
+fn platform_values_match_the_golden_file() {
     let long = "x".repeat(101);
     let cases = [
         ("/node", json!("")),
@@ -133,9 +134,9 @@
     assert_golden("platform-values", &text);
 }
 
-/// The operators' example names every key with its default.
+/// The operators' example file must hold every key with its default, and each key must be checked.
 #[test]
-fn keys_of_operators() {
+fn operator_keys_match_the_golden_file() {
     let json = file("operators", "settings.json", &every_setting().to_string());
     let check = |yaml: &str| {
         let yaml = file("operators", "operator.yaml", yaml);
--- a/crates/quartzgate/tests/golden/sockets.rs
+++ b/crates/quartzgate/tests/golden/sockets.rs
@@ -1,5 +1,5 @@
-//! The program on real sockets: heads and bodies of its answers and requests, and the figures
-//! that only the process itself can tell.
+//! Golden tests of the program on real sockets: the heads and bodies of its responses, the heads
+//! of its requests, and the names of its metrics.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -12,7 +12,7 @@
 
 use crate::expected::{assert_golden, every_setting, file};
 
-/// Ends the program whatever becomes of the test.
+/// The running program, which is killed when the test ends, also if the test fails.
 struct Program(Child);
 
 impl Drop for Program {
@@ -22,10 +22,10 @@
     }
 }
 
-/// Heads of the requests that came, without the port.
+/// Heads of the received requests, with the address of the host replaced.
 type Heads = Arc<Mutex<BTreeSet<String>>>;
 
-/// A service that answers every request with 503, and keeps its head.
+/// Starts a service that answers every request with 503 and records the request's head.
 fn refusing_service(heads: Heads) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("an address is free");
     let addr = listener.local_addr().expect("it has one");
@@ -70,51 +70,51 @@
     }
 }
 
-/// Length of the body that a head tells.
+/// Returns the `Content-Length` of a head.
 fn body_length(head: &str) -> usize {
     let length = head.lines().find_map(|l| l.strip_prefix("Content-Length: "));
     length.and_then(|l| l.parse().ok()).expect("a length")
 }
 
-/// Sends the bytes; the head and the body of the answer.
+/// Sends a request and returns the head and the body of the response.
 fn exchange(stream: &mut TcpStream, request: &[u8]) -> (String, Vec<u8>) {
-    stream.write_all(request).expect("it is taken");
-    let (mut got, mut buffer) = (Vec::new(), [0; 4096]);
+    stream.write_all(request).expect("the request is sent");
+    let (mut received, mut buffer) = (Vec::new(), [0; 4096]);
     loop {
-        let end = got.windows(4).position(|w| w == b"\r\n\r\n").map(|at| at + 4);
+        let end = received.windows(4).position(|w| w == b"\r\n\r\n").map(|at| at + 4);
         if let Some(end) = end {
-            let head = String::from_utf8(got[..end].to_vec()).expect("text");
-            if got.len() >= end + body_length(&head) {
-                return (head, got[end..].to_vec());
+            let head = String::from_utf8(received[..end].to_vec()).expect("text");
+            if received.len() >= end + body_length(&head) {
+                return (head, received[end..].to_vec());
             }
         }
         let n = stream.read(&mut buffer).expect("an answer in time");
-        assert!(n > 0, "closed amid an answer: {got:?}");
-        got.extend_from_slice(&buffer[..n]);
+        assert!(n > 0, "connection closed during a response: {received:?}");
+        received.extend_from_slice(&buffer[..n]);
     }
 }
 
-/// The answer to a request on a connection of its own. One that the program did not look at for
-/// want of time (503 and no body) is asked again: the machine may be busy.
-fn ask(to: SocketAddr, request: &[u8]) -> (String, Vec<u8>) {
+/// Returns the response to a request on its own connection. A request that the program refused
+/// under overload (503 without a body) is retried, since the machine may be busy.
+fn request_until_handled(to: SocketAddr, request: &[u8]) -> (String, Vec<u8>) {
     let until = Instant::now() + Duration::from_secs(60);
     loop {
         let (head, body) = exchange(&mut connect(to), request);
-        let unseen = head.starts_with("HTTP/1.1 503 ") && body.is_empty();
-        if !unseen || Instant::now() > until {
+        let refused_unhandled = head.starts_with("HTTP/1.1 503 ") && body.is_empty();
+        if !refused_unhandled || Instant::now() > until {
             return (head, body);
         }
         std::thread::sleep(Duration::from_millis(500));
     }
 }
 
-/// Bytes as text, others than printable ones escaped.
+/// Formats bytes as text, with all but printable ones escaped.
 fn escaped(bytes: &[u8]) -> String {
     bytes.iter().flat_map(|b| std::ascii::escape_default(*b)).map(char::from).collect()
 }
 
 #[test]
-fn answers_requests_and_figures() {
+fn responses_requests_and_metrics_match_the_golden_files() {
     let (to_store, to_cloud) = (Heads::default(), Heads::default());
     let (clients, mesh) = (free_address(), free_address());
     let mut settings = every_setting();
@@ -150,7 +150,7 @@
     ];
     let mut text = String::new();
     for (to, request) in requests {
-        let (head, body) = ask(to, request.as_bytes());
+        let (head, body) = request_until_handled(to, request.as_bytes());
         let asked = escaped(request.replace(&large, "A: (9,000 bytes)").as_bytes());
         let (head, body) = (escaped(head.as_bytes()), escaped(&body));
         text.push_str(&format!("{asked}\n  {head}\n  {body}\n"));
@@ -163,17 +163,17 @@
     }
     assert_golden("answers", &text);
 
-    // The process tells its own figures once a second.
+    // The program updates its metrics once a second.
     std::thread::sleep(Duration::from_millis(1_500));
-    let (head, body) = ask(mesh, b"GET /metrics HTTP/1.1\r\n\r\n");
+    let (head, body) = request_until_handled(mesh, b"GET /metrics HTTP/1.1\r\n\r\n");
     assert!(head.starts_with("HTTP/1.1 200 OK\r\n"), "{head}");
-    let figures: BTreeMap<String, f64> = from_cbor(&body).expect("figures by name");
-    // Requests are refused unseen only on a very busy machine.
-    let names = figures.keys().filter(|name| !name.starts_with("intake_refused."));
+    let metrics: BTreeMap<String, f64> = from_cbor(&body).expect("metrics by name");
+    // Requests are refused before they reach the core only on a very busy machine.
+    let names = metrics.keys().filter(|name| !name.starts_with("intake_refused."));
     let names: Vec<String> = names.map(|name| format!("{name}\n")).collect();
     assert_golden("metrics", &names.concat());
 
-    // Heads of its own requests, in the order of the alphabet.
+    // Heads of the program's own requests, in alphabetical order.
     let shown = |heads: &Heads| {
         let heads = heads.lock().expect("no panic");
         heads.iter().map(|h| format!("{}\n", escaped(h.as_bytes()))).collect::<String>()
--- a/crates/quartzgate/tests/known_red.rs
+++ b/crates/quartzgate/tests/known_red.rs
@@ -1,4 +1,5 @@
-//! Guards `known-red.sh`, by which the test run passes over listed failures and nothing else.
+//! Tests of `known-red.sh`, which makes a test run tolerate the failures listed in
+//! `KNOWN-RED.txt` and no others.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -14,11 +15,13 @@
 ";
 const LISTED: &str = "meetings::breaks | a leader forgets | 41\n";
 
-/// Judges a run by a list of its own folder; `None` leaves the list away.
-fn judge(case: &str, list: Option<&str>, output: &str, status: u8) -> Output {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(case);
-    std::fs::create_dir_all(&folder).unwrap();
-    let (listed, printed): (PathBuf, _) = (folder.join("KNOWN-RED.txt"), folder.join("output"));
+/// Runs the script on a list and the printed output and exit status of a test run. Each case has
+/// its own directory; without a list, the list file does not exist.
+fn run_script(case: &str, list: Option<&str>, output: &str, status: u8) -> Output {
+    let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(case);
+    std::fs::create_dir_all(&directory).unwrap();
+    let (listed, printed): (PathBuf, _) =
+        (directory.join("KNOWN-RED.txt"), directory.join("output"));
     let _ = std::fs::remove_file(&listed);
     list.into_iter().for_each(|text| std::fs::write(&listed, text).unwrap());
     std::fs::write(&printed, output).unwrap();
@@ -28,51 +31,52 @@
     command.output().unwrap()
 }
 
-/// Guards a listed failure: it is printed with its cause and its issue, and the run passes.
+/// A listed failure must be printed with its cause and its issue, and must not fail the run.
 #[test]
 fn listed_failure_is_printed_and_tolerated() {
-    let judged = judge("listed", Some(LISTED), OUTPUT, 101);
-    assert!(judged.status.success(), "{judged:?}");
-    let said = String::from_utf8(judged.stdout).unwrap();
-    assert_eq!(said, "known red: meetings::breaks: FAILED (issue 41: a leader forgets)\n");
+    let result = run_script("listed", Some(LISTED), OUTPUT, 101);
+    assert!(result.status.success(), "{result:?}");
+    let message = String::from_utf8(result.stdout).unwrap();
+    assert_eq!(message, "known red: meetings::breaks: FAILED (issue 41: a leader forgets)\n");
 }
 
-/// Guards the ordinary run: without a list, or with an empty one, all must pass.
+/// Without a list, or with an empty one, any failure must fail the run.
 #[test]
 fn every_failure_counts_without_a_list() {
-    let fine = OUTPUT.replace("FAILED", "ok");
-    for (n, list) in [None, Some(""), Some("\n  \n")].into_iter().enumerate() {
-        let case = format!("ordinary-{n}");
-        assert!(judge(&case, list, &fine, 0).status.success());
-        assert!(!judge(&case, list, OUTPUT, 101).status.success());
+    let passing = OUTPUT.replace("FAILED", "ok");
+    for (index, list) in [None, Some(""), Some("\n  \n")].into_iter().enumerate() {
+        let case = format!("ordinary-{index}");
+        assert!(run_script(&case, list, &passing, 0).status.success());
+        assert!(!run_script(&case, list, OUTPUT, 101).status.success());
     }
 }
 
-/// Guards against lists and runs that must not pass.
+/// A stale, ambiguous, too long or malformed list, an unlisted failure and an incomplete run must
+/// each fail with a message that names the reason.
 #[test]
 fn invalid_lists_and_incomplete_runs_fail() {
-    let fine = OUTPUT.replace("FAILED", "ok");
+    let passing = OUTPUT.replace("FAILED", "ok");
     let two_fail = OUTPUT.replace("holds ... ok", "holds ... FAILED");
     let twice = OUTPUT.replace("meetings::holds ... ok", "meetings::breaks ... FAILED");
-    let broken_off = OUTPUT.rsplit_once("test result").unwrap().0;
+    let incomplete = OUTPUT.rsplit_once("test result").unwrap().0;
     let four = format!("{LISTED}{LISTED}{LISTED}{LISTED}");
     let cases = [
-        ("stale", LISTED, fine.as_str(), 0, "its line is stale"),
+        ("stale", LISTED, passing.as_str(), 0, "its line is stale"),
         ("another", LISTED, two_fail.as_str(), 101, "meetings::holds failed and is not listed"),
-        ("missing", "meetings::gone | why | 41", &fine, 0, "does not exist"),
+        ("missing", "meetings::gone | why | 41", &passing, 0, "does not exist"),
         ("part-of-a-name", "breaks | why | 41", OUTPUT, 101, "does not exist"),
-        ("ignored", "meetings::slow | why | 41", &fine, 0, "was not run"),
+        ("ignored", "meetings::slow | why | 41", &passing, 0, "was not run"),
         ("ambiguous", LISTED, &twice, 101, "names more than one test"),
         ("fourth", &four, OUTPUT, 101, "three at most"),
         ("no-cause", "meetings::breaks | | 41", OUTPUT, 101, "line 1 of KNOWN-RED.txt"),
         ("no-issue", "meetings::breaks | why", OUTPUT, 101, "line 1 of KNOWN-RED.txt"),
-        ("broken-off", LISTED, broken_off, 101, "1 of 2 test targets"),
+        ("broken-off", LISTED, incomplete, 101, "1 of 2 test targets"),
         ("not-built", LISTED, "error: could not compile", 101, "broke off"),
-        ("silent", "", &fine, 101, "none of them is said to have failed"),
+        ("silent", "", &passing, 101, "none of them is said to have failed"),
     ];
-    for (case, list, output, status, why) in cases {
-        let judged = judge(case, Some(list), output, status);
-        let said = String::from_utf8_lossy(&judged.stderr).into_owned();
-        assert!(!judged.status.success() && said.contains(why), "{case}: {said:?}");
+    for (case, list, output, status, reason) in cases {
+        let result = run_script(case, Some(list), output, status);
+        let message = String::from_utf8_lossy(&result.stderr).into_owned();
+        assert!(!result.status.success() && message.contains(reason), "{case}: {message:?}");
     }
 }
--- a/crates/quartzgate/tests/unit/event_loop.rs
+++ b/crates/quartzgate/tests/unit/event_loop.rs
@@ -1,5 +1,5 @@
-//! Tests of the event loop over real sockets: limits on connections, and evictions when
-//! they are reached.
+//! Tests of the event loop over real sockets: limits on connections and waiting calls, and
+//! evictions when the limits are reached.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -28,20 +28,20 @@
     Config::new(platform, Operator::default())
 }
 
-/// An event loop with so many sockets, for which the test polls.
+/// Creates an event loop with this socket limit; the test polls instead of `run`.
 fn event_loop(max_sockets: u32) -> EventLoop {
     EventLoop::new(config(max_sockets)).unwrap()
 }
 
-/// A worker that answers every request on one connection after another.
+/// Starts a worker that answers every request, on one connection at a time.
 fn spawn_worker() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let Ok(mut stream) = stream else { return };
-            let mut buf = [0; 4096];
-            while stream.read(&mut buf).is_ok_and(|n| n > 0) {
+            let mut buffer = [0; 4096];
+            while stream.read(&mut buffer).is_ok_and(|n| n > 0) {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             }
         }
@@ -60,8 +60,8 @@
     }
 }
 
-/// Guards calls to more peers than the outbound limit has room for: pooled connections are
-/// evicted and waiting calls are placed, instead of hanging until they are given up.
+/// Calls to more peers than the outbound limit allows connections would hang until their deadline
+/// if pooled connections were not evicted for the waiting calls.
 #[test]
 fn calls_to_more_peers_than_sockets_are_all_answered() {
     let mut event_loop = event_loop(12);
@@ -80,7 +80,7 @@
             assert!(!events.is_empty(), "calls hang: {answered} answered in round {round}");
             for event in &events {
                 let EventSource::Connection(key) = EventSource::from_token(event.token()) else {
-                    panic!("nobody connects, but a listener is ready: {event:?}")
+                    panic!("a listener is ready although no client connects: {event:?}")
                 };
                 let ready =
                     Readiness { readable: event.is_readable(), writable: event.is_writable() };
@@ -98,7 +98,8 @@
     }
 }
 
-/// Polls until the worker has its response, or for so many rounds; the response.
+/// Polls until the worker has its response, and returns the response; returns an empty text after
+/// 200 polls without a response.
 fn serve_until_answered(event_loop: &mut EventLoop, worker: &mut std::net::TcpStream) -> String {
     let mut events = Events::with_capacity(64);
     let mut response = [0; 512];
@@ -117,8 +118,8 @@
     String::new()
 }
 
-/// Guards workers' heartbeats when the table of connections is full of others that are
-/// idle: idle connections are evicted, and every heartbeat is answered.
+/// A table full of idle connections would block workers' heartbeats: idle connections must be
+/// evicted, and every heartbeat must be answered.
 #[test]
 fn heartbeats_are_answered_while_the_table_is_full_of_idle_connections() {
     let mut event_loop = event_loop(12);
@@ -131,15 +132,15 @@
         worker.write_all(request).unwrap();
         worker.set_nonblocking(true).unwrap();
         let response = serve_until_answered(&mut event_loop, &mut worker);
-        // An empty map is no heartbeat: refused, but looked at.
+        // An empty map is not a valid heartbeat: status 400 shows that the request was handled.
         assert!(response.starts_with("HTTP/1.1 400"), "worker {n} got {response:?}");
         assert!(event_loop.connections.inbound() <= max_inbound);
         open.push(worker);
     }
 }
 
-/// Guards a new leader, which commands each machine and asks it for its heartbeat with fewer
-/// sockets than there are machines: all calls wait for their turn, none is refused for a count.
+/// A new leader sends commands to each machine and requests its heartbeat with fewer sockets than
+/// machines: all calls must wait for a connection, and none may be refused for their number.
 #[test]
 fn calls_to_every_machine_wait_for_their_turn() {
     let calls = 2 * quartzgate_core::capacity::MIN_FLEET;
@@ -159,7 +160,7 @@
     assert_eq!(refused + in_flight, calls);
 }
 
-/// Guards memory: waiting calls are bounded by what their bodies take.
+/// Unbounded waiting calls would exhaust memory: the total size of their bodies must be bounded.
 #[test]
 fn waiting_calls_are_bounded_in_bytes() {
     const BODY_BYTES: usize = 60 * 1024;
@@ -178,7 +179,7 @@
     assert_eq!(not_sent(&mut event_loop), fits);
 }
 
-/// Number of calls that were refused before they were sent, since the last look.
+/// Removes all outcomes, and returns how many of them are of calls that were not sent.
 fn not_sent(event_loop: &mut EventLoop) -> usize {
     let mut refused = 0;
     while let Some(event) = event_loop.outbound.next_outcome() {
--- a/crates/quartzgate/tests/unit/outbound.rs
+++ b/crates/quartzgate/tests/unit/outbound.rs
@@ -14,8 +14,8 @@
     WaitingCall { call, deadline_ms }
 }
 
-/// Guards memory: the number of waiting calls and the bytes of their bodies are bounded
-/// over all peers, and a call that leaves gives its room back.
+/// Unbounded waiting calls would exhaust memory: their number and the total size of their bodies
+/// must be bounded over all peers, and a removed call must free its capacity.
 #[test]
 fn waiting_calls_are_bounded_by_number_and_bytes() {
     let mut calls = WaitingCalls::new(LIMITS);
@@ -31,18 +31,19 @@
     assert!(!calls.has_room_for(&waiting(9, worker(3), 0, 10)), "too many calls");
 }
 
-/// Guards a large call: with nothing else waiting it is taken, whatever its size.
+/// A call larger than the limit could otherwise never be queued: it must be accepted if no other
+/// call waits.
 #[test]
-fn a_single_call_may_exceed_the_bytes() {
+fn single_call_may_exceed_the_byte_limit() {
     let mut calls = WaitingCalls::new(LIMITS);
     assert!(calls.has_room_for(&waiting(1, worker(1), 1_000, 10)));
     calls.push(waiting(1, worker(1), 1_000, 10));
     assert!(!calls.has_room_for(&waiting(2, worker(1), 0, 10)));
 }
 
-/// Guards expiry: calls whose time is over are taken out, and no others; their room is free.
+/// Expiry must remove exactly the calls past their deadline and free their capacity.
 #[test]
-fn expired_calls_give_their_room_back() {
+fn expired_calls_free_their_capacity() {
     let mut calls = WaitingCalls::new(LIMITS);
     calls.push(waiting(1, worker(1), 50, 10));
     calls.push(waiting(2, worker(1), 10, 20));
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -1,15 +1,15 @@
-//! Golden tests of HTTP: the heads as they go over the wire, and what is taken for one.
+//! Golden tests of HTTP: the bytes of encoded heads, and the messages that the parsers accept.
 
 use quartzgate_wire::http::{self, Request, Response};
 
-fn written(response: &Response) -> String {
+fn encoded(response: &Response) -> String {
     let mut out = Vec::new();
     http::write_response(&mut out, response);
     String::from_utf8(out).expect("the body is text")
 }
 
 #[test]
-fn responses() {
+fn responses_are_encoded_in_the_wire_format() {
     let reasons = [
         (200, "OK"),
         (201, "Created"),
@@ -29,51 +29,51 @@
     ];
     for (status, reason) in reasons {
         let head = "Content-Type: application/cbor\r\nContent-Length: 4\r\n\r\n";
-        let want = format!("HTTP/1.1 {status} {reason}\r\n{head}body");
-        assert_eq!(written(&Response::new(status, b"body".to_vec())), want);
+        let expected = format!("HTTP/1.1 {status} {reason}\r\n{head}body");
+        assert_eq!(encoded(&Response::new(status, b"body".to_vec())), expected);
     }
     let mut later = Response::new(503, Vec::new());
     later.retry_after_s = Some(7);
     later.close = true;
     assert_eq!(
-        written(&later),
+        encoded(&later),
         "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/cbor\r\n\
          Content-Length: 0\r\nRetry-After: 7\r\nConnection: close\r\n\r\n"
     );
 }
 
 #[test]
-fn requests() {
-    let written = |method: &str, target: &str, body: &[u8]| {
+fn requests_are_encoded_in_the_wire_format() {
+    let encoded = |method: &str, target: &str, body: &[u8]| {
         let mut out = Vec::new();
         http::write_request(&mut out, method, target, "10.0.0.1:80", body);
         String::from_utf8(out).expect("the body is text")
     };
     assert_eq!(
-        written("GET", "/keys?starts=view", b""),
+        encoded("GET", "/keys?starts=view", b""),
         "GET /keys?starts=view HTTP/1.1\r\nHost: 10.0.0.1:80\r\n\r\n"
     );
     assert_eq!(
-        written("POST", "/leases/1/renew", b""),
+        encoded("POST", "/leases/1/renew", b""),
         "POST /leases/1/renew HTTP/1.1\r\nHost: 10.0.0.1:80\r\n\
          Content-Type: application/cbor\r\nContent-Length: 0\r\n\r\n"
     );
     assert_eq!(
-        written("POST", "/multi", b"body"),
+        encoded("POST", "/multi", b"body"),
         "POST /multi HTTP/1.1\r\nHost: 10.0.0.1:80\r\n\
          Content-Type: application/cbor\r\nContent-Length: 4\r\n\r\nbody"
     );
 }
 
 #[test]
-fn what_is_read() {
+fn messages_are_parsed_or_refused_by_their_framing() {
     let request = |method: &str, target: &str, body: &[u8], close| Request {
         method: method.into(),
         target: target.into(),
         body: body.to_vec(),
         close,
     };
-    let reads = [
+    let accepted = [
         ("GET /ready HTTP/1.1\r\n\r\n", request("GET", "/ready", b"", false)),
         ("GET /ready HTTP/1.0\r\n\r\n", request("GET", "/ready", b"", true)),
         ("GET / HTTP/1.1\r\nconnection: Close\r\n\r\n", request("GET", "/", b"", true)),
@@ -87,9 +87,9 @@
             request("POST", "/", b"abc", false),
         ),
     ];
-    for (text, want) in reads {
+    for (text, expected) in accepted {
         let length = text.len();
-        assert_eq!(http::parse_request(text.as_bytes()), Ok(Some((want, length))), "{text}");
+        assert_eq!(http::parse_request(text.as_bytes()), Ok(Some((expected, length))), "{text}");
         assert_eq!(http::parse_request(&text.as_bytes()[..length - 1]), Ok(None), "{text}");
     }
     let refused = [
@@ -101,13 +101,13 @@
         (431, format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "a".repeat(9_000))),
     ];
     for (status, text) in refused {
-        let refusal = http::parse_request(text.as_bytes()).expect_err("it is refused");
+        let refusal = http::parse_request(text.as_bytes()).expect_err("the request is refused");
         assert_eq!(refusal.status(), status, "{text}");
     }
     let text = b"HTTP/1.1 503 Later\r\nRetry-After: 4\r\nConnection: close\r\n\
                  Content-Length: 2\r\n\r\nok";
-    let mut want = Response::new(503, b"ok".to_vec());
-    want.retry_after_s = Some(4);
-    want.close = true;
-    assert_eq!(http::parse_response(text), Ok(Some((want, text.len()))));
+    let mut expected = Response::new(503, b"ok".to_vec());
+    expected.retry_after_s = Some(4);
+    expected.close = true;
+    assert_eq!(http::parse_response(text), Ok(Some((expected, text.len()))));
 }
--- a/crates/wire/tests/hostile.rs
+++ b/crates/wire/tests/hostile.rs
@@ -1,5 +1,5 @@
-//! Hostile input: whatever bytes come, the codec answers with a message, with "not yet"
-//! or with an error. The generator's seed is fixed, so the verdict is too.
+//! Tests with hostile input: for any bytes, the codec must return a message, "incomplete" or an
+//! error. The seed of the generator is fixed, so that the result is deterministic.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -18,7 +18,7 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
 }
 
-fn value() -> ciborium::value::Value {
+fn job_value() -> ciborium::value::Value {
     use ciborium::value::Value as V;
     let field = |k: &str, v: V| (V::Text(k.into()), v);
     V::Map(vec![
@@ -45,13 +45,13 @@
     ])
 }
 
-fn parse(v: &ciborium::value::Value) -> Result<JobSpec, String> {
-    let spec: JobSpec = from_cbor(&to_cbor(v)).map_err(|e| e.to_string())?;
+fn parse_job(job: &ciborium::value::Value) -> Result<JobSpec, String> {
+    let spec: JobSpec = from_cbor(&to_cbor(job)).map_err(|e| e.to_string())?;
     spec.check().map_err(|e| e.to_string())?;
     Ok(spec)
 }
 
-/// Guards the process against any bytes at all.
+/// A panic of a parser would end the process: no sequence of bytes may cause one.
 #[test]
 fn arbitrary_bytes_never_panic() {
     runner(4_000)
@@ -66,17 +66,17 @@
         .unwrap();
 }
 
-/// Guards against damage: a byte changed anywhere in good messages is taken or refused,
-/// and nothing is read past the message's end.
+/// A valid message with one changed byte must be accepted or refused without a panic, and no byte
+/// past the end of the buffer may be consumed.
 #[test]
 fn damaged_messages_never_panic() {
-    let body = to_cbor(&value());
-    let mut good = Vec::new();
-    write_request(&mut good, "POST", "/api/jobs", "h", &body);
-    let cases = (0..good.len(), any::<u8>());
+    let body = to_cbor(&job_value());
+    let mut valid = Vec::new();
+    write_request(&mut valid, "POST", "/api/jobs", "h", &body);
+    let cases = (0..valid.len(), any::<u8>());
     runner(4_000)
         .run(&cases, |(at, byte)| {
-            let mut bytes = good.clone();
+            let mut bytes = valid.clone();
             bytes[at] = byte;
             if let Ok(Some((request, taken))) = parse_request(&bytes) {
                 prop_assert!(taken <= bytes.len());
@@ -89,9 +89,10 @@
         .unwrap();
 }
 
-/// Guards requests that come in pieces: cut anywhere, they are the same request.
+/// A request may arrive in several parts: any part must count as incomplete, and the complete bytes
+/// must give the request without the next one.
 #[test]
-fn requests_split_anywhere_are_read_whole() {
+fn requests_split_anywhere_are_parsed_when_complete() {
     let mut bytes = Vec::new();
     write_request(&mut bytes, "POST", "/checkin", "h", b"body");
     let first = bytes.len();
@@ -105,16 +106,16 @@
     assert_eq!(next.target, "/ready");
 }
 
-/// Guards the limits: large bodies and heads, two lengths, and odd encodings.
+/// Too large bodies and heads and ambiguous framing must be refused; chunked bodies must be read.
 #[test]
-fn limits_are_kept() {
+fn oversized_and_ambiguous_messages_are_refused() {
     let head = |h: &str| format!("POST / HTTP/1.1\r\n{h}\r\n\r\n").into_bytes();
-    let long = format!("Content-Length: {}", MAX_BODY + 1);
-    assert_eq!(parse_request(&head(&long)), Err(HttpError::BodyTooLarge));
-    let two = "Content-Length: 3\r\nContent-Length: 4";
-    assert_eq!(parse_request(&head(two)), Err(HttpError::Malformed));
-    let both = "Content-Length: 3\r\nTransfer-Encoding: chunked";
-    assert_eq!(parse_request(&head(both)), Err(HttpError::Malformed));
+    let too_long = format!("Content-Length: {}", MAX_BODY + 1);
+    assert_eq!(parse_request(&head(&too_long)), Err(HttpError::BodyTooLarge));
+    let two_lengths = "Content-Length: 3\r\nContent-Length: 4";
+    assert_eq!(parse_request(&head(two_lengths)), Err(HttpError::Malformed));
+    let both_framings = "Content-Length: 3\r\nTransfer-Encoding: chunked";
+    assert_eq!(parse_request(&head(both_framings)), Err(HttpError::Malformed));
     let huge = format!("X: {}", "a".repeat(9_000));
     assert_eq!(parse_request(&head(&huge)), Err(HttpError::HeadTooLarge));
     let mut chunked = head("Transfer-Encoding: chunked");
@@ -122,25 +123,25 @@
     assert_eq!(parse_request(&chunked).unwrap().unwrap().0.body, b"abc");
 }
 
-/// Guards the verdict 400: every field missing or of another type, and every senseless
-/// amount, is refused; unknown fields are not.
+/// A job must be refused if a required field is missing, a field has the wrong type, or a value is
+/// out of range; unknown fields must be ignored.
 #[test]
-fn jobs_are_refused_field_by_field() {
+fn jobs_with_an_invalid_field_are_refused() {
     use ciborium::value::Value as V;
-    let V::Map(good) = value() else { unreachable!() };
-    assert_eq!(parse(&value()).unwrap().shape, JobKind::Array);
+    let V::Map(valid) = job_value() else { unreachable!() };
+    assert_eq!(parse_job(&job_value()).unwrap().shape, JobKind::Array);
     let nullable = ["host_types", "due_s", "not_of_ours"];
-    for at in 0..good.len() {
-        let name = good[at].0.as_text().unwrap().to_string();
-        let mut without = good.clone();
+    for at in 0..valid.len() {
+        let name = valid[at].0.as_text().unwrap().to_string();
+        let mut without = valid.clone();
         without.remove(at);
-        let fine = nullable.contains(&name.as_str());
-        assert_eq!(parse(&V::Map(without)).is_ok(), fine, "without {name}");
-        let mut other = good.clone();
+        let may_be_missing = nullable.contains(&name.as_str());
+        assert_eq!(parse_job(&V::Map(without)).is_ok(), may_be_missing, "without {name}");
+        let mut other = valid.clone();
         other[at].1 = V::Bytes(vec![1]);
-        assert_eq!(parse(&V::Map(other)).is_ok(), name == "not_of_ours", "{name} mistyped");
+        assert_eq!(parse_job(&V::Map(other)).is_ok(), name == "not_of_ours", "{name} mistyped");
     }
-    let bad = [
+    let invalid = [
         ("pieces", V::Integer(0.into())),
         ("pieces", V::Integer(100_001.into())),
         ("pieces", V::Integer((-1).into())),
@@ -154,23 +155,23 @@
         ("ref", V::Text("wk-00a".into())),
         ("rank", V::Text("highest".into())),
     ];
-    for (name, v) in bad {
-        let mut map = good.clone();
+    for (name, value) in invalid {
+        let mut map = valid.clone();
         for (k, old) in map.iter_mut() {
             if k.as_text() == Some(name) {
-                *old = v.clone();
+                *old = value.clone();
             }
         }
-        assert!(parse(&V::Map(map)).is_err(), "{name} = {v:?}");
+        assert!(parse_job(&V::Map(map)).is_err(), "{name} = {value:?}");
     }
-    assert!(parse(&V::Array(vec![])).is_err());
-    let mut twice = to_cbor(&value());
-    twice.push(0);
-    assert!(from_cbor::<JobSpec>(&twice).is_err(), "bytes after the end");
+    assert!(parse_job(&V::Array(vec![])).is_err());
+    let mut trailing = to_cbor(&job_value());
+    trailing.push(0);
+    assert!(from_cbor::<JobSpec>(&trailing).is_err(), "bytes after the end");
 }
 
-/// A whole request of a user or a worker, as large as it may be, passes between controllers
-/// with what the sender says of itself, and no request that is larger.
+/// The largest request of a user or a worker must fit a message between controllers, together with
+/// the longest fields of the sender; a larger message must be refused.
 #[test]
 fn largest_request_can_be_forwarded() {
     let forward = Forward {
@@ -195,9 +196,9 @@
     assert_eq!(larger, Err(HttpError::BodyTooLarge));
 }
 
-/// A listing of 4,500 machines in one answer, each with the longest texts, can be read.
+/// A list of 4,500 machines in one response, each with texts of 100 bytes, must be accepted.
 #[test]
-fn listing_of_the_largest_fleet_can_be_read() {
+fn list_of_the_largest_fleet_is_accepted() {
     let text = "x".repeat(100);
     let machine = ListedMachine {
         name: text.clone(),
