--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Formatting, lints, documentation and tests: all that must be green before a change lands, but for what
-# KNOWN-RED.txt lists (known-red.sh).
+# Checks formatting, lints, documentation and tests. All must pass before a change is merged, except
+# the tests that KNOWN-RED.txt lists (see known-red.sh).
 set -euo pipefail
 cd "$(dirname "$0")"
 cargo fmt --all -- --check
