--- a/crates/core/tests/simulation/cluster.rs
+++ b/crates/core/tests/simulation/cluster.rs
@@ -1,9 +1,9 @@
-//! An in-memory cluster: controllers, state service, cloud, workers and users on one simulated
-//! clock, joined by a network that delays, loses, holds and reorders messages.
+//! An in-memory cluster: controllers, state service, cloud, workers and users that share one
+//! simulated clock and a network that delays, loses, holds and reorders messages.
 //!
-//! The cluster knows the truth about every task and checks the invariants at every start, every
-//! write and every answer; it records each violation instead of failing at once, so that a test
-//! sees all of them. All randomness comes from the seed.
+//! The cluster tracks the actual state of every task and checks the invariants at every task
+//! start, every write and every answer. It records each violation instead of failing immediately,
+//! so that a test reports all of them. All random numbers derive from the seed.
 
 mod clock;
 mod cloud;
@@ -37,16 +37,16 @@
 use users::UserRequest;
 use workers::TaskStart;
 
-/// Interval of the workers' heartbeats.
+/// Configured interval between a worker's heartbeats.
 pub const REPORT_MS: u64 = 1_000;
-/// Length of a worker's lease.
+/// Configured duration of a worker's lease.
 pub const LEASE_MS: u64 = 8_000;
-/// Time after a confirmed abort by which the job's tasks must be gone.
+/// Time after a confirmed abort within which the job's tasks must have ended.
 pub const CANCEL_MS: u64 = 24_000;
 /// Memory of each machine.
 const MEMORY_GB: f64 = 32.0;
 
-/// The simulated cluster: its processes, its faults and what its users have seen.
+/// The simulated cluster: its processes, its injected faults and what its users have observed.
 pub struct Cluster {
     pub seed: u64,
     rng: SmallRng,
@@ -58,36 +58,36 @@
 
     // The controllers.
     nodes: Vec<Option<ControllerProcess>>,
-    /// How often each controller has been started.
+    /// Number of times that each controller has been started.
     incarnations: Vec<u32>,
     /// Revision of the state service at which each controller was last started.
     started_at_revision: Vec<u64>,
-    /// 1 if the clocks of workers run slow and those of controllers apart, by 0.05%.
+    /// 1 if worker clocks run 0.05% slow and controller clocks deviate by up to 0.05%, else 0.
     clock_skew: u64,
 
     // Settings of the controllers.
     team_cpu_limit: f64,
     pub team_gpu_limit: f64,
-    /// Limits of the state service that the settings announce.
+    /// Future limits of the state service that the settings announce.
     pub announced_limits: Option<serde_json::Value>,
-    /// Largest value that the state service takes, where it is not what `platform` says.
+    /// Configured maximum value size of the state service; `None` keeps the one of `platform`.
     pub max_value_kb: Option<f64>,
-    /// Controllers that don't agree to the newest format, as the first version.
+    /// Controllers that agree to no format after the first, like the first released version.
     pub legacy_controllers: BTreeSet<usize>,
-    /// Controllers of another build, by the features that it knows.
+    /// Feature tables of controllers that run another build.
     pub feature_tables: BTreeMap<usize, &'static GateTable>,
-    /// Features that a controller's operators withhold.
+    /// Features that the operator settings of a controller withhold.
     pub withheld_features: BTreeMap<usize, Vec<String>>,
-    /// Number of controllers in a controller's settings, where it is not the real one.
+    /// Number of controllers in a controller's settings, where it differs from the actual number.
     pub configured_count: BTreeMap<usize, usize>,
-    /// All small jobs share batch records, not only while writes are scarce.
+    /// Stores all small jobs in batch records, not only while the write budget is scarce.
     pub batch_small_jobs: bool,
-    /// Machines are kept however long they are idle.
+    /// Keeps idle machines instead of returning them to the cloud.
     pub keep_idle_machines: bool,
 
     // The state service.
     pub state: StateService,
-    /// Controller that sent the activation which is being applied.
+    /// Controller that sent the activation that is being applied.
     activation_writer: Option<usize>,
 
     // The network.
@@ -100,84 +100,84 @@
 
     // The cloud.
     next_machine: u32,
-    /// The cloud provisions no machine.
+    /// The cloud rejects provisioning requests with 503.
     pub scale_out_disabled: bool,
-    /// The cloud takes no machine back.
+    /// The cloud rejects the return of machines with 503.
     pub scale_in_disabled: bool,
-    /// Machines that the lagging list does not show yet.
+    /// Machines that the cloud's machine list omits.
     pub unlisted_machines: BTreeSet<String>,
-    /// How long provisioned machines take to be up.
+    /// Range of the boot time of provisioned machines.
     pub boot_ms: RangeInclusive<u64>,
-    /// How long the list takes to show a machine that is up.
+    /// Time after its boot at which a machine appears in the cloud's machine list.
     pub list_lag_ms: u64,
-    /// Number of provisioning requests whose answers are still to be lost.
+    /// Number of successful provisioning requests whose answers are still to be dropped.
     pub lost_provision_answers: u32,
-    /// Machines of each provisioning request, by its idempotency key.
+    /// Machines that each provisioning request was given, by idempotency key.
     provision_answers: BTreeMap<String, Vec<String>>,
     /// GPUs of each machine.
     pub machine_gpus: f64,
 
     // The workers.
     pub workers: BTreeMap<String, Worker>,
-    /// How long tasks run, by the name of the task or its job.
+    /// Run time of tasks, by the name of the task or of its job.
     pub task_duration_ms: BTreeMap<String, u64>,
-    /// Rate at which a machine fetches images, shared by all that it fetches at a time; without
-    /// one, images are there at once.
+    /// Rate at which a machine fetches images, shared by its concurrent fetches; `None` makes
+    /// images available immediately.
     pub fetch_gb_per_s: Option<f64>,
-    /// Jobs whose tasks fail wherever they run, with the number of failures so far.
+    /// Jobs whose tasks fail on every machine, with the number of failures so far.
     pub failing_jobs: BTreeMap<String, u32>,
-    /// Machines whose heartbeats reach no controller, while orders reach them.
+    /// Machines whose heartbeats are lost while orders still reach them.
     pub lost_heartbeats: BTreeSet<String>,
-    /// Machines whose heartbeats arrive, while what is sent to them is lost.
+    /// Machines whose heartbeats arrive while messages to them are lost.
     pub inbound_loss: BTreeMap<String, InboundLoss>,
     /// Number of starts lost on the way to each machine of `inbound_loss`.
     pub lost_starts: BTreeMap<String, u32>,
-    /// Duplicates of heartbeats that arrive late, at any controller.
+    /// Share and delay of heartbeats that are delivered again later, at a random controller.
     pub duplicate_heartbeats: Option<RandomDelay>,
     /// Share of heartbeats that are stored and replayed to every controller when a new leader is
     /// elected.
     pub stale_heartbeat_share: f64,
-    /// Controllers that no worker reaches, and that reach no worker.
+    /// Controllers that are cut off from all workers in both directions.
     pub cut_from_all_workers: BTreeSet<usize>,
-    /// Heartbeats that were answered with a redirect.
+    /// Number of heartbeats that were answered with a redirect.
     pub redirects: u64,
     stale_heartbeats: Vec<Vec<u8>>,
-    /// Time after which a redirected worker tries the next controller, if not with its next
-    /// heartbeat.
+    /// Time after which a worker whose redirect names no other controller tries the next one;
+    /// `None` waits until its next heartbeat.
     pub redirect_delay_ms: Option<u64>,
 
-    // The users, and the truth that the invariants are checked against.
+    // The users, and the actual state that the invariants are checked against.
     pub user_requests: Vec<UserRequest>,
-    /// Every job that was submitted.
+    /// Specs of the jobs that were submitted.
     pub jobs: BTreeMap<String, JobSpec>,
-    /// Last state of each accepted job that a user was told.
+    /// Status of each accepted job in the latest answer to a user; a terminal status is final.
     pub observed_status: BTreeMap<String, JobStatus>,
-    /// Tasks of each job that have run to their end.
+    /// Indices of the tasks of each job that have completed.
     pub completed_tasks: BTreeMap<String, BTreeSet<u32>>,
-    /// Every start of each task.
+    /// All starts of each task that did not fail immediately, in order.
     pub task_starts: BTreeMap<String, Vec<TaskStart>>,
-    /// When users were first told that a job is aborted.
+    /// Time at which a user was first told that a job is aborted.
     pub abort_confirmed_at: BTreeMap<String, u64>,
     abort_confirmed_by: BTreeSet<AbortConfirmation>,
-    /// Jobs whose abort was requested, whatever came of it.
+    /// Jobs whose abort was requested, whether or not the request succeeded.
     abort_requested: BTreeSet<String>,
-    /// Starts that were sent after a user had been told that their job is aborted.
+    /// Start orders that were sent after a user had been told that the job is aborted.
     pub starts_after_abort: Vec<StartAfterAbort>,
-    /// Submissions that must be refused, and the status that they must get.
+    /// Submissions that must be refused, with the expected status code.
     must_refuse: BTreeMap<String, u16>,
-    /// Users query all controllers, and submit again, within milliseconds of each news of a job.
+    /// Users query all controllers and submit again within milliseconds of a change of a job.
     pub query_on_change: bool,
-    /// Controllers that reject users' queries and submissions, as a process does that sheds load.
+    /// Controllers that shed load: they reject user queries and submissions.
     pub shedding_controllers: BTreeSet<usize>,
-    /// Share of jobs that are aborted at the moment of their last completion.
+    /// Share of jobs that are aborted at the moment when their last task completes.
     pub abort_at_completion: f64,
     pub milestones: Vec<ReachedMilestone>,
     pub violations: Vec<String>,
 }
 
 impl Cluster {
-    /// `nodes` controllers and `workers` machines of 8 CPUs in alternating zones. The team may use
-    /// `team_cpu_limit` CPUs, any number if it is 0.
+    /// Starts `nodes` controllers and `workers` machines of 8 CPUs in alternating zones. The team
+    /// may use `team_cpu_limit` CPUs; 0 means unlimited.
     pub fn new(nodes: usize, workers: usize, team_cpu_limit: f64, seed: u64) -> Cluster {
         let mut cluster = Cluster {
             seed,
@@ -255,8 +255,8 @@
         cluster
     }
 
-    /// Three controllers and some machines, after all features have been activated and
-    /// `settle_ms` more.
+    /// Starts three controllers and `workers` machines, and runs them until all features are
+    /// activated and for `settle_ms` more.
     pub fn activated(workers: usize, team_cpu_limit: f64, seed: u64, settle_ms: u64) -> Cluster {
         let mut cluster = Cluster::new(3, workers, team_cpu_limit, seed);
         cluster.run_until_fully_activated();
@@ -265,7 +265,7 @@
     }
 }
 
-/// The platform settings of one controller.
+/// Returns the platform settings of one controller.
 fn platform(node: usize, nodes: usize, team_cpu_limit: f64) -> Platform {
     let siblings: Vec<_> = (0..nodes)
         .filter(|n| *n != node)
@@ -298,7 +298,7 @@
     .unwrap()
 }
 
-/// A job of some tasks, each of which takes half a machine's CPUs.
+/// Returns the spec of a job whose tasks each need half of a machine's CPUs.
 pub fn job(id: &str, shape: JobKind, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.into(),
@@ -325,23 +325,23 @@
     }
 }
 
-/// The same job, depending on others.
+/// Returns the spec with the given dependencies.
 pub fn with_dependencies(mut spec: JobSpec, dependencies: &[&str]) -> JobSpec {
     spec.dependencies = dependencies.iter().map(|id| id.to_string()).collect();
     spec
 }
 
-/// Name of the n-th job.
+/// Returns the id of the n-th job.
 pub fn job_id(n: u32) -> String {
     format!("wk-{n:06}")
 }
 
-/// Name of the n-th machine.
+/// Returns the name of the n-th machine.
 pub fn machine_name(n: usize) -> String {
     format!("vm-{n:06}")
 }
 
-/// The job that a task belongs to, by the task's name.
+/// Returns the id of the job that a task belongs to, derived from the task's name.
 fn job_of(task: &str) -> &str {
     task.rsplit_once('/').map_or("", |(job, _)| job)
 }
--- a/crates/core/tests/simulation/cluster/clock.rs
+++ b/crates/core/tests/simulation/cluster/clock.rs
@@ -1,4 +1,5 @@
-//! The simulated clock: events in the order of their time, and of their scheduling.
+//! The simulated clock: events run in order of their time; events due at the same time run in the
+//! order in which they were scheduled.
 
 use std::cmp::Ordering;
 
@@ -7,43 +8,44 @@
 use quartzgate_core::{Call, CallId, Event, Outcome};
 use quartzgate_wire::msg::Transaction;
 
-/// What happens at a point of simulated time.
+/// An event at a point in simulated time.
 pub(super) enum SimulationEvent {
-    /// A duplicate of a heartbeat arrives; nobody waits for its answer.
+    /// A duplicate of a heartbeat arrives; its answer is discarded.
     DuplicateHeartbeat { node: usize, body: Vec<u8> },
-    /// A machine is back after a reboot.
+    /// A machine has finished rebooting.
     MachineRebooted { machine: String },
     /// A controller's timer fires.
     Tick { node: usize, incarnation: u32 },
-    /// A controller's call arrives at its peer.
+    /// A controller's call arrives at the called peer.
     Call { from: usize, incarnation: u32, call: Call },
-    /// The outcome of a controller's call arrives.
+    /// The outcome of a controller's call arrives at the controller.
     Outcome { node: usize, incarnation: u32, call: CallId, outcome: Outcome },
-    /// A watch of the state service looks again whether there is something to tell.
+    /// A watch of the state service is checked again for changes.
     WatchEnd { node: usize, incarnation: u32, call: CallId, starts: String, since: u64, until: u64 },
-    /// A worker sends its next heartbeat.
+    /// A worker's next heartbeat is due.
     HeartbeatDue { machine: String },
-    /// A worker's heartbeat arrives.
+    /// A worker's heartbeat arrives at a controller.
     HeartbeatArrives { machine: String, node: usize, sent_ms: u64, body: Vec<u8> },
-    /// The answer to a heartbeat arrives, or the worker stops waiting for it.
+    /// The answer to a heartbeat arrives, or the worker's timeout for it expires.
     HeartbeatAnswer { machine: String, sent_ms: u64, status: u16, body: Vec<u8> },
-    /// A worker's agent looks after its tasks and leases.
+    /// A worker's agent updates its lease, images and tasks.
     WorkerStep { machine: String },
-    /// A user's request arrives.
+    /// A user's request arrives at a controller.
     UserRequestArrives { node: usize, request_index: u64 },
-    /// A provisioned machine is up.
+    /// A provisioned machine has booted.
     MachineUp { machine: String, zone: String },
     /// A crashed controller is started again.
     ControllerRestart { node: usize },
-    /// A stalled controller runs on.
+    /// The stall of a controller ends.
     StallEnds { node: usize, incarnation: u32 },
-    /// A transaction that got no answer is applied.
+    /// A transaction that got no answer is applied late.
     DelayedWrite { from: usize, txn: Transaction },
-    /// The tasks of an aborted job must be gone.
+    /// The tasks of an aborted job must have ended by now.
     AbortDeadline { job: String },
 }
 
-/// An event in the queue. The earliest is the greatest, as `BinaryHeap` returns the greatest.
+/// An event in the queue. The ordering is reversed because `BinaryHeap` is a max-heap and the
+/// earliest event must be popped first.
 pub(super) struct ScheduledEvent {
     at_ms: u64,
     sequence: u64,
@@ -77,7 +79,7 @@
         self.queue.push(ScheduledEvent { at_ms: self.now + ms, sequence, event });
     }
 
-    /// Runs the simulation for so long.
+    /// Runs the simulation for the given simulated time.
     pub fn run_for_ms(&mut self, ms: u64) {
         let end = self.now + ms;
         while let Some(next) = self.queue.peek() {
@@ -120,7 +122,7 @@
             SimulationEvent::HeartbeatAnswer { machine, sent_ms, status, body } => {
                 self.on_heartbeat_answer(&machine, sent_ms, status, &body)
             }
-            SimulationEvent::WorkerStep { machine } => self.worker_step(&machine),
+            SimulationEvent::WorkerStep { machine } => self.step_worker(&machine),
             SimulationEvent::UserRequestArrives { node, request_index } => {
                 self.deliver_user_request(node, request_index)
             }
@@ -135,7 +137,7 @@
                 }
                 self.apply_unanswered(from, txn);
             }
-            SimulationEvent::AbortDeadline { job } => self.check_aborted_job_is_gone(&job),
+            SimulationEvent::AbortDeadline { job } => self.check_aborted_job_has_ended(&job),
         }
     }
 }
--- a/crates/core/tests/simulation/cluster/cloud.rs
+++ b/crates/core/tests/simulation/cluster/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: machine types, the lagging list of machines, provisioning and returns.
+//! The cloud API: machine types, the machine list, which lags behind, provisioning and returns.
 
 use super::clock::SimulationEvent;
 use super::workers::addr_of;
@@ -12,8 +12,8 @@
 use quartzgate_wire::{from_cbor, to_cbor};
 use rand::Rng;
 
-/// Machines of one provisioning request at most.
-const MAX_PROVISIONED: u32 = 4;
+/// Maximum number of machines that one provisioning request is given.
+const MAX_MACHINES_PER_REQUEST: u32 = 4;
 
 impl Cluster {
     pub(super) fn on_cloud_call(&mut self, call: &Call) -> Response {
@@ -21,7 +21,7 @@
         match (call.method, path) {
             ("GET", "/machine_types") => self.machine_types(),
             ("GET", _) => self.machine_list(),
-            ("POST", "/machines/return") => self.take_machines_back(call),
+            ("POST", "/machines/return") => self.return_machines(call),
             _ => self.provision_machines(call),
         }
     }
@@ -64,7 +64,7 @@
         Response::new(200, to_cbor(&MachineList { machines, more: false }))
     }
 
-    fn take_machines_back(&mut self, call: &Call) -> Response {
+    fn return_machines(&mut self, call: &Call) -> Response {
         if self.scale_in_disabled {
             return Response::new(503, Vec::new());
         }
@@ -75,7 +75,7 @@
         Response::new(200, Vec::new())
     }
 
-    /// Provisions machines, once for each idempotency key.
+    /// Provisions machines; a repeated idempotency key returns the machines of the first request.
     fn provision_machines(&mut self, call: &Call) -> Response {
         let request: ProvisionRequest = from_cbor(&call.body).unwrap();
         if self.scale_out_disabled {
@@ -85,7 +85,7 @@
             return Response::new(200, to_cbor(&MachineNames { machines: known.clone() }));
         }
         let mut machines = Vec::new();
-        for _ in 0..request.count.min(MAX_PROVISIONED) {
+        for _ in 0..request.count.min(MAX_MACHINES_PER_REQUEST) {
             let name = machine_name(self.next_machine as usize);
             self.next_machine += 1;
             let zone = request.zone.clone();
--- a/crates/core/tests/simulation/cluster/controllers.rs
+++ b/crates/core/tests/simulation/cluster/controllers.rs
@@ -1,4 +1,5 @@
-//! The controllers: how they start, crash and stall, and what they are asked directly.
+//! The controllers: starting, crashing and stalling them, and requests that a test makes to them
+//! directly.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -14,29 +15,29 @@
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
-/// Number of a request that a test makes itself, past the network.
+/// Id of requests that a test makes directly, bypassing the network.
 const DIRECT_REQUEST: u64 = u64::MAX;
 /// Interval of a controller's timer.
 const TICK_MS: u64 = 25;
-/// Wall-clock time at which the simulation begins.
-const WALL_CLOCK_OFFSET_MS: u64 = 1_000_000;
+/// Wall-clock time at simulated time 0.
+const WALL_CLOCK_START_MS: u64 = 1_000_000;
 
 /// A running controller.
 pub(super) struct ControllerProcess {
     core: Controller,
     pub incarnation: u32,
     pub open_calls: HashSet<CallId>,
-    /// It stalls until then; what arrives meanwhile is buffered.
+    /// End of the current stall; events that arrive before it are buffered, except ticks.
     stalled_until_ms: u64,
     buffered_events: Vec<Event>,
-    /// It stalls for so long within its next round.
+    /// Duration of a stall within the next round that produces actions.
     stall_next_round_ms: Option<u64>,
-    /// What the round in which it stalls had decided and not done yet.
+    /// Actions of the round in which the controller stalled, executed after the stall.
     deferred_actions: Vec<Action>,
 }
 
 impl Cluster {
-    /// Starts a controller with its settings as they are now.
+    /// Starts a controller with the current settings.
     pub fn start_controller(&mut self, node: usize) {
         let config = self.config_of(node);
         self.started_at_revision[node] = self.state.revision;
@@ -85,23 +86,23 @@
         self.feature_tables.get(&node).copied().unwrap_or(&GATES)
     }
 
-    /// Ends a controller at once.
+    /// Ends a controller process immediately.
     pub fn crash(&mut self, node: usize) {
         self.nodes[node] = None;
     }
 
-    /// Ends a controller at once and starts it again after so long.
+    /// Ends a controller process immediately and restarts it after `ms`.
     pub fn crash_for_ms(&mut self, node: usize, ms: u64) {
         self.crash(node);
         self.schedule_after(ms, SimulationEvent::ControllerRestart { node });
     }
 
-    /// Ends all controllers at once.
+    /// Ends all controller processes immediately.
     pub fn crash_all(&mut self) {
         (0..self.controller_count()).for_each(|node| self.crash(node));
     }
 
-    /// Ends all controllers at once and starts them again after so long.
+    /// Ends all controller processes immediately and restarts them after `ms`.
     pub fn crash_all_for_ms(&mut self, ms: u64) {
         (0..self.controller_count()).for_each(|node| self.crash_for_ms(node, ms));
     }
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Restarts all controllers with their settings as they are now.
+    /// Restarts all controllers with the current settings.
     pub fn restart_all_controllers(&mut self) {
         for node in 0..self.controller_count() {
             self.crash(node);
@@ -123,8 +124,8 @@
         }
     }
 
-    /// Restarts all controllers so that no job shares a record; submissions for which there is no
-    /// record of their own are refused.
+    /// Restarts all controllers without the batch record format, so that no jobs share a record;
+    /// submissions that could not be given a record of their own are refused.
     pub fn disable_job_batches(&mut self) {
         for node in 0..self.controller_count() {
             self.withheld_features.insert(node, vec!["format-4".into()]);
@@ -132,8 +133,9 @@
         self.restart_all_controllers();
     }
 
-    /// Restarts all controllers, with all small jobs in batch records or only while writes are
-    /// scarce, and waits until one leads and all features are activated.
+    /// Restarts all controllers, storing all small jobs in batch records if `batch_small_jobs` and
+    /// otherwise only while the write budget is scarce, and runs until a leader exists and all
+    /// features are activated.
     pub fn restart_with_job_batches(&mut self, batch_small_jobs: bool) {
         self.batch_small_jobs = batch_small_jobs;
         self.restart_all_controllers();
@@ -143,14 +145,14 @@
         self.run_until(20_000, "all features are activated", ready);
     }
 
-    /// Replaces a controller by one of another build, which starts after so long.
+    /// Replaces a controller by one of another build, which starts after `ms`.
     pub fn replace_build(&mut self, node: usize, table: &'static GateTable, ms: u64) {
         self.legacy_controllers.remove(&node);
         self.feature_tables.insert(node, table);
         self.crash_for_ms(node, ms);
     }
 
-    /// Stalls a controller while its clocks run on.
+    /// Stalls a controller process for `ms`; its clocks keep running.
     pub fn stall(&mut self, node: usize, ms: u64) {
         let until_ms = self.now + ms;
         if let Some(process) = self.nodes[node].as_mut() {
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Stalls a controller between the decisions of its next round and their execution.
+    /// Stalls a controller between deciding the actions of its next round and executing them.
     pub fn stall_in_round(&mut self, node: usize, ms: u64) {
         if let Some(process) = self.nodes[node].as_mut() {
             process.stall_next_round_ms = Some(ms);
@@ -191,25 +193,26 @@
         self.nodes[node].is_some()
     }
 
-    /// The controller runs, and is still the same process.
+    /// Returns whether this incarnation of the controller is still running.
     fn is_alive(&self, node: usize, incarnation: u32) -> bool {
         self.nodes[node].as_ref().is_some_and(|process| process.incarnation == incarnation)
     }
 
-    /// Removes an open call; whether it was open.
+    /// Removes an open call of a running controller; returns whether it was open.
     pub(super) fn take_open_call(&mut self, node: usize, incarnation: u32, call: CallId) -> bool {
         self.is_alive(node, incarnation)
             && self.nodes[node].as_mut().unwrap().open_calls.remove(&call)
     }
 
-    /// A controller's monotonic clock: up to 0.05% fast or slow where clocks differ.
+    /// Returns a controller's monotonic clock, which runs up to 0.05% fast or slow if the seed
+    /// enables clock skew.
     fn steady_ms(&self, node: usize) -> u64 {
-        let off = self.clock_skew * self.now / 2_000;
-        [self.now - off, self.now, self.now + off][node % 3]
+        let drift_ms = self.clock_skew * self.now / 2_000;
+        [self.now - drift_ms, self.now, self.now + drift_ms][node % 3]
     }
 
     fn clocks_of(&self, node: usize) -> Now {
-        let wall_ms = WALL_CLOCK_OFFSET_MS + self.now;
+        let wall_ms = WALL_CLOCK_START_MS + self.now;
         Now { steady_ms: self.steady_ms(node), wall_ms }
     }
 
@@ -250,52 +253,52 @@
         }
     }
 
-    /// The controller that leads, by the record in the state service.
+    /// Returns the current leader according to the leader record in the state service.
     pub fn leader(&self) -> Option<usize> {
         self.leader_record()?.node.trim_start_matches('n').parse().ok()
     }
 
-    /// The record of who leads.
+    /// Returns the leader record, if it exists and can be decoded.
     pub fn leader_record(&self) -> Option<LeaderRecord> {
         self.state.keys.get(LEADER_KEY)?.value.deserialized().ok()
     }
 
-    /// Revision of the epoch record: it rises with each new leader.
+    /// Returns the revision of the epoch record, which rises with each new leader; 0 without one.
     pub fn epoch_revision(&self) -> u64 {
         self.state.keys.get(EPOCH_KEY).map_or(0, |stored| stored.revision)
     }
 
-    /// What has been activated.
+    /// Returns the activated format and features.
     pub fn activated_format(&self) -> ActivationRecord {
         let stored = self.state.keys.get(FORMAT_KEY);
         stored.map_or(ActivationRecord::initial(), |stored| stored.value.deserialized().unwrap())
     }
 
-    /// A format later than the first is activated.
+    /// Returns whether a format later than the first is activated.
     pub fn format_is_activated(&self) -> bool {
         self.state.keys.contains_key(FORMAT_KEY)
     }
 
-    /// Runs until another controller than this one leads.
+    /// Runs until a controller other than `old` leads.
     pub fn run_until_leader_changes(&mut self, within_ms: u64, old: usize) {
         let changed = |cluster: &Cluster| cluster.leader().is_some_and(|leader| leader != old);
         self.run_until(within_ms, "another controller leads", changed);
     }
 
-    /// Runs until all features of the present build are activated.
+    /// Runs until all features of the current build are activated.
     pub fn run_until_fully_activated(&mut self) {
         let activated = |cluster: &Cluster| cluster.activated_format().version >= 4;
         self.run_until(20_000, "all features are activated", activated);
     }
 
-    /// Lets a controller run by itself until it inspects a machine, answers with this heartbeat,
-    /// and returns the fencing tokens of all orders that the controller then sends.
+    /// Runs a controller in isolation until it inspects a machine, answers the inspection with this
+    /// heartbeat, and returns the fencing tokens of all orders that the controller then sends.
     pub fn tokens_sent_after_inspection(&mut self, node: usize, heartbeat: &Heartbeat) -> Vec<u64> {
         let mut steady_ms = self.steady_ms(node);
         let core = &mut self.nodes[node].as_mut().unwrap().core;
         let mut step = |event: Event| {
             steady_ms += TICK_MS;
-            core.handle(Now { steady_ms, wall_ms: WALL_CLOCK_OFFSET_MS + steady_ms }, event)
+            core.handle(Now { steady_ms, wall_ms: WALL_CLOCK_START_MS + steady_ms }, event)
         };
         let inspection = (0..200).find_map(|_| {
             step(Event::Tick).into_iter().find_map(|action| match action {
@@ -303,7 +306,7 @@
                 _ => None,
             })
         });
-        let call = inspection.expect("it inspects a silent machine");
+        let call = inspection.expect("the controller inspects a machine that sends no heartbeats");
         let outcome = Outcome::Answer(Response::new(200, to_cbor(heartbeat)));
         let mut actions = step(Event::Outcome { call, outcome });
         (0..40).for_each(|_| actions.extend(step(Event::Tick)));
@@ -316,20 +319,22 @@
         orders.map(|request| request.fencing_token).collect()
     }
 
-    /// A controller's metrics.
+    /// Returns a controller's metrics by name.
     pub fn metrics_of(&mut self, node: usize) -> BTreeMap<String, f64> {
         let response = self.request_directly(node, "GET", "/metrics", Vec::new());
         let metrics = response.and_then(|response| from_cbor(&response.body).ok());
-        metrics.expect("metrics are answered at once")
+        metrics.expect("metrics are answered immediately")
     }
 
-    /// Sends a request to a controller's mesh address; the status, if it is answered at once.
+    /// Sends a request to a controller's mesh address; returns the status code if the request is
+    /// answered immediately.
     pub fn send_mesh_request(&mut self, node: usize, target: &str, body: Vec<u8>) -> Option<u16> {
         let response = self.request_directly(node, "POST", target, body);
         response.map(|response| response.status)
     }
 
-    /// Makes a mesh request past the network; the answer, if it is given at once.
+    /// Makes a mesh request that bypasses the network; returns the answer if the controller gives
+    /// it immediately.
     fn request_directly(
         &mut self,
         node: usize,
@@ -352,8 +357,8 @@
         answer
     }
 
-    /// What a controller does at once when the first event after a stall is a worker's heartbeat:
-    /// answers by their status, calls by their target.
+    /// Returns a controller's immediate actions when the first event after a stall is a worker's
+    /// heartbeat: an answer is described by its status code, a call by its target.
     pub fn actions_on_heartbeat_after_stall(
         &mut self,
         node: usize,
@@ -365,7 +370,7 @@
         let core = &mut self.nodes[node].as_mut().unwrap().core;
         let request =
             Request { method: "POST".into(), target: "/checkin".into(), body, close: false };
-        let now = Now { steady_ms, wall_ms: WALL_CLOCK_OFFSET_MS + steady_ms };
+        let now = Now { steady_ms, wall_ms: WALL_CLOCK_START_MS + steady_ms };
         let mut actions = core.handle(now, Event::Client { id: DIRECT_REQUEST, request });
         actions.extend(core.handle(now, Event::Tick));
         let described = actions.into_iter().map(|action| match action {
--- a/crates/core/tests/simulation/cluster/faults.rs
+++ b/crates/core/tests/simulation/cluster/faults.rs
@@ -1,5 +1,5 @@
-//! Faults that need more than a switch: writes without an answer, stale and duplicate heartbeats;
-//! and the milestones of a run after which a fault may be injected.
+//! Faults that need more than a flag, such as unanswered writes and stale or duplicate heartbeats,
+//! and the milestones of a run at which tests inject faults.
 
 use super::clock::SimulationEvent;
 use super::Cluster;
@@ -7,10 +7,10 @@
 use quartzgate_wire::msg::{Change, Transaction};
 use rand::Rng;
 
-/// Number of stale heartbeats that are stored for the next leader: the newest.
+/// Maximum number of heartbeats stored for replay at the next election; the oldest are dropped.
 const MAX_STALE_HEARTBEATS: usize = 120;
 
-/// A share of messages that arrive late, each after a random delay.
+/// A share of messages that are delayed, each by a random time of `from_ms` to `to_ms`.
 #[derive(Clone, Copy, Debug)]
 pub struct RandomDelay {
     pub share: f64,
@@ -18,16 +18,17 @@
     pub to_ms: u64,
 }
 
-/// What becomes of a transaction that gets no answer.
+/// How a transaction that gets no answer is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnansweredWrite {
-    /// It is applied at once: others read what it wrote.
+    /// It is applied immediately, so that others read what it wrote.
     AppliedAtOnce,
-    /// It is applied so many milliseconds later, if its conditions hold then.
+    /// It is applied after this many milliseconds, if its conditions hold at that time.
     AppliedAfterMs(u64),
 }
 
-/// The next `remaining` transactions that set or delete a key with this prefix get no answer.
+/// Withholds the answers of the next `remaining` transactions that set or delete a key with this
+/// prefix.
 #[derive(Clone, Debug)]
 pub struct WriteFault {
     pub key_prefix: &'static str,
@@ -35,7 +36,7 @@
     pub remaining: u32,
 }
 
-/// A point of a run after which a fault may be injected.
+/// An occurrence in a run after which a fault may be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Milestone {
     /// A user was told that a job is aborted.
@@ -44,13 +45,13 @@
     LeaderElected,
     /// A transaction got no answer.
     WriteUnanswered,
-    /// A job's last task completed.
+    /// The last task of a job completed.
     LastTaskEnded,
-    /// A machine was told to forget a task that had exited.
+    /// A machine was ordered to forget an exited task and did so.
     ExitCleared,
 }
 
-/// A milestone, and when it was reached.
+/// A milestone and the simulated time at which it was reached.
 #[derive(Clone, Copy, Debug)]
 pub struct ReachedMilestone {
     pub at_ms: u64,
@@ -58,7 +59,8 @@
 }
 
 impl Cluster {
-    /// Ends all faults: links are healed and controllers that are down are started.
+    /// Clears the faults of links, writes, answers, heartbeats, machine returns and aborts at
+    /// completion, and starts all controllers that are down.
     pub fn clear_all_faults(&mut self) {
         self.heal_links();
         self.state.refused_nodes.clear();
@@ -76,20 +78,20 @@
         self.start_all();
     }
 
-    pub(super) fn reach(&mut self, milestone: Milestone) {
+    pub(super) fn record_milestone(&mut self, milestone: Milestone) {
         self.milestones.push(ReachedMilestone { at_ms: self.now, milestone });
     }
 
-    /// What becomes of a transaction, if it is to get no answer.
+    /// Returns how to apply a transaction if a fault withholds its answer, and counts that fault.
     pub(super) fn take_write_fault(&mut self, txn: &Transaction) -> Option<UnansweredWrite> {
         let path = |change: &Change| match change {
             Change::Set { set, .. } => set.clone(),
             Change::Delete { delete } => delete.clone(),
         };
         let paths: Vec<String> = txn.apply.iter().map(path).collect();
-        let concerns = |prefix: &str| paths.iter().any(|path| path.starts_with(prefix));
+        let touches_prefix = |prefix: &str| paths.iter().any(|path| path.starts_with(prefix));
         let mut faults = self.state.write_faults.iter_mut();
-        if let Some(fault) = faults.find(|f| f.remaining > 0 && concerns(f.key_prefix)) {
+        if let Some(fault) = faults.find(|f| f.remaining > 0 && touches_prefix(f.key_prefix)) {
             fault.remaining -= 1;
             return Some(fault.outcome);
         }
@@ -98,7 +100,7 @@
         lost.then_some(UnansweredWrite::AppliedAtOnce)
     }
 
-    /// Applies a transaction to which nobody gets an answer.
+    /// Applies a transaction without answering it.
     pub(super) fn apply_unanswered(&mut self, from: usize, txn: Transaction) {
         self.expire_leases();
         if txn.apply.iter().any(|c| matches!(c, Change::Set { set, .. } if set == FORMAT_KEY)) {
@@ -107,13 +109,14 @@
         self.apply_transaction(txn);
     }
 
-    /// Duplicates and stores a heartbeat, as the faults say.
+    /// Schedules a duplicate of a heartbeat and stores the heartbeat for replay, as the configured
+    /// faults require.
     pub(super) fn duplicate_heartbeat(&mut self, body: &[u8]) {
         if let Some(delay) = self.duplicate_heartbeats {
             if self.rng.random_bool(delay.share) {
-                let late_ms = self.rng.random_range(delay.from_ms..=delay.to_ms);
+                let delay_ms = self.rng.random_range(delay.from_ms..=delay.to_ms);
                 let node = self.rng.random_range(0..self.nodes.len());
-                self.deliver_duplicate_after(body, node, late_ms);
+                self.deliver_duplicate_after(body, node, delay_ms);
             }
         }
         if self.stale_heartbeat_share > 0.0 && self.rng.random_bool(self.stale_heartbeat_share) {
@@ -124,8 +127,8 @@
         }
     }
 
-    /// A new leader has been elected: stale heartbeats reach every controller before, during and
-    /// after the leader's recovery.
+    /// Replays the stored heartbeats to every controller after an election, with delays that fall
+    /// before, during and after the new leader's recovery.
     pub(super) fn replay_stale_heartbeats(&mut self) {
         for body in std::mem::take(&mut self.stale_heartbeats) {
             for node in 0..self.nodes.len() {
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Delivers a duplicate of a heartbeat to a controller after so long.
+    /// Delivers a duplicate of a heartbeat to a controller after `ms`.
     pub fn deliver_duplicate_after(&mut self, body: &[u8], node: usize, ms: u64) {
         let body = body.to_vec();
         self.schedule_after(ms, SimulationEvent::DuplicateHeartbeat { node, body });
--- a/crates/core/tests/simulation/cluster/invariants.rs
+++ b/crates/core/tests/simulation/cluster/invariants.rs
@@ -1,5 +1,5 @@
-//! The invariants: what is checked at each start, each write and each answer, and what must hold
-//! once all faults are over.
+//! The invariants that are checked at each task start and each write, and those that must hold
+//! once all faults have ended. `users` checks the invariants of answers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,14 +16,16 @@
     Change, JobKind, JobSpec, JobStatus, Order, OrdersRequest, Transaction,
 };
 
-/// How long a job may wait, faults over, while a machine that fits has free capacity.
+/// Longest time that a job may wait, after all faults have ended, while a suitable machine has
+/// free capacity.
 const MAX_WAIT_MS: u64 = 90_000;
-/// How long controllers may take, faults over, to answer for an accepted job.
+/// Longest time that ready controllers may take, after all faults have ended, to answer queries
+/// of an accepted job.
 const MAX_ANSWER_MS: u64 = 75_000;
-/// Rounding error allowed in sums of resources.
+/// Tolerance for rounding errors in sums of resources.
 const EPSILON: f64 = 1e-6;
 
-/// A controller process has told a user that a job is aborted.
+/// A controller process that has told a user that a job is aborted.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AbortConfirmation {
     pub node: usize,
@@ -31,7 +33,7 @@
     pub job: String,
 }
 
-/// A start that was sent after its job's abort had been confirmed to a user.
+/// A start order that was sent after the abort of its job had been confirmed to a user.
 #[derive(Clone, Debug)]
 #[allow(dead_code, reason = "shown by assertions that fail")]
 pub struct StartAfterAbort {
@@ -40,25 +42,25 @@
     pub after_ms: u64,
 }
 
-/// Resources in use on a machine.
+/// Resources that live tasks use on a machine.
 struct Usage {
     cpus: f64,
     memory_gb: f64,
 }
 
 impl Cluster {
-    /// No invariant has been violated so far.
+    /// Asserts that no invariant has been violated so far.
     pub fn check_invariants(&self) {
         assert!(self.violations.is_empty(), "seed {}: {:#?}", self.seed, self.violations);
     }
 
-    pub(super) fn violation(&mut self, what: String) {
-        self.violations.push(what);
+    pub(super) fn violation(&mut self, description: String) {
+        self.violations.push(description);
     }
 
-    // Starts.
+    // Task starts.
 
-    /// A task is about to start on a machine.
+    /// Checks the invariants of a task that is about to start on a machine.
     pub(super) fn check_start(&mut self, machine: &str, task: &str, spec: &JobSpec) {
         self.check_runs_once(machine, task);
         let (now, aborted) = (self.now, self.abort_confirmed_at.get(&spec.id).copied());
@@ -72,21 +74,22 @@
         self.check_placement_constraints(machine, spec);
     }
 
-    /// `ran_twice`: a task is alive on one machine only.
+    /// `ran_twice`: a task is live on at most one machine.
     fn check_runs_once(&mut self, machine: &str, task: &str) {
         let now = self.now;
         let holds = |worker: &Worker| {
             worker.holds_tasks(now) && worker.tasks.get(task).is_some_and(HeldTask::is_live)
         };
         let others = self.workers.iter().filter(|(name, w)| *name != machine && holds(w));
-        let twice = |(other, _): (&String, &Worker)| {
+        let describe = |(other, _): (&String, &Worker)| {
             format!("ran_twice {task}: {machine} while on {other} at {now}")
         };
-        let found: Vec<String> = others.map(twice).collect();
+        let found: Vec<String> = others.map(describe).collect();
         self.violations.extend(found);
     }
 
-    /// `too_early`: a task starts when all dependencies of its job are done, and recorded so.
+    /// `too_early`: a task starts only after all dependencies of its job have completed and are
+    /// recorded as done.
     fn check_dependencies_are_done(&mut self, task: &str, spec: &JobSpec) {
         let now = self.now;
         for dependency in &spec.dependencies {
@@ -95,12 +98,12 @@
                 self.violation(format!("too_early {task}: {dependency} is not done at {now}"));
             }
             if self.recorded_status(dependency) != Some(RecordedStatus::Done) {
-                self.violation(format!("{task} starts before {dependency}'s end is on record"));
+                self.violation(format!("{task} starts before {dependency} is recorded as done"));
             }
         }
     }
 
-    /// `quota`: the team's tasks stay within its limit of CPUs.
+    /// `quota`: the team's tasks stay within its CPU limit.
     fn check_cpu_quota(&mut self, spec: &JobSpec) {
         let now = self.now;
         let used: f64 = self
@@ -116,7 +119,7 @@
         }
     }
 
-    /// `quota`: the team's tasks stay within its limit of GPUs.
+    /// `quota`: the team's tasks stay within its GPU limit.
     fn check_gpu_quota(&mut self, spec: &JobSpec) {
         let now = self.now;
         let used: f64 = self
@@ -131,38 +134,39 @@
         }
     }
 
-    /// `wrong_place`: no zone holds more than half of the tasks of a job with `spread`.
+    /// `wrong_place`: no zone holds more than half (rounded up) of the tasks of a `spread` job.
     fn check_spread(&mut self, machine: &str, task: &str, spec: &JobSpec) {
         if !spec.spread {
             return;
         }
         let zone = self.workers[machine].zone.clone();
-        let there = self
+        let tasks_in_zone = self
             .workers
             .values()
             .filter(|worker| worker.zone == zone && worker.holds_tasks(self.now))
             .flat_map(Worker::live_tasks)
             .filter(|(other, _)| job_of(other) == spec.id)
             .count() as u32;
-        if there + 1 > spec.tasks.div_ceil(2) {
-            self.violation(format!("wrong_place {task}: {} in {zone}", there + 1));
+        if tasks_in_zone + 1 > spec.tasks.div_ceil(2) {
+            self.violation(format!("wrong_place {task}: {} in {zone}", tasks_in_zone + 1));
         }
     }
 
-    /// `wrong_place`: a task starts only where its job allows it.
+    /// `wrong_place`: a task starts only on a machine that its job allows and, for a job with
+    /// `together`, in the zone of its other tasks.
     fn check_placement_constraints(&mut self, machine: &str, spec: &JobSpec) {
         let worker = &self.workers[machine];
         let zone = worker.zone.clone();
         if !allows(spec, worker) {
             self.violation(format!("wrong_place {}: {machine} in {zone}", spec.id));
         }
-        let elsewhere = |(name, worker): (&String, &Worker)| {
+        let runs_in_other_zone = |(name, worker): (&String, &Worker)| {
             name != machine
                 && worker.zone != zone
                 && worker.holds_tasks(self.now)
                 && worker.live_tasks().any(|(task, _)| job_of(task) == spec.id)
         };
-        if spec.together && self.workers.iter().any(elsewhere) {
+        if spec.together && self.workers.iter().any(runs_in_other_zone) {
             let id = &spec.id;
             self.violation(format!("wrong_place {id}: {machine}, others in another zone"));
         }
@@ -170,7 +174,7 @@
 
     // Aborts.
 
-    /// `ran_cancelled`: no task lives longer than `cancel_s` after its job's confirmed abort.
+    /// `ran_cancelled`: no task is live more than `cancel_s` after its job's confirmed abort.
     pub(super) fn check_not_aborted(&mut self, machine: &str, task: &str, held: &HeldTask) {
         let (now, aborted) = (self.now, self.abort_confirmed_at.get(job_of(task)).copied());
         if aborted.is_some_and(|at| now > at + CANCEL_MS) && held.is_live() {
@@ -178,8 +182,8 @@
         }
     }
 
-    /// `ran_cancelled`: the same of a whole job, at the moment at which its tasks must be gone.
-    pub(super) fn check_aborted_job_is_gone(&mut self, job: &str) {
+    /// `ran_cancelled`: no task of an aborted job is live when the abort's deadline passes.
+    pub(super) fn check_aborted_job_has_ended(&mut self, job: &str) {
         let now = self.now;
         let mut found = Vec::new();
         for (name, worker) in self.workers.iter().filter(|(_, w)| w.holds_tasks(now)) {
@@ -190,8 +194,8 @@
         self.violations.extend(found);
     }
 
-    /// Notes starts of jobs whose abort has been confirmed to a user.
-    pub(super) fn note_starts_after_abort(&mut self, by: usize, call: &Call) {
+    /// Records and checks start orders of jobs whose abort has been confirmed to a user.
+    pub(super) fn record_starts_after_abort(&mut self, by: usize, call: &Call) {
         if call.target != "/orders" {
             return;
         }
@@ -206,23 +210,25 @@
         }
     }
 
-    /// A start is sent after its job's abort was confirmed: never by the process that has
-    /// confirmed it, and by one that cannot know of it only as long as it may command at all.
+    /// Checks a start order that is sent after its job's abort was confirmed. The process that
+    /// confirmed the abort must never send one; any other process may, but only while it may still
+    /// be unaware of the abort: until `CANCEL_MS - LEASE_MS` after the confirmation.
     fn check_start_after_abort(&mut self, by: usize, task: &str, after_ms: u64) {
         let (incarnation, job) = (self.incarnations[by], job_of(task).to_string());
         let confirmation = AbortConfirmation { node: by, incarnation, job };
-        let knew = self.abort_confirmed_by.contains(&confirmation);
-        if knew || after_ms > CANCEL_MS - LEASE_MS {
+        let confirmed_by_sender = self.abort_confirmed_by.contains(&confirmation);
+        if confirmed_by_sender || after_ms > CANCEL_MS - LEASE_MS {
             self.violation(format!(
-                "{task} started by n{by} {after_ms} ms after its abort, confirmed there: {knew}"
+                "{task} started by n{by} {after_ms} ms after its abort, confirmed there: \
+                 {confirmed_by_sender}"
             ));
         }
     }
 
     // Writes.
 
-    /// Activations only add, one step at a time, by the leader, and only what every controller
-    /// supports that is alive as far as the state service knows.
+    /// Checks that only the leader writes activations, that each adds exactly one step and removes
+    /// none, and that every controller which is alive according to the state service supports it.
     pub(super) fn check_activation(&mut self, txn: &Transaction) {
         for change in &txn.apply {
             let Change::Set { set, value, .. } = change else { continue };
@@ -235,21 +241,22 @@
                 + new.features.difference(&old.features).count() as u32;
             if self.activation_writer != self.leader() {
                 let writer = self.activation_writer;
-                self.violation(format!("{new:?} was set by {writer:?}, not the leader"));
+                self.violation(format!("{new:?} was set by {writer:?}, which is not the leader"));
             }
             if !new.includes(&old) || steps != 1 {
-                self.violation(format!("{new:?} was set over {old:?}"));
+                self.violation(format!("{new:?} replaced {old:?}"));
             }
             for node in 0..self.nodes.len() {
-                if self.is_known_alive(node) && !self.supports(node, &new) {
-                    self.violation(format!("{new:?} was set while n{node} lacks it"));
+                if self.is_registered(node) && !self.supports(node, &new) {
+                    self.violation(format!("{new:?} was set while n{node} does not support it"));
                 }
             }
         }
     }
 
-    /// A controller runs, and the key on its lease is of its present process.
-    fn is_known_alive(&self, node: usize) -> bool {
+    /// Returns whether a controller runs and its current process has registered its membership key,
+    /// which is attached to its lease.
+    fn is_registered(&self, node: usize) -> bool {
         let key = self.state.keys.get(&format!("members/n{node}"));
         let is_current = key.is_some_and(|k| k.revision > self.started_at_revision[node]);
         self.is_up(node) && is_current
@@ -262,8 +269,8 @@
             && !self.legacy_controllers.contains(&node)
     }
 
-    /// An accepted job is stored in a batch record or in a record of its own, and its placement
-    /// in one place only.
+    /// Checks that each accepted job is stored in a batch record or a record of its own, and that
+    /// its placement is not stored both inline and under a placement key.
     pub(super) fn check_jobs_stored_once(&mut self) {
         let mut batched = BTreeSet::new();
         for (_, stored) in self.state.keys.iter().filter(|(key, _)| key.starts_with(BATCH_PREFIX)) {
@@ -276,48 +283,49 @@
         for id in self.observed_status.keys() {
             let own = self.state.keys.get(&format!("jobs/{id}"));
             if own.is_none() && !batched.contains(id) {
-                found.push(format!("{id} stands nowhere"));
+                found.push(format!("{id} is not stored"));
             }
             let record = own.and_then(|own| own.value.deserialized::<JobRecord>().ok());
             let inline = record.is_some_and(|record| record.placement.is_some());
             if inline && self.state.keys.contains_key(&format!("shares/{id}/0/0")) {
-                found.push(format!("the share of {id} stands in two places"));
+                found.push(format!("the placement of {id} is stored twice"));
             }
         }
         self.violations.extend(found);
     }
 
-    /// No placement is ever written by the leader of an earlier epoch.
+    /// Checks that no leader of an earlier epoch writes a placement.
     pub(super) fn check_writer_epoch(&mut self, txn: &Transaction) {
         let stored = self.state.keys.get(EPOCH_KEY);
-        let view = stored.and_then(|stored| stored.value.deserialized::<EpochRecord>().ok());
-        let epoch = view.map_or(0, |view| view.epoch);
+        let record = stored.and_then(|stored| stored.value.deserialized::<EpochRecord>().ok());
+        let epoch = record.map_or(0, |record| record.epoch);
         for change in &txn.apply {
             let Change::Set { set, value, .. } = change else { continue };
             let share = read_placement(set, value, 1).map(|share| share.record);
             if set.starts_with(PLACEMENT_PREFIX) && share.is_some_and(|share| share.epoch < epoch) {
-                self.violation(format!("{set} written by a leader of an earlier epoch"));
+                self.violation(format!("{set} was written by the leader of an earlier epoch"));
             }
         }
     }
 
-    /// How a job is recorded, if it has a record of its own.
+    /// Returns the recorded status of a job that has a record of its own.
     pub fn recorded_status(&self, id: &str) -> Option<RecordedStatus> {
         let stored = self.state.keys.get(&format!("jobs/{id}"))?;
         stored.value.deserialized::<JobRecord>().ok().map(|record| record.status)
     }
 
-    // Once all faults are over.
+    // After all faults have ended.
 
-    /// Faults over: no accepted job is lost, and none waits beside free capacity.
+    /// Asserts that, after all faults have ended, no accepted job is lost and none waits while
+    /// there is free capacity for it.
     pub fn assert_recovered(&mut self) {
         self.assert_no_accepted_job_is_lost();
         self.assert_no_job_waits_beside_free_capacity();
         self.check_invariants();
     }
 
-    /// Faults over: every job that was accepted and not aborted is answered for within 75 s by
-    /// every controller that is ready, however often it has to be asked.
+    /// Asserts that, after all faults have ended, every ready controller answers a query of every
+    /// job that was accepted and not aborted within 75 s, allowing for any number of retries.
     pub fn assert_no_accepted_job_is_lost(&mut self) {
         let until_ms = self.now + MAX_ANSWER_MS;
         let ready = self.ready_controllers();
@@ -336,13 +344,13 @@
         }
         assert!(
             open.is_empty(),
-            "seed {}: not answered for within 75 s: {open:?}, {answers:?}",
+            "seed {}: queries without an answer within 75 s: {open:?}, status codes {answers:?}",
             self.seed
         );
         self.check_invariants();
     }
 
-    /// The controllers that say that they are ready.
+    /// Returns the controllers that answer 200 to `/ready`.
     fn ready_controllers(&mut self) -> Vec<usize> {
         let up: Vec<usize> = (0..self.nodes.len()).filter(|node| self.is_up(*node)).collect();
         let requests: Vec<usize> =
@@ -353,12 +361,13 @@
         ready.map(|(node, _)| node).collect()
     }
 
-    /// Faults over: no job waits for 90 s while a machine that fits has free capacity and its
-    /// team is under its quota. Ends as soon as none waits so.
+    /// Asserts that, after all faults have ended, no job waits for 90 s while a suitable machine
+    /// has free capacity and the job's team is within its quota. Returns as soon as no such job
+    /// waits.
     pub fn assert_no_job_waits_beside_free_capacity(&mut self) {
         let mut waiting_since: BTreeMap<String, u64> = BTreeMap::new();
         loop {
-            let waiting = self.jobs_waiting_beside_free_capacity();
+            let waiting = self.jobs_waiting_despite_free_capacity();
             waiting_since.retain(|id, _| waiting.contains(id));
             if waiting.is_empty() {
                 return;
@@ -367,7 +376,7 @@
                 let began = *waiting_since.entry(id.clone()).or_insert(self.now);
                 assert!(
                     self.now < began + MAX_WAIT_MS,
-                    "seed {}: {id} waits beside room for {} ms",
+                    "seed {}: {id} has waited for {} ms although there is free capacity",
                     self.seed,
                     self.now - began
                 );
@@ -376,17 +385,18 @@
         }
     }
 
-    /// Accepted jobs with a task that has not ended and is on no machine, though machines that fit
-    /// have free capacity for what the job needs at once, and its team is under its quota.
-    fn jobs_waiting_beside_free_capacity(&self) -> Vec<String> {
+    /// Returns the accepted jobs with a task that has not completed and is on no machine although
+    /// suitable machines have free capacity for the tasks that the job must start together, and its
+    /// team is within its quota.
+    fn jobs_waiting_despite_free_capacity(&self) -> Vec<String> {
         let open = self.observed_status.iter();
         let open = open.filter(|(_, status)| !matches!(status, JobStatus::Done));
-        open.filter(|(id, _)| self.waits_beside_free_capacity(id))
+        open.filter(|(id, _)| self.waits_despite_free_capacity(id))
             .map(|(id, _)| id.clone())
             .collect()
     }
 
-    fn waits_beside_free_capacity(&self, id: &str) -> bool {
+    fn waits_despite_free_capacity(&self, id: &str) -> bool {
         let Some(spec) = self.jobs.get(id) else { return false };
         if !self.may_run(id) {
             return false;
@@ -397,35 +407,36 @@
         if unplaced == 0 {
             return false;
         }
-        let places = self.places_by_zone(spec);
-        let places = match spec.together {
-            true => places.values().max().copied().unwrap_or(0),
-            false => places.values().sum(),
+        let free_slots = self.free_slots_by_zone(spec);
+        let free_slots = match spec.together {
+            true => free_slots.values().max().copied().unwrap_or(0),
+            false => free_slots.values().sum(),
         };
         let needed = if spec.shape == JobKind::Gang { unplaced } else { 1 };
-        places >= needed && self.is_within_quota(spec, needed)
+        free_slots >= needed && self.is_within_quota(spec, needed)
     }
 
-    /// The job and those that it depends on are not aborted and do not fail, and those are done.
+    /// Returns whether nothing prevents a job from running: neither the job nor any of its direct
+    /// or indirect dependencies is to be aborted or fails, and all of those dependencies are done.
     fn may_run(&self, id: &str) -> bool {
-        let ends_otherwise =
+        let is_aborted_or_fails =
             |id: &str| self.abort_requested.contains(id) || self.failing_jobs.contains_key(id);
         let is_done = |id: &String| self.observed_status.get(id) == Some(&JobStatus::Done);
         let dependencies = self.transitive_dependencies(id);
-        !ends_otherwise(id)
-            && !dependencies.iter().any(|id| ends_otherwise(id))
+        !is_aborted_or_fails(id)
+            && !dependencies.iter().any(|id| is_aborted_or_fails(id))
             && dependencies.iter().all(is_done)
     }
 
-    /// For how many more tasks of a job there is free capacity, by zone.
-    fn places_by_zone(&self, spec: &JobSpec) -> BTreeMap<String, u32> {
+    /// Returns the number of further tasks of a job that fit into the free capacity, by zone.
+    fn free_slots_by_zone(&self, spec: &JobSpec) -> BTreeMap<String, u32> {
         let live = self.live_tasks(&spec.id);
         let zone_of = |machine: &String| &self.workers[machine].zone;
         let bound_zone = live.first().filter(|_| spec.together).map(|live| zone_of(&live.machine));
         let healthy = |worker: &&Worker| {
             !worker.dead && worker.hung_until_ms <= self.now && !worker.fails_all_tasks
         };
-        let mut places: BTreeMap<String, u32> = BTreeMap::new();
+        let mut free_slots: BTreeMap<String, u32> = BTreeMap::new();
         for worker in self.workers.values().filter(healthy) {
             if allows(spec, worker) && bound_zone.is_none_or(|zone| *zone == worker.zone) {
                 let used = self.usage_of(worker);
@@ -433,17 +444,17 @@
                     .min((MEMORY_GB - used.memory_gb + EPSILON) / spec.memory_gb)
                     .floor()
                     .max(0.0);
-                *places.entry(worker.zone.clone()).or_default() += fits as u32;
+                *free_slots.entry(worker.zone.clone()).or_default() += fits as u32;
             }
         }
         if spec.spread {
-            for (zone, count) in &mut places {
-                let there = live.iter().filter(|live| zone_of(&live.machine) == zone).count();
-                let allowed = spec.tasks.div_ceil(2).saturating_sub(there as u32);
+            for (zone, count) in &mut free_slots {
+                let placed = live.iter().filter(|live| zone_of(&live.machine) == zone).count();
+                let allowed = spec.tasks.div_ceil(2).saturating_sub(placed as u32);
                 *count = (*count).min(allowed);
             }
         }
-        places
+        free_slots
     }
 
     fn usage_of(&self, worker: &Worker) -> Usage {
@@ -454,8 +465,8 @@
         })
     }
 
-    /// The team may use what some more tasks need. GPUs are not counted here: a job that needs
-    /// some is taken to have none.
+    /// Returns whether the team's quota allows this many more tasks of a job. GPU usage is not
+    /// counted: a job that needs GPUs is treated as exceeding the quota.
     fn is_within_quota(&self, spec: &JobSpec, tasks: u32) -> bool {
         let holding = self.workers.values().filter(|worker| worker.holds_tasks(self.now));
         let used: f64 = holding.map(|worker| self.usage_of(worker).cpus).sum();
@@ -465,7 +476,7 @@
     }
 }
 
-/// A job may run on a machine, by its zone, type and kind of lease.
+/// Returns whether a job may run on a machine, given the machine's zone, type and spot status.
 fn allows(spec: &JobSpec, worker: &Worker) -> bool {
     let zone = spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone);
     let kind = spec.types.as_ref().is_none_or(|types| types.contains(&worker.kind));
--- a/crates/core/tests/simulation/cluster/network.rs
+++ b/crates/core/tests/simulation/cluster/network.rs
@@ -1,4 +1,5 @@
-//! The network between controllers, workers, state service and cloud: delays, losses, partitions.
+//! The network between controllers, workers, state service and cloud, with its delays, losses and
+//! partitions.
 
 use super::clock::SimulationEvent;
 use super::workers::machine_of_addr;
@@ -7,7 +8,7 @@
 use quartzgate_wire::http::{Request, Response};
 use rand::Rng;
 
-/// Who can be partitioned from whom.
+/// One end of a network link that can be partitioned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Endpoint {
     Controller(usize),
@@ -16,7 +17,7 @@
     Worker(String),
 }
 
-/// What becomes of messages over a faulty link.
+/// How a faulty link treats messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
     /// Messages are lost.
@@ -25,7 +26,7 @@
     Hold,
 }
 
-/// A link, in either direction, and its fault.
+/// A link and its fault, which affects both directions.
 pub(super) struct FaultyLink {
     from: Endpoint,
     to: Endpoint,
@@ -39,21 +40,21 @@
     pub call: Call,
 }
 
-/// Who waits for a controller's answer.
+/// The recipient of a controller's answer. `Discard` drops the answer, as for duplicate heartbeats.
 pub(super) enum Requester {
-    Nobody,
+    Discard,
     User(u64),
     Worker { machine: String, sent_ms: u64 },
     Controller { node: usize, incarnation: u32, call: CallId },
 }
 
 impl Cluster {
-    /// The delay of one message.
+    /// Draws the network delay of one message.
     pub(super) fn random_delay_ms(&mut self) -> u64 {
         self.rng.random_range(1..=self.max_delay_ms)
     }
 
-    /// Injects a fault into the link between two endpoints.
+    /// Injects a fault into the link between two endpoints, in both directions.
     pub fn cut_link(&mut self, from: Endpoint, to: Endpoint, fault: LinkFault) {
         self.link_faults.push(FaultyLink { from, to, fault });
     }
@@ -73,7 +74,7 @@
         self.cut_link(Endpoint::Controller(node), Endpoint::Worker(machine), fault);
     }
 
-    /// Heals all links; held calls are delivered.
+    /// Heals all links and delivers the held calls.
     pub fn heal_links(&mut self) {
         self.link_faults.clear();
         for held in std::mem::take(&mut self.held_calls) {
@@ -81,16 +82,18 @@
         }
     }
 
-    /// Heals one link; the calls that it held are delivered.
+    /// Heals one link and delivers the held calls whose links have no fault any more.
     pub fn heal_link(&mut self, from: &Endpoint, to: &Endpoint) {
-        if let Some(at) = self.link_faults.iter().position(|l| (&l.from, &l.to) == (from, to)) {
+        if let Some(at) =
+            self.link_faults.iter().position(|link| (&link.from, &link.to) == (from, to))
+        {
             self.link_faults.remove(at);
         }
         for held in std::mem::take(&mut self.held_calls) {
-            let open = self
+            let is_healed = self
                 .target(held.from, &held.call)
                 .is_some_and(|to| self.link_fault(&Endpoint::Controller(held.from), &to).is_none());
-            match open {
+            match is_healed {
                 true => self.deliver_held_call(held),
                 false => self.held_calls.push(held),
             }
@@ -103,7 +106,7 @@
         self.schedule_after(delay_ms, SimulationEvent::Call { from, incarnation, call });
     }
 
-    /// Number of calls that are held.
+    /// Returns the number of held calls.
     pub fn held_call_count(&self) -> usize {
         self.held_calls.len()
     }
@@ -116,21 +119,23 @@
                 return Some(LinkFault::Drop);
             }
         }
-        let joins = |l: &&FaultyLink| (&l.from, &l.to) == (a, b) || (&l.to, &l.from) == (a, b);
-        self.link_faults.iter().find(joins).map(|l| l.fault)
+        let connects = |link: &&FaultyLink| {
+            (&link.from, &link.to) == (a, b) || (&link.to, &link.from) == (a, b)
+        };
+        self.link_faults.iter().find(connects).map(|link| link.fault)
     }
 
     fn target(&self, from: usize, call: &Call) -> Option<Endpoint> {
         Some(match &call.peer {
             Peer::State => Endpoint::StateService,
             Peer::Cloud => Endpoint::Cloud,
-            // A controller counts its siblings without itself.
+            // A controller's sibling indices skip the controller itself.
             Peer::Sibling(at) => Endpoint::Controller(if *at >= from { at + 1 } else { *at }),
             Peer::Worker(addr) => Endpoint::Worker(machine_of_addr(addr)),
         })
     }
 
-    /// A controller makes a call.
+    /// Sends a controller's call and schedules its timeout.
     pub(super) fn send(&mut self, from: usize, incarnation: u32, call: Call) {
         let id = call.id;
         self.nodes[from].as_mut().unwrap().open_calls.insert(id);
@@ -138,7 +143,7 @@
         let timeout = SimulationEvent::Outcome { node: from, incarnation, call: id, outcome };
         self.schedule_after(call.timeout_ms, timeout);
         let Some(to) = self.target(from, &call) else { return };
-        self.note_starts_after_abort(from, &call);
+        self.record_starts_after_abort(from, &call);
         match self.link_fault(&Endpoint::Controller(from), &to) {
             Some(LinkFault::Drop) => return,
             Some(LinkFault::Hold) => {
@@ -154,7 +159,7 @@
         self.schedule_after(delay_ms, SimulationEvent::Call { from, incarnation, call });
     }
 
-    /// What the state service takes beyond the network's delay.
+    /// Draws the injected latency of the state service; 0 for any other peer.
     fn state_latency_ms(&mut self, peer: &Endpoint) -> u64 {
         match (peer, self.state.extra_latency_ms) {
             (Endpoint::StateService, ms @ 1..) => self.rng.random_range(0..ms),
@@ -162,7 +167,7 @@
         }
     }
 
-    /// A peer answers a controller's call.
+    /// Sends a peer's answer to a controller's call.
     pub(super) fn send_answer(
         &mut self,
         node: usize,
@@ -182,7 +187,7 @@
         self.schedule_after(delay_ms, event);
     }
 
-    /// A controller's call arrives at its peer.
+    /// Delivers a controller's call to the called peer.
     pub(super) fn deliver_call(&mut self, arrived: HeldCall) {
         let HeldCall { from, incarnation, call } = arrived;
         let Some(to) = self.target(from, &call) else { return };
@@ -223,7 +228,7 @@
         self.handle_event(node, Event::Mesh { id, request });
     }
 
-    /// Remembers who waits for a controller's answer; returns the request's number.
+    /// Stores the recipient of a controller's answer and returns the request's id.
     pub(super) fn register_request(&mut self, node: usize, requester: Requester) -> u64 {
         let id = self.next_request;
         self.next_request += 1;
@@ -232,7 +237,7 @@
         id
     }
 
-    /// A controller answers a request.
+    /// Forwards a controller's answer to the requester.
     pub(super) fn on_controller_answer(
         &mut self,
         node: usize,
@@ -265,7 +270,7 @@
                     SimulationEvent::Outcome { node: requester, incarnation, call, outcome };
                 self.schedule_after(delay_ms, event);
             }
-            Some(Requester::Nobody) | None => {}
+            Some(Requester::Discard) | None => {}
         }
     }
 }
--- a/crates/core/tests/simulation/cluster/state_service.rs
+++ b/crates/core/tests/simulation/cluster/state_service.rs
@@ -1,4 +1,4 @@
-//! The state service: keys, transactions, leases and watches, and its faults.
+//! The state service: its keys, transactions, leases, watches and injected faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,20 +18,20 @@
 use quartzgate_wire::{from_cbor, to_cbor};
 use rand::Rng;
 
-/// Interval at which an open watch looks for changes.
+/// Interval at which an open watch checks for changes.
 const WATCH_STEP_MS: u64 = 10;
 
-/// The value of a key.
+/// The stored value of a key.
 #[derive(Clone, Debug)]
 pub struct StoredValue {
     pub value: Value,
     /// Revision of the transaction that set it.
     pub revision: u64,
-    /// The lease that the key expires with.
+    /// The lease that the key is attached to; the key is deleted when it expires.
     pub lease: Option<u64>,
 }
 
-/// A value that was set at some time.
+/// An entry of the log of all values that were set.
 #[derive(Clone, Debug)]
 pub struct WrittenValue {
     pub key: String,
@@ -41,11 +41,11 @@
 /// Limits that the state service enforces.
 #[derive(Clone, Copy, Debug)]
 pub struct StateLimits {
-    /// Largest value, in bytes of JSON.
+    /// Maximum size of a value, in bytes of its JSON encoding.
     pub max_value_bytes: usize,
-    /// Most changes of a transaction, and a quarter of its most conditions.
+    /// Maximum number of changes in a transaction; four times as many conditions are allowed.
     pub max_changes: usize,
-    /// Changes a second; any number if it is 0.
+    /// Maximum number of changes per second; 0 means unlimited.
     pub changes_per_s: f64,
 }
 
@@ -54,14 +54,14 @@
         StateLimits { max_value_bytes: usize::MAX, max_changes: usize::MAX, changes_per_s: 0.0 };
 }
 
-/// One controller's transactions are answered 503 after so long, without being applied.
+/// Answers one controller's transactions with 503 after `after_ms`, without applying them.
 #[derive(Clone, Copy, Debug)]
 pub struct LateRefusal {
     pub node: usize,
     pub after_ms: u64,
 }
 
-/// The next write that sets this key is answered 429 after so long.
+/// Answers the next transaction that sets this key with 429 after `after_ms`.
 #[derive(Clone, Debug)]
 pub struct ThrottledKey {
     pub key: String,
@@ -85,60 +85,61 @@
     rate_tokens_at_ms: u64,
 
     // Faults.
-    /// It answers 503 to everybody; open watches wait.
+    /// All requests are answered with 503; open watches stay open.
     pub down: bool,
-    /// Controllers that get 503 while the others are served.
+    /// Controllers whose requests are answered with 503; the others are served.
     pub refused_nodes: BTreeSet<usize>,
     pub late_refusal: Option<LateRefusal>,
     pub throttled_key: Option<ThrottledKey>,
-    /// Number of transactions that are still to be applied without an answer.
+    /// Number of transactions that are still to be applied without answering them.
     pub unanswered_writes: u32,
-    /// Share of transactions that are applied without an answer.
+    /// Share of transactions that are applied without answering them.
     pub lost_answer_share: f64,
-    /// Transactions that get no answer and are applied later, after newer ones.
+    /// Share and delay of transactions that get no answer and are applied later, possibly after
+    /// newer ones.
     pub delayed_writes: Option<RandomDelay>,
     pub write_faults: Vec<WriteFault>,
-    /// Requests take up to so much longer to arrive, and answers to come back.
+    /// Upper bound, exclusive, of the additional latency of each request and each answer.
     pub extra_latency_ms: u64,
-    /// Activations are held until links are healed.
+    /// Holds activations until links are healed.
     pub hold_activations: bool,
-    /// Writes of mailboxes are refused.
+    /// Refuses transactions that write mailbox records.
     pub rejects_mailboxes: bool,
-    /// Watches of the handoff queue receive nothing.
+    /// Watches of the handoff queue receive no changes.
     pub handoff_watch_silent: bool,
-    /// Sets of keys that contain this are refused as malformed.
+    /// Transactions that set a key containing this text are refused with 400.
     pub refused_key_part: Option<String>,
     pub limits: Option<StateLimits>,
-    /// Number of changes that are retained; a watch of earlier ones gets 410.
+    /// Number of revisions that the change log retains; a watch that starts earlier gets 410.
     pub retained_changes: Option<u64>,
-    /// Most keys in one answer.
+    /// Maximum number of keys in one list answer.
     pub max_list_keys: Option<usize>,
 
     // Counters.
     pub writes: u64,
     pub requests: u64,
-    /// Scans of all batch records.
+    /// Number of scans of the batch records; only the first page of each scan counts.
     pub batch_scans: u64,
-    /// Writes that were refused for their size.
+    /// Number of transactions refused with 400 because of their size or a malformed key.
     pub refused_for_size: u64,
-    /// Writes that were refused for their rate.
+    /// Number of transactions refused with 429 because of the rate limit.
     pub refused_for_rate: u64,
-    /// Every value that was set, in order.
+    /// Log of all values that were set, in order.
     pub write_log: Vec<WrittenValue>,
 }
 
-/// Whether a change sets a key.
+/// Returns whether a change sets this key.
 fn sets(change: &Change, key: &str) -> bool {
     matches!(change, Change::Set { set, .. } if set == key)
 }
 
-/// Whether a change sets a key with this prefix.
+/// Returns whether a change sets a key with this prefix.
 fn sets_under(change: &Change, prefix: &str) -> bool {
     matches!(change, Change::Set { set, .. } if set.starts_with(prefix))
 }
 
-/// The value of an argument of a query.
-fn argument(query: &str, name: &str) -> Option<String> {
+/// Returns the value of a query parameter.
+fn query_parameter(query: &str, name: &str) -> Option<String> {
     let prefix = format!("{name}=");
     query.split('&').find_map(|part| part.strip_prefix(&prefix[..]).map(String::from))
 }
@@ -148,12 +149,12 @@
         self.state.requests += 1;
         self.expire_leases();
         if self.state.down || self.state.refused_nodes.contains(&from) {
-            // Open watches wait through an outage.
+            // Watches stay open during an outage.
             if call.target.starts_with("/changes") {
                 return;
             }
             let refusal = Response::new(503, Vec::new());
-            return self.answer_state_call(from, incarnation, call.id, refusal);
+            return self.send_state_answer(from, incarnation, call.id, refusal);
         }
         let target = call.target.clone();
         let (path, query) = target.split_once('?').unwrap_or((&target, ""));
@@ -170,10 +171,10 @@
         } else {
             return self.open_watch(from, incarnation, call.id, query);
         };
-        self.answer_state_call(from, incarnation, call.id, response);
+        self.send_state_answer(from, incarnation, call.id, response);
     }
 
-    fn answer_state_call(
+    fn send_state_answer(
         &mut self,
         node: usize,
         incarnation: u32,
@@ -184,8 +185,8 @@
     }
 
     fn list_keys(&mut self, query: &str) -> Response {
-        let starts = argument(query, "starts").unwrap();
-        let since = argument(query, "since").unwrap_or_default();
+        let starts = query_parameter(query, "starts").unwrap();
+        let since = query_parameter(query, "since").unwrap_or_default();
         self.state.batch_scans += u64::from(starts == BATCH_PREFIX && since.is_empty());
         let max_keys = self.state.max_list_keys.unwrap_or(usize::MAX);
         let found = |key: &String| key.starts_with(&starts) && *key > since;
@@ -238,18 +239,19 @@
         }
     }
 
-    /// A controller's transaction arrives: its faults, then its execution.
+    /// Handles a controller's transaction: first the faults that concern it, then its execution.
     fn on_transaction(&mut self, arrived: HeldCall) {
         let HeldCall { from, incarnation, call } = arrived;
         let txn: Transaction = from_cbor(&call.body).unwrap();
         let changes = || txn.apply.iter();
-        // The first version announces no formats.
+        // The first released version announces no formats: its write is acknowledged but not
+        // applied.
         let announces = changes().any(|change| sets_under(change, FORMAT_NODE_PREFIX));
         if self.legacy_controllers.contains(&from) && announces {
             let answer =
                 TransactionAnswer { store_revision: self.state.revision, failed: Vec::new() };
             let response = Response::new(200, to_cbor(&answer));
-            return self.answer_state_call(from, incarnation, call.id, response);
+            return self.send_state_answer(from, incarnation, call.id, response);
         }
         if let Some((status, after_ms)) = self.refusal_by_fault(from, &txn) {
             let outcome = Outcome::Answer(Response::new(status, Vec::new()));
@@ -262,7 +264,7 @@
             return self.held_calls.push(HeldCall { from, incarnation, call });
         }
         if let Some(outcome) = self.take_write_fault(&txn) {
-            self.reach(Milestone::WriteUnanswered);
+            self.record_milestone(Milestone::WriteUnanswered);
             return match outcome {
                 UnansweredWrite::AppliedAtOnce => self.apply_unanswered(from, txn),
                 UnansweredWrite::AppliedAfterMs(ms) => {
@@ -272,7 +274,7 @@
         }
         if let Some(delay) = self.state.delayed_writes {
             if self.rng.random_bool(delay.share) {
-                self.reach(Milestone::WriteUnanswered);
+                self.record_milestone(Milestone::WriteUnanswered);
                 let ms = self.rng.random_range(delay.from_ms..=delay.to_ms);
                 return self.schedule_after(ms, SimulationEvent::DelayedWrite { from, txn });
             }
@@ -285,10 +287,10 @@
             self.state.unanswered_writes -= 1;
             return;
         }
-        self.answer_state_call(from, incarnation, call.id, response);
+        self.send_state_answer(from, incarnation, call.id, response);
     }
 
-    /// The status with which a fault refuses a transaction, and after how long.
+    /// Returns the status code and delay with which a fault refuses a transaction, if any does.
     fn refusal_by_fault(&mut self, from: usize, txn: &Transaction) -> Option<(u16, u64)> {
         let changes = || txn.apply.iter();
         if let Some(late) = self.state.late_refusal.filter(|late| late.node == from) {
@@ -299,35 +301,36 @@
         {
             return Some((503, 1));
         }
-        let concerned =
+        let is_throttled =
             |throttled: &mut ThrottledKey| changes().any(|change| sets(change, &throttled.key));
-        let throttled = self.state.throttled_key.take_if(concerned)?;
+        let throttled = self.state.throttled_key.take_if(is_throttled)?;
         Some((429, throttled.after_ms))
     }
 
-    /// Somebody else sets a key.
+    /// Sets a key unconditionally in a transaction, as another client would.
     pub fn overwrite_key(&mut self, key: &str, value: Value) {
         let set = Change::Set { set: key.into(), value, lease_id: None };
         self.apply_transaction(Transaction { guards: Vec::new(), apply: vec![set] });
     }
 
-    /// Damages or replaces the value of an existing key; its revision stays.
+    /// Replaces the value of an existing key, for example by a malformed one; its revision stays.
     pub fn damage_value(&mut self, key: &str, value: Value) {
         self.state.keys.get_mut(key).unwrap().value = value;
     }
 
     fn open_watch(&mut self, node: usize, incarnation: u32, call: CallId, query: &str) {
-        let since: u64 = argument(query, "since").unwrap().parse().unwrap();
-        let block_ms: u64 = argument(query, "block_ms").unwrap().parse().unwrap();
+        let since: u64 = query_parameter(query, "since").unwrap().parse().unwrap();
+        let block_ms: u64 = query_parameter(query, "block_ms").unwrap().parse().unwrap();
         if self.state.retained_changes.is_some_and(|n| since + n < self.state.revision) {
             let gone = Response::new(410, Vec::new());
-            return self.answer_state_call(node, incarnation, call, gone);
+            return self.send_state_answer(node, incarnation, call, gone);
         }
-        let starts = argument(query, "starts").unwrap();
+        let starts = query_parameter(query, "starts").unwrap();
         self.answer_watch(node, incarnation, call, starts, since, self.now + block_ms);
     }
 
-    /// Answers a watch if there is something to tell or its time is up; else looks again later.
+    /// Answers a watch if there are changes or its timeout has passed; otherwise schedules the next
+    /// check. While the service is unavailable, the watch stays open.
     pub(super) fn answer_watch(
         &mut self,
         node: usize,
@@ -346,7 +349,7 @@
             return self.schedule_after(WATCH_STEP_MS, event);
         }
         let body = to_cbor(&ChangeLog { store_revision: self.state.revision, log });
-        self.answer_state_call(node, incarnation, call, Response::new(200, body));
+        self.send_state_answer(node, incarnation, call, Response::new(200, body));
     }
 
     fn changes_since(&self, prefix: &str, since: u64) -> Vec<ChangeEvent> {
@@ -361,7 +364,7 @@
             .collect()
     }
 
-    /// Applies a transaction if its conditions hold and the limits allow it.
+    /// Applies a transaction if its conditions hold, the limits allow it and its leases exist.
     pub(super) fn apply_transaction(&mut self, txn: Transaction) -> Response {
         let failed = self.failed_conditions(&txn);
         if !failed.is_empty() {
@@ -371,14 +374,14 @@
         if let Some(status) = self.refusal_by_limits(&txn) {
             return Response::new(status, Vec::new());
         }
-        let lease_is_gone = |change: &Change| matches!(change, Change::Set { lease_id: Some(p), .. } if !self.state.leases.contains_key(p));
+        let lease_is_gone = |change: &Change| matches!(change, Change::Set { lease_id: Some(id), .. } if !self.state.leases.contains_key(id));
         if txn.apply.iter().any(lease_is_gone) {
             return Response::new(400, Vec::new());
         }
         self.check_writer_epoch(&txn);
         self.check_activation(&txn);
         if txn.apply.iter().any(|change| sets(change, EPOCH_KEY)) {
-            self.reach(Milestone::LeaderElected);
+            self.record_milestone(Milestone::LeaderElected);
             self.replay_stale_heartbeats();
         }
         if !txn.apply.is_empty() {
@@ -393,14 +396,14 @@
         Response::new(200, to_cbor(&answer))
     }
 
-    /// Keys whose revisions are not those that a transaction expects.
+    /// Returns the keys whose revisions differ from those that a transaction expects.
     fn failed_conditions(&self, txn: &Transaction) -> Vec<String> {
         let revision_of = |key: &String| self.state.keys.get(key).map_or(0, |s| s.revision);
         let failed = txn.guards.iter().filter(|guard| revision_of(&guard.path) != guard.revision);
         failed.map(|guard| guard.path.clone()).collect()
     }
 
-    /// The status with which the limits refuse a transaction whose conditions hold.
+    /// Returns the status code with which the limits refuse a transaction, if they do.
     fn refusal_by_limits(&mut self, txn: &Transaction) -> Option<u16> {
         let limits = self.state.limits.unwrap_or(StateLimits::NONE);
         let refused_key_part = self.state.refused_key_part.as_ref();
@@ -434,7 +437,8 @@
         None
     }
 
-    /// Deletes the keys of expired leases. During an outage no lease expires.
+    /// Removes expired leases and deletes the keys attached to them. No lease expires during an
+    /// outage.
     pub(super) fn expire_leases(&mut self) {
         let now = self.now;
         if self.state.down {
@@ -458,12 +462,12 @@
 }
 
 impl StateService {
-    /// Replaces a value past all transactions, at the present revision.
+    /// Sets a value without a transaction, at the current revision.
     pub fn insert_value(&mut self, key: &str, value: Value) {
         self.insert_value_at(key, value, self.revision);
     }
 
-    /// Replaces a value past all transactions, as if it had been set at this revision.
+    /// Sets a value without a transaction, as if it had been set at this revision.
     pub fn insert_value_at(&mut self, key: &str, value: Value, revision: u64) {
         self.keys.insert(key.into(), StoredValue { value, revision, lease: None });
     }
--- a/crates/core/tests/simulation/cluster/users.rs
+++ b/crates/core/tests/simulation/cluster/users.rs
@@ -1,4 +1,5 @@
-//! The users: what they request and repeat, what they are told, and the invariants of answers.
+//! The users: their requests and retries, the answers that they receive, and the invariants of
+//! those answers.
 
 use super::clock::SimulationEvent;
 use super::invariants::AbortConfirmation;
@@ -12,14 +13,14 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Path of submissions.
+/// Path to which jobs are submitted.
 const SUBMIT_PATH: &str = "/api/jobs";
-/// How long a user waits for the answer to a query.
-const QUERY_PATIENCE_MS: u64 = 2_000;
-/// How long a user waits for the answer to any other request.
-const REQUEST_PATIENCE_MS: u64 = 5_000;
-/// How long a user insists on being answered.
-const INSIST_MS: u64 = 60_000;
+/// Time after which a user ignores the answer to a query.
+const QUERY_TIMEOUT_MS: u64 = 2_000;
+/// Time after which a user ignores the answer to any other request.
+const REQUEST_TIMEOUT_MS: u64 = 5_000;
+/// Time for which a user retries a request at one controller after another.
+const RETRY_DURATION_MS: u64 = 60_000;
 
 /// A user's request and its answer.
 pub struct UserRequest {
@@ -27,7 +28,7 @@
     pub method: &'static str,
     pub path: String,
     pub body: Vec<u8>,
-    /// State of the job that the user had been told before the request.
+    /// Job status that users had been told when the request was sent.
     status_before: Option<JobStatus>,
     sent_ms: u64,
     pub answer: Option<Response>,
@@ -38,16 +39,16 @@
         self.path == SUBMIT_PATH
     }
 
-    fn patience_ms(&self) -> u64 {
+    fn timeout_ms(&self) -> u64 {
         if self.method == "GET" {
-            QUERY_PATIENCE_MS
+            QUERY_TIMEOUT_MS
         } else {
-            REQUEST_PATIENCE_MS
+            REQUEST_TIMEOUT_MS
         }
     }
 }
 
-/// The job that a request is about, be it malformed.
+/// Returns the id of the job that a request concerns, also if the submission is malformed.
 fn job_in(path: &str, body: &[u8]) -> Option<String> {
     if path != SUBMIT_PATH {
         return path.split('/').nth(3).map(String::from);
@@ -62,7 +63,7 @@
 }
 
 impl Cluster {
-    // Requests. Each returns its index in `user_requests`.
+    // Requests. Each function returns the index of its request in `user_requests`.
 
     pub fn send_request(
         &mut self,
@@ -103,26 +104,26 @@
         self.send_request(node, "GET", &format!("/api/jobs/{id}"), Vec::new())
     }
 
-    /// Status of the answer to a request; 0 if there is none yet.
+    /// Returns the status code of the answer to a request; 0 if there is no answer yet.
     pub fn status_code(&self, request_index: usize) -> u16 {
         self.user_requests[request_index].answer.as_ref().map_or(0, |answer| answer.status)
     }
 
-    // What users insist on.
+    // Retries and waits.
 
-    /// Submits a job at one controller after the other until it is accepted.
+    /// Submits a job to one controller after another until it is accepted.
     pub fn submit_until_accepted(&mut self, spec: &JobSpec) {
         let submit = |cluster: &mut Cluster, node| cluster.submit(node, spec);
-        self.retry_until(INSIST_MS, submit, |status| status == 200 || status == 201);
+        self.retry_until(RETRY_DURATION_MS, submit, |status| status == 200 || status == 201);
     }
 
-    /// Aborts a job at one controller after the other until the abort is confirmed.
+    /// Requests the abort of a job from one controller after another until it is confirmed.
     pub fn abort_until_confirmed(&mut self, id: &str) {
         let abort = |cluster: &mut Cluster, node| cluster.abort(node, id);
-        self.retry_until(INSIST_MS, abort, |status| status == 200);
+        self.retry_until(RETRY_DURATION_MS, abort, |status| status == 200);
     }
 
-    /// Makes a request at one controller after the other until the answer is as wanted.
+    /// Sends a request to one controller after another until `is_wanted` accepts the status code.
     pub fn retry_until(
         &mut self,
         within_ms: u64,
@@ -139,10 +140,10 @@
             }
             node = (node + 1) % self.nodes.len();
         }
-        panic!("no answer as wanted within {within_ms} ms; violations: {:?}", self.violations);
+        panic!("no accepted answer within {within_ms} ms; violations: {:?}", self.violations);
     }
 
-    /// Runs until a condition holds.
+    /// Runs until `holds` returns true; panics if it does not within `within_ms`.
     pub fn run_until(
         &mut self,
         within_ms: u64,
@@ -159,13 +160,13 @@
         panic!("{what}: not within {within_ms} ms; violations: {:?}", self.violations);
     }
 
-    /// Runs until exactly so many tasks of a job are on machines.
+    /// Runs until exactly `tasks` tasks of a job are live on machines.
     pub fn run_until_running(&mut self, within_ms: u64, id: &str, tasks: usize) {
         let what = format!("{tasks} tasks of {id} run");
         self.run_until(within_ms, &what, |cluster| cluster.live_tasks(id).len() == tasks);
     }
 
-    /// Runs, with a query each half second, until a user is told that the job is done.
+    /// Runs and queries a job every half second until a user is told that it is done.
     pub fn run_until_done(&mut self, id: &str, within_ms: u64) {
         let end_ms = self.now + within_ms;
         let mut node = 0;
@@ -184,9 +185,9 @@
         );
     }
 
-    // What users have asked for.
+    // State derived from the users' requests.
 
-    /// Jobs that a job depends on, directly or through others.
+    /// Returns the direct and indirect dependencies of a job.
     pub fn transitive_dependencies(&self, id: &str) -> Vec<String> {
         let (mut found, mut open) = (Vec::new(), vec![id.to_string()]);
         while let Some(next) = open.pop() {
@@ -200,14 +201,15 @@
         found
     }
 
-    /// The abort of the job, or of one that it depends on, was requested.
+    /// Returns whether the abort of a job or of one of its direct or indirect dependencies was
+    /// requested.
     pub fn abort_was_requested(&self, id: &str) -> bool {
         let dependencies = self.transitive_dependencies(id);
         dependencies.iter().any(|id| self.abort_requested.contains(id))
             || self.abort_requested.contains(id)
     }
 
-    /// An accepted job is done or, if it is a service, runs with all its replicas.
+    /// Returns whether an accepted job is done or, for a service, runs with all its replicas.
     pub fn is_served(&self, id: &str) -> bool {
         let spec = &self.jobs[id];
         match spec.shape {
@@ -216,9 +218,9 @@
         }
     }
 
-    // Users who react at once.
+    // Users who react immediately to changes.
 
-    /// Users query a job and submit it again at all controllers.
+    /// Queries a job and submits it again at all controllers.
     fn query_everywhere(&mut self, id: &str) {
         let spec = self.jobs.get(id).cloned();
         for node in 0..self.nodes.len() {
@@ -229,9 +231,9 @@
         }
     }
 
-    /// A job's last task has just completed.
+    /// Handles the completion of a job's last task.
     pub(super) fn on_last_task_ended(&mut self, id: &str) {
-        self.reach(Milestone::LastTaskEnded);
+        self.record_milestone(Milestone::LastTaskEnded);
         if !self.observed_status.contains_key(id) {
             return;
         }
@@ -244,10 +246,10 @@
         }
     }
 
-    // Odd requests.
+    // Repeated and invalid requests.
 
-    /// Users repeat submissions of unfinished jobs, abort jobs that are done, and submit jobs that
-    /// fit nothing or lack a field: one of these at random.
+    /// Sends one of these at random: a repeated submission of a job that is not aborted, the abort
+    /// of a job that is done, a job that fits no machine, or a submission that lacks a field.
     pub fn send_odd_request(&mut self, node: usize) {
         let observed: Vec<(String, JobStatus)> =
             self.observed_status.iter().map(|(id, status)| (id.clone(), *status)).collect();
@@ -258,7 +260,8 @@
             (0 | 1, Some((id, status))) => {
                 let mut spec = self.jobs[&id].clone();
                 if kind == 1 {
-                    // Whatever the repeat says, the job is known.
+                    // A submission with a known id counts as a repetition even if its other fields
+                    // differ.
                     (spec.cpus, spec.team) = (1_000.0, "nobody".into());
                 }
                 if !matches!(status, JobStatus::Aborted) {
@@ -278,14 +281,14 @@
         job(&id, JobKind::Array, 1)
     }
 
-    /// Submits a job that can never run.
+    /// Submits a job that `change` makes impossible to run; it must be refused with 422.
     pub fn submit_unrunnable(&mut self, node: usize, change: impl Fn(&mut JobSpec)) -> usize {
         let mut spec = self.next_refused_spec(422);
         change(&mut spec);
         self.send_request(node, "POST", SUBMIT_PATH, to_cbor(&spec))
     }
 
-    /// Submits a job without one of its fields.
+    /// Submits a job without one of its fields; it must be refused with 400.
     pub fn submit_without_field(&mut self, node: usize, field: &str) -> usize {
         let spec = self.next_refused_spec(400);
         let body = to_cbor(&spec_without_field(&spec, field));
@@ -294,7 +297,8 @@
 
     // Answers.
 
-    /// Whether a controller rejects a request because it sheds load.
+    /// Returns whether a controller rejects a request because it sheds load: one about jobs that is
+    /// not an abort.
     pub(super) fn is_shed(&self, node: usize, request: &Request) -> bool {
         let names_jobs = |text: &[u8]| text.windows(9).any(|part| part == b"/api/jobs");
         let aborts = |text: &[u8]| text.windows(6).any(|part| part == b"/abort");
@@ -305,15 +309,15 @@
             && !aborts(&request.body)
     }
 
-    /// A controller rejects a request before its core sees it.
+    /// Answers a request with 503 before the controller's core receives it.
     pub(super) fn shed_request(&mut self, node: usize, id: u64) {
         let mut response = Response::new(503, Vec::new());
         response.retry_after_s = Some(1);
         self.on_controller_answer(node, self.incarnations[node], id, response);
     }
 
-    /// Users query each of these jobs once in `interval_ms`, at one of these controllers at
-    /// random; returns the longest time for which a job that was asked about got no answer.
+    /// Queries each of these jobs once per `interval_ms` at a random one of these controllers;
+    /// returns the longest time for which the queries of one job remained unanswered.
     pub fn longest_unanswered_ms(
         &mut self,
         ids: &[String],
@@ -335,7 +339,7 @@
                 unanswered_since.entry(index).or_insert(self.now);
                 sent.push(self.query(node, id));
             }
-            self.run_for_ms(QUERY_PATIENCE_MS);
+            self.run_for_ms(QUERY_TIMEOUT_MS);
             for (index, request) in sent.into_iter().enumerate() {
                 if self.status_code(request) == 200 {
                     if let Some(since_ms) = unanswered_since.remove(&index) {
@@ -348,7 +352,7 @@
         longest_ms.max(open_ms.unwrap_or(0))
     }
 
-    /// A user's request arrives at a controller.
+    /// Delivers a user's request to a controller.
     pub(super) fn deliver_user_request(&mut self, node: usize, request_index: u64) {
         if !self.is_up(node) {
             return;
@@ -367,10 +371,10 @@
         self.handle_event(node, Event::Client { id, request });
     }
 
-    /// The answer to a user's request arrives.
+    /// Handles the answer to a user's request and checks its invariants.
     pub(super) fn on_user_answer(&mut self, request_index: usize, response: Response) {
         let request = &self.user_requests[request_index];
-        if self.now > request.sent_ms + request.patience_ms() {
+        if self.now > request.sent_ms + request.timeout_ms() {
             return;
         }
         let id = job_in(&request.path, &request.body).unwrap_or_default();
@@ -387,7 +391,8 @@
                     self.on_job_answer(request_index, &id, answer.status);
                 }
             }
-            // What is sent along with the submission may be decided before it.
+            // A request that was sent before the submission was answered may be decided before
+            // the submission.
             404 if is_known && status_before.is_none() && !is_submission => {}
             404 | 400 | 422 if is_known => {
                 self.violation(format!("forgotten {id}: {}", response.status))
@@ -397,7 +402,7 @@
         self.user_requests[request_index].answer = Some(response);
     }
 
-    /// A user is told the state of a job.
+    /// Handles an answer that tells a user the status of a job.
     fn on_job_answer(&mut self, request_index: usize, id: &str, status: JobStatus) {
         let known = self.observed_status.get(id).copied();
         self.check_job_answer(request_index, id, status);
@@ -416,7 +421,8 @@
         }
     }
 
-    /// What a user is told of a job is true, and no older than what the user knew before.
+    /// Checks that the status a user is told is correct and not older than the status that users
+    /// had been told before the request.
     fn check_job_answer(&mut self, request_index: usize, id: &str, status: JobStatus) {
         if !self.jobs.contains_key(id) {
             self.violation(format!("invented {id}"));
@@ -438,34 +444,34 @@
             self.violation(format!("orphaned {id}: {status:?}"));
         }
         if status == JobStatus::Aborted && !self.abort_was_requested(id) {
-            self.violation(format!("went_back {id}: nobody cancelled it"));
+            self.violation(format!("went_back {id}: its abort was not requested"));
         }
     }
 
-    /// A user is told that a job is aborted. Its tasks must be gone `cancel_s` after the first
-    /// confirmation, to the millisecond.
+    /// Handles the confirmation of an abort. The job's tasks must have ended `cancel_s` after the
+    /// first confirmation, which is checked to the millisecond.
     fn on_abort_confirmed(&mut self, node: usize, id: &str) {
         let (incarnation, job) = (self.incarnations[node], id.to_string());
         self.abort_confirmed_by.insert(AbortConfirmation { node, incarnation, job });
         if !self.abort_confirmed_at.contains_key(id) {
             self.abort_confirmed_at.insert(id.into(), self.now);
-            self.reach(Milestone::AbortConfirmed);
+            self.record_milestone(Milestone::AbortConfirmed);
             let deadline = SimulationEvent::AbortDeadline { job: id.into() };
             self.schedule_after(CANCEL_MS + 1, deadline);
         }
     }
 
-    /// A submission that cannot run (422) or is malformed (400) is never accepted, and refused
-    /// for what it is.
+    /// Checks that a submission that cannot run (422) or is malformed (400) is never accepted and
+    /// is refused with the appropriate status code; 429 and 503 are allowed at any time.
     fn check_refusal(&mut self, is_submission: bool, id: &str, status: u16) {
         let Some(wanted) = self.must_refuse.get(id).copied() else { return };
         if is_submission && status != wanted && !matches!(status, 429 | 503) {
-            self.violation(format!("{id} ought to be refused with {wanted} and got {status}"));
+            self.violation(format!("{id} must be refused with {wanted} but got {status}"));
         }
     }
 }
 
-/// A submission as a map, without one of its fields.
+/// Returns a submission as a CBOR map without one of its fields.
 pub fn spec_without_field(spec: &JobSpec, field: &str) -> Value {
     let value = Value::serialized(spec).unwrap();
     let Ok(mut map) = value.into_map() else { unreachable!("a job is a map") };
--- a/crates/core/tests/simulation/cluster/workers.rs
+++ b/crates/core/tests/simulation/cluster/workers.rs
@@ -1,4 +1,5 @@
-//! The workers: their heartbeats and leases, what they execute, and how their tasks go on.
+//! The workers: their heartbeats and leases, the orders that they execute and the progress of
+//! their tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,27 +16,27 @@
 use quartzgate_wire::{from_cbor, to_cbor};
 use rand::Rng;
 
-/// Time after which a worker stops waiting for the answer to a heartbeat.
+/// Timeout of a worker for the answer to a heartbeat.
 const ANSWER_TIMEOUT_MS: u64 = 4_000;
-/// Interval at which a worker's agent looks after its tasks.
+/// Interval at which a worker's agent updates its lease and tasks.
 const WORKER_STEP_MS: u64 = 50;
-/// How long a task runs if a test says nothing else.
+/// Run time of a task for which a test sets no other.
 const DEFAULT_TASK_MS: u64 = 2_000;
-/// Status by which a worker notes that no answer came.
+/// Pseudo status code for a heartbeat that got no answer.
 const NO_ANSWER: u16 = 0;
-/// Status by which a worker notes that its controller is down.
+/// Pseudo status code for a heartbeat whose controller is down.
 const CONNECTION_REFUSED: u16 = 1;
-/// Machines in one network of the simulated addresses.
+/// Number of machines per subnet of the simulated addresses.
 const MACHINES_PER_NETWORK: u32 = 250;
 
-/// What does not reach a machine whose heartbeats arrive.
+/// The messages that are lost on the way to a machine whose heartbeats arrive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InboundLoss {
     pub answers: bool,
     pub orders: bool,
 }
 
-/// A task as its machine holds it.
+/// A task as held by its machine.
 #[derive(Clone, Debug)]
 pub struct HeldTask {
     pub attempt: u64,
@@ -45,7 +46,7 @@
 }
 
 impl HeldTask {
-    /// The task has not exited.
+    /// Returns whether the task has not exited.
     pub fn is_live(&self) -> bool {
         self.status != TaskStatus::Exited
     }
@@ -59,28 +60,29 @@
     pub machine: String,
 }
 
-/// A start of a task.
+/// The time and machine of a start of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskStart {
     pub machine: String,
     pub at_ms: u64,
 }
 
-/// A machine hangs within its next call of more orders than these.
+/// Makes a machine hang for `for_ms` in the middle of its next call with more than `after_orders`
+/// orders, after it has executed that many.
 #[derive(Clone, Copy, Debug)]
 pub struct MidCallHang {
     pub after_orders: usize,
     pub for_ms: u64,
 }
 
-/// Orders of a call within which a machine hung, and the agent epoch that they are for.
+/// The remaining orders of a call in which a machine hung, and the agent epoch at that time.
 #[derive(Default)]
 struct InterruptedOrders {
     agent_epoch: u64,
     orders: Vec<Order>,
 }
 
-/// A machine with its agent.
+/// A machine and its agent.
 pub struct Worker {
     pub zone: String,
     pub kind: String,
@@ -89,30 +91,31 @@
     pub agent_epoch: u64,
     pub sequence: u64,
     pub fencing_token: u64,
-    /// The controller that its heartbeats go to.
+    /// The controller that the worker sends its heartbeats to.
     pub controller: usize,
     pub lease_start_ms: u64,
-    /// Length of its lease by a clock that may be slow.
+    /// Duration of the lease in simulated time; longer if the worker's clock runs slow.
     pub lease_ms: u64,
     pub tasks: BTreeMap<String, HeldTask>,
     pub dead: bool,
     pub hung_until_ms: u64,
-    /// Every task that it starts fails.
+    /// All tasks that the machine starts fail.
     pub fails_all_tasks: bool,
     awaits_answer: bool,
     pub hang_mid_call: Option<MidCallHang>,
     interrupted: InterruptedOrders,
-    /// Calls that arrived while it hung.
+    /// Calls that arrived while the machine hung.
     queued_calls: Vec<HeldCall>,
     pub(super) booted_at_ms: u64,
     images: BTreeSet<String>,
-    /// What is still to be fetched of other images, in GB.
+    /// Images that are being fetched, with the number of GB that remain.
     fetching_gb: BTreeMap<String, f64>,
     fetched_at_ms: u64,
 }
 
 impl Worker {
-    /// Its tasks are still on it: it is alive, and its lease has not expired.
+    /// Returns whether the machine still holds its tasks: it is not dead and its lease has not
+    /// expired.
     pub(super) fn holds_tasks(&self, now: u64) -> bool {
         !self.dead && now <= self.lease_start_ms + self.lease_ms
     }
@@ -121,17 +124,17 @@
         self.tasks.iter().filter(|(_, held)| held.is_live())
     }
 
-    fn must_fetch(&mut self, spec: &JobSpec, images_are_fetched: bool) -> bool {
-        let lacks = images_are_fetched && !self.images.contains(&spec.image);
-        if lacks {
+    fn start_fetch_if_missing(&mut self, spec: &JobSpec, images_are_fetched: bool) -> bool {
+        let is_missing = images_are_fetched && !self.images.contains(&spec.image);
+        if is_missing {
             self.fetching_gb.entry(spec.image.clone()).or_insert(spec.image_gb);
         }
-        lacks
+        is_missing
     }
 }
 
 impl Cluster {
-    /// Adds a machine, in the zones' turn.
+    /// Adds a machine; zones alternate.
     pub fn add_worker(&mut self) -> String {
         let n = self.next_machine;
         self.next_machine += 1;
@@ -171,8 +174,8 @@
         self.schedule_after(WORKER_STEP_MS, SimulationEvent::WorkerStep { machine: name.into() });
     }
 
-    /// A machine loses all its tasks and is back after so long, under its name and address, in a
-    /// new agent epoch.
+    /// Reboots a machine: it loses all its tasks and returns after `ms` with the same name and
+    /// address, in a new agent epoch.
     pub fn reboot_machine(&mut self, name: &str, ms: u64) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.dead = true;
@@ -191,18 +194,18 @@
         self.schedule_after(2, SimulationEvent::WorkerStep { machine });
     }
 
-    /// Lets a machine hang for so long.
+    /// Makes a machine hang for `ms`.
     pub fn hang_machine(&mut self, name: &str, ms: u64) {
         let until_ms = self.now + ms;
         self.workers.get_mut(name).unwrap().hung_until_ms = until_ms;
     }
 
-    /// Ends a machine for good.
+    /// Kills a machine permanently.
     pub fn kill_machine(&mut self, name: &str) {
         self.workers.get_mut(name).unwrap().dead = true;
     }
 
-    /// Tasks of a job that are on machines now.
+    /// Returns the live tasks of a job on machines that are not dead.
     pub fn live_tasks(&self, job: &str) -> Vec<LiveTask> {
         let prefix = format!("{job}/");
         let mut live = Vec::new();
@@ -214,7 +217,7 @@
         live
     }
 
-    /// A worker's next heartbeat.
+    /// Builds a worker's next heartbeat, which advances its sequence number.
     pub fn heartbeat_of(&mut self, name: &str) -> Option<Heartbeat> {
         let worker = self.workers.get_mut(name)?;
         worker.sequence += 1;
@@ -239,7 +242,7 @@
         })
     }
 
-    /// A worker sends its heartbeat and schedules the next.
+    /// Sends a worker's heartbeat and schedules the next one.
     pub(super) fn send_heartbeat(&mut self, name: &str) {
         let jitter_ms = self.rng.random_range(0..REPORT_MS / 2);
         let now = self.now;
@@ -257,12 +260,12 @@
         let node = worker.controller;
         let body = to_cbor(&self.heartbeat_of(name).unwrap());
         self.duplicate_heartbeat(&body);
-        self.answer_heartbeat_after(name, ANSWER_TIMEOUT_MS, NO_ANSWER);
+        self.schedule_pseudo_answer(name, ANSWER_TIMEOUT_MS, NO_ANSWER);
         if self.lost_heartbeats.contains(name) {
             return;
         }
         if !self.is_up(node) {
-            return self.answer_heartbeat_after(name, 1, CONNECTION_REFUSED);
+            return self.schedule_pseudo_answer(name, 1, CONNECTION_REFUSED);
         }
         let (worker, controller) = (Endpoint::Worker(name.into()), Endpoint::Controller(node));
         if self.link_fault(&worker, &controller).is_none()
@@ -275,14 +278,14 @@
         }
     }
 
-    /// A worker notes after so long what became of a heartbeat that it sends now.
-    fn answer_heartbeat_after(&mut self, name: &str, ms: u64, status: u16) {
+    /// Schedules a pseudo answer, without a body, to the heartbeat that a worker sends now.
+    fn schedule_pseudo_answer(&mut self, name: &str, ms: u64, status: u16) {
         let (machine, sent_ms) = (name.to_string(), self.now);
         let event = SimulationEvent::HeartbeatAnswer { machine, sent_ms, status, body: Vec::new() };
         self.schedule_after(ms, event);
     }
 
-    /// A heartbeat arrives at a controller.
+    /// Delivers a heartbeat to a controller.
     pub(super) fn deliver_heartbeat(
         &mut self,
         machine: String,
@@ -299,7 +302,7 @@
 
     pub(super) fn deliver_duplicate_heartbeat(&mut self, node: usize, body: Vec<u8>) {
         if self.is_up(node) {
-            self.request_checkin(node, Requester::Nobody, body);
+            self.request_checkin(node, Requester::Discard, body);
         }
     }
 
@@ -310,7 +313,7 @@
         self.handle_event(node, Event::Client { id, request });
     }
 
-    /// The answer to a heartbeat arrives, or the worker stops waiting for it.
+    /// Handles the answer to a heartbeat, or its timeout.
     pub(super) fn on_heartbeat_answer(
         &mut self,
         name: &str,
@@ -373,7 +376,7 @@
         worker.controller = (worker.controller + 1) % nodes;
     }
 
-    /// A controller's call arrives at a worker.
+    /// Handles a controller's call at a worker.
     pub(super) fn on_worker_call(&mut self, name: &str, arrived: HeldCall) {
         if self.inbound_loss.get(name).is_some_and(|loss| loss.orders) {
             return self.count_lost_starts(name, &arrived);
@@ -448,7 +451,7 @@
         let exited = |held: &HeldTask| held.attempt == attempt && !held.is_live();
         if worker.tasks.get(task).is_some_and(exited) {
             worker.tasks.remove(task);
-            self.reach(Milestone::ExitCleared);
+            self.record_milestone(Milestone::ExitCleared);
         }
     }
 
@@ -469,13 +472,13 @@
         let used: f64 = worker
             .live_tasks()
             .filter_map(|(task, _)| jobs.get(job_of(task)))
-            .map(|j| j.cpus)
+            .map(|job| job.cpus)
             .sum();
         let (status, cause) = if used + spec.cpus > worker.cpus + 1e-6 {
             (TaskStatus::Exited, Some(ExitCause::InsufficientResources))
         } else if worker.fails_all_tasks || job_fails {
             (TaskStatus::Exited, Some(ExitCause::Error))
-        } else if worker.must_fetch(&spec, images_are_fetched) {
+        } else if worker.start_fetch_if_missing(&spec, images_are_fetched) {
             (TaskStatus::Fetching, None)
         } else if spec.shape == JobKind::Gang {
             (TaskStatus::Waiting, None)
@@ -489,8 +492,8 @@
         }
     }
 
-    /// How long a task still runs once it has its image: a result that exists is there at once,
-    /// and a replica runs on.
+    /// Returns the time that a task runs once its image is available: a task that has completed
+    /// before exits immediately, and a service replica runs indefinitely.
     fn remaining_ms(&self, spec: &JobSpec, task: &str) -> u64 {
         let index = task.rsplit_once('/').and_then(|(_, n)| n.parse::<u32>().ok());
         let completed = self.completed_tasks.get(&spec.id);
@@ -502,14 +505,14 @@
         }
     }
 
-    /// How long a task runs in all.
+    /// Returns the full run time of a task.
     fn full_duration_ms(&self, task: &str) -> u64 {
         let durations = &self.task_duration_ms;
         let duration = durations.get(task).or(durations.get(job_of(task)));
         duration.copied().unwrap_or(DEFAULT_TASK_MS)
     }
 
-    /// A worker whose lease has expired drops its tasks and begins a new agent epoch.
+    /// Drops a worker's tasks and begins a new agent epoch if the worker's lease has expired.
     fn expire_worker_lease(&mut self, name: &str) {
         let now = self.now;
         let worker = self.workers.get_mut(name).unwrap();
@@ -520,9 +523,9 @@
         }
     }
 
-    /// A worker's agent looks after its lease, calls that waited, images and tasks, and sends a
-    /// heartbeat if a task has changed.
-    pub(super) fn worker_step(&mut self, name: &str) {
+    /// Runs one step of a worker's agent: updates its lease, queued calls, images and tasks, and
+    /// sends a heartbeat soon if a task has changed its status.
+    pub(super) fn step_worker(&mut self, name: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get(name) else { return };
         if worker.dead {
@@ -544,8 +547,8 @@
         }
     }
 
-    /// Executes the orders of an interrupted call, if they are for the present agent epoch, and
-    /// answers the calls that arrived while the machine hung.
+    /// Executes the remaining orders of an interrupted call, if they are for the current agent
+    /// epoch, and handles the calls that arrived while the machine hung.
     fn resume_after_hang(&mut self, name: &str) {
         let worker = self.workers.get_mut(name).unwrap();
         let interrupted = std::mem::take(&mut worker.interrupted);
@@ -558,7 +561,7 @@
         }
     }
 
-    /// A task runs on; whether its status has changed.
+    /// Advances a task; returns whether its status has changed.
     fn advance_task(&mut self, name: &str, task: &str) -> bool {
         let now = self.now;
         let held = self.workers[name].tasks[task].clone();
@@ -566,11 +569,11 @@
         self.check_not_aborted(name, task, &held);
         let mut next = held.clone();
         if spec.shape == JobKind::Gang && held.is_live() {
-            let is_whole = self.gang_size(&spec, held.attempt) == spec.tasks;
-            if held.status == TaskStatus::Waiting && is_whole {
+            let is_complete = self.responsive_gang_tasks(&spec, held.attempt) == spec.tasks;
+            if held.status == TaskStatus::Waiting && is_complete {
                 next.status = TaskStatus::Running;
                 next.ends_ms = now + self.full_duration_ms(task);
-            } else if held.status == TaskStatus::Running && !is_whole {
+            } else if held.status == TaskStatus::Running && !is_complete {
                 next.status = TaskStatus::Exited;
                 next.cause = Some(ExitCause::Peers);
             }
@@ -587,9 +590,9 @@
         changed
     }
 
-    /// Tasks of a gang's attempt that are alive or done, as the others notice it: a machine that
-    /// hangs is like a dead one.
-    fn gang_size(&self, spec: &JobSpec, attempt: u64) -> u32 {
+    /// Counts the tasks of a gang's attempt that are live or done as its other tasks observe them:
+    /// tasks on a hung machine do not count, like those on a dead one.
+    fn responsive_gang_tasks(&self, spec: &JobSpec, attempt: u64) -> u32 {
         let responsive = |worker: &&super::Worker| !worker.dead && worker.hung_until_ms <= self.now;
         let tasks = self.workers.values().filter(responsive).flat_map(|worker| &worker.tasks);
         let counts = |(task, held): &(&String, &HeldTask)| {
@@ -600,7 +603,7 @@
         tasks.filter(counts).count() as u32
     }
 
-    /// A task has run to its end; a gang is done with its first.
+    /// Records the completion of a task; the first completion completes a whole gang.
     fn complete_task(&mut self, spec: &JobSpec, task: &str) {
         let index: u32 = task.rsplit_once('/').unwrap().1.parse().unwrap();
         self.completed_tasks.entry(spec.id.clone()).or_default().insert(index);
@@ -612,7 +615,8 @@
         }
     }
 
-    /// Fetches the images that a machine's tasks wait for; whether a task has its image now.
+    /// Advances the fetches of a machine's images; returns whether a task that was waiting for its
+    /// image can run now.
     fn fetch_images(&mut self, name: &str) -> bool {
         let (now, rate) = (self.now, self.fetch_gb_per_s.unwrap_or(f64::INFINITY));
         let jobs = &self.jobs;
@@ -624,7 +628,7 @@
             };
             worker.tasks.iter().any(waits)
         };
-        // A fetch is given up when no task waits for it any more.
+        // A fetch is abandoned as soon as no task waits for its image.
         let open: Vec<String> =
             worker.fetching_gb.keys().filter(|image| is_wanted(image)).cloned().collect();
         worker.fetching_gb.retain(|image, _| open.contains(image));
@@ -644,12 +648,12 @@
         let ready = worker.tasks.iter().filter(is_ready);
         let ready: Vec<String> = ready.map(|(task, _)| task.clone()).collect();
         for task in &ready {
-            self.begin_after_fetch(name, task);
+            self.start_after_fetch(name, task);
         }
         !ready.is_empty()
     }
 
-    fn begin_after_fetch(&mut self, name: &str, task: &str) {
+    fn start_after_fetch(&mut self, name: &str, task: &str) {
         let spec = &self.jobs[job_of(task)];
         let ends_ms = self.now + self.remaining_ms(spec, task);
         let status = match spec.shape {
@@ -663,13 +667,13 @@
     }
 }
 
-/// Address of a machine's agent.
+/// Returns the address of a machine's agent.
 pub(super) fn addr_of(name: &str) -> String {
     let n: u32 = name.trim_start_matches("vm-").parse().unwrap();
     format!("10.2.{}.{}:9000", n / MACHINES_PER_NETWORK, n % MACHINES_PER_NETWORK + 1)
 }
 
-/// The machine at an address.
+/// Returns the name of the machine at an address.
 pub(super) fn machine_of_addr(addr: &SocketAddr) -> String {
     let ip = addr.ip().to_string();
     let parts: Vec<u32> = ip.split('.').map(|part| part.parse().unwrap()).collect();
