--- a/crates/core/tests/golden/cbor.rs
+++ b/crates/core/tests/golden/cbor.rs
@@ -1,8 +1,8 @@
-//! Raw CBOR: building values, looking into them, and writing them as readable text.
+//! Raw CBOR values: building them, reading their fields, and formatting them as text.
 //!
-//! The text is CBOR's diagnostic notation. It says everything that the bytes say, so that
-//! comparing texts compares bytes: map keys keep their order, integers and floating-point numbers
-//! look different, and a message that is not encoded in the shortest form is shown as plain hex.
+//! The text is CBOR's diagnostic notation. It preserves all information of the bytes, so that equal
+//! texts mean equal bytes: map keys keep their order, integers and floating-point numbers differ,
+//! and a message that is not encoded in the shortest form is shown as plain hex.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -11,7 +11,7 @@
 pub use ciborium::value::Value;
 use quartzgate_wire::{from_cbor, to_cbor};
 
-/// Builds a value from JSON-like notation; everything in it must be plain data.
+/// Builds a value from JSON-like notation; panics on data that CBOR cannot represent.
 macro_rules! raw {
     ($($tokens:tt)+) => {{
         use $crate::cbor::cbor;
@@ -24,7 +24,7 @@
     to_cbor(value)
 }
 
-/// The field of a map; null if it is missing.
+/// Returns a field of a map; null if it is missing.
 pub fn field<'a>(value: &'a Value, name: &str) -> &'a Value {
     let fields = value.as_map().map_or(&[][..], |m| m.as_slice());
     fields.iter().find(|(k, _)| k.as_text() == Some(name)).map_or(&Value::Null, |(_, v)| v)
@@ -43,7 +43,7 @@
     field(value, name).as_array().cloned().unwrap_or_default()
 }
 
-/// Sets a field of a map, in its place if it is there already.
+/// Sets a field of a map; an existing field keeps its position.
 pub fn set_field(value: &mut Value, name: &str, to: Value) {
     let fields = value.as_map_mut().expect("a map");
     match fields.iter_mut().find(|(k, _)| k.as_text() == Some(name)) {
@@ -52,16 +52,16 @@
     }
 }
 
-/// The one value that these bytes encode, if they are exactly as we would encode it.
+/// Decodes bytes to a value if encoding that value yields exactly the same bytes.
 fn decode_exactly(bytes: &[u8]) -> Option<Value> {
     let value: Value = from_cbor(bytes).ok()?;
     (encode(&value) == bytes).then_some(value)
 }
 
-/// Longest line that a map or list is kept on.
-const LINE: usize = 96;
+/// Maximum width of a line, within which a map or list is not split.
+const MAX_LINE: usize = 96;
 
-/// A message body as text; empty bodies are empty texts.
+/// Formats a message body; an empty body gives an empty text.
 pub fn body_text(bytes: &[u8], indent: usize) -> String {
     if bytes.is_empty() {
         return String::new();
@@ -81,7 +81,7 @@
 
 pub fn value_text(value: &Value, indent: usize) -> String {
     let line = one_line(value);
-    if indent + line.len() <= LINE {
+    if indent + line.len() <= MAX_LINE {
         return line;
     }
     let inner = " ".repeat(indent + 2);
@@ -108,24 +108,26 @@
     }
 }
 
-/// Longest item of a list that shares its line with others.
-const SHORT_ITEM: usize = 20;
+/// Maximum length of a list item that shares its line with others.
+const MAX_SHORT_ITEM: usize = 20;
 
-/// The items of a list: short ones share lines.
+/// Formats the items of a list; consecutive short items share lines.
 fn filled_lines(list: &[Value], indent: usize) -> Vec<String> {
     let mut lines: Vec<String> = Vec::new();
-    let mut open = false;
+    let mut previous_is_short = false;
     for item in list {
         let text = value_text(item, indent);
-        let short = text.len() <= SHORT_ITEM;
+        let is_short = text.len() <= MAX_SHORT_ITEM;
         match lines.last_mut() {
-            Some(line) if open && short && indent + line.len() + text.len() < LINE => {
+            Some(line)
+                if previous_is_short && is_short && indent + line.len() + text.len() < MAX_LINE =>
+            {
                 line.push_str(", ");
                 line.push_str(&text);
             }
             _ => lines.push(text),
         }
-        open = short;
+        previous_is_short = is_short;
     }
     lines
 }
@@ -152,13 +154,13 @@
     }
 }
 
-/// Texts that tell kinds of messages apart; other texts are data.
-const TELLING: [&str; 11] = [
+/// Fields whose text values distinguish forms of messages; all other texts are treated as data.
+const DISTINGUISHING_FIELDS: [&str; 11] = [
     "status", "verb", "error", "cause", "shape", "rank", "method", "path", "set", "delete",
     "failed",
 ];
 
-/// A text with every run of digits replaced, so that names of one kind look alike.
+/// Replaces every run of digits by `#`, so that names that differ only in numbers become equal.
 pub fn without_digits(text: &str) -> String {
     let mut out = String::new();
     for c in text.chars() {
@@ -171,13 +173,13 @@
     out
 }
 
-/// The form of a message: its fields and their types, without the data. Messages of one form are
-/// shown once.
+/// Returns the form of a message: its fields and their types, without the data. The journal shows
+/// only the first message of each form.
 pub fn form(value: &Value, key: &str) -> String {
     match value {
         Value::Integer(_) => "int".into(),
         Value::Float(_) => "float".into(),
-        Value::Text(t) if TELLING.contains(&key) => without_digits(t),
+        Value::Text(t) if DISTINGUISHING_FIELDS.contains(&key) => without_digits(t),
         Value::Text(_) => "text".into(),
         Value::Bytes(bytes) => match decode_exactly(bytes) {
             Some(embedded) => format!("<<{}>>", form(&embedded, "")),
--- a/crates/core/tests/golden/cluster.rs
+++ b/crates/core/tests/golden/cluster.rs
@@ -1,5 +1,6 @@
-//! Controllers, a key-value store, a cloud and workers on one clock. Nothing is random but the
-//! controllers' own seeded generators, and every message that a controller sends is noted.
+//! Controllers, a key-value store, a cloud and workers on one simulated clock. The only random
+//! numbers are those of the controllers' own seeded generators, and every message that a controller
+//! sends is recorded.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,28 +15,28 @@
 use crate::cbor::{encode, field, integer, items, raw, text, Value};
 use crate::journal::{Channel, Journal};
 use crate::store::Store;
-use crate::worker::{Run, Worker};
+use crate::worker::{TaskRun, Worker};
 
 const TICK_MS: u64 = 25;
-const REPORT_MS: u64 = 1_000;
-/// Time of day when the clock shows 0.
-const WALL_MS: u64 = 1_800_000_000_000;
+const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
+/// Wall-clock time at simulated time 0.
+const WALL_CLOCK_START_MS: u64 = 1_800_000_000_000;
 
-/// Who can be cut off from whom.
+/// One end of a link that can be cut.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum Endpoint {
     Node(usize),
     Worker(String),
 }
 
-/// Whose request a controller answers.
-enum Asker {
+/// The recipient of a controller's answer.
+enum Requester {
     User(usize),
     Worker { name: String, sent_ms: u64 },
     Controller(Caller),
 }
 
-/// A call of a controller.
+/// The controller process that made a call, and the call's id.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller {
     node: usize,
@@ -43,12 +44,12 @@
     call: u64,
 }
 
-enum Message {
+enum ScheduledEvent {
     Tick { node: usize, incarnation: u32 },
-    Arrives { caller: Caller, call: Call },
-    Ends { caller: Caller, outcome: Outcome },
-    Report { worker: String },
-    Boots { number: u32, machine_type: String, zone: String, spot: bool },
+    CallArrives { caller: Caller, call: Call },
+    CallEnds { caller: Caller, outcome: Outcome },
+    HeartbeatDue { worker: String },
+    MachineUp { number: u32, machine_type: String, zone: String, spot: bool },
 }
 
 struct Node {
@@ -58,12 +59,12 @@
     operator: serde_json::Value,
 }
 
-/// A question that waits for its answer.
-struct Question {
-    /// As it is noted.
+/// A request to a controller that has not been answered yet.
+struct PendingRequest {
+    /// Sender, recipient, method and target, as the journal shows them.
     text: String,
     body: Vec<u8>,
-    asker: Asker,
+    requester: Requester,
 }
 
 pub struct Cluster {
@@ -72,27 +73,27 @@
     pub store: Store<Caller>,
     pub workers: BTreeMap<String, Worker>,
     next_machine: u32,
-    /// The cloud has no machines to rent.
+    /// The cloud rejects provisioning requests for lack of capacity.
     pub no_capacity: bool,
-    /// Machines in one answer of the cloud at most.
-    pub listed_at_once: usize,
-    /// How tasks run, by job.
-    pub runs: BTreeMap<String, Run>,
-    messages: BTreeMap<(u64, u64), Message>,
-    sent: u64,
-    cuts: BTreeSet<(End, End)>,
-    questions: BTreeMap<(usize, u64), Question>,
+    /// Maximum number of machines in one list answer of the cloud.
+    pub max_list_entries: usize,
+    /// Run time and exit cause of tasks, by job.
+    pub task_runs: BTreeMap<String, TaskRun>,
+    event_queue: BTreeMap<(u64, u64), ScheduledEvent>,
+    last_sequence: u64,
+    cut_links: BTreeSet<(Endpoint, Endpoint)>,
+    pending_requests: BTreeMap<(usize, u64), PendingRequest>,
     next_request: u64,
     answers: Vec<Option<Response>>,
     pub journal: Journal,
 }
 
-/// Controllers are in zones `a` and `b` by turns.
+/// Returns a controller's zone: controllers alternate between zones `a` and `b`.
 fn zone_of(node: usize) -> &'static str {
     ["a", "b"][node % 2]
 }
 
-/// Settings of one controller out of several.
+/// Returns the platform settings of one of `nodes` controllers.
 pub fn settings(node: usize, nodes: usize) -> serde_json::Value {
     let siblings: Vec<_> = (0..nodes)
         .filter(|n| *n != node)
@@ -125,8 +126,8 @@
 }
 
 impl Cluster {
-    /// So many controllers with these operators' settings, and so many machines, in zones `a`
-    /// and `b` by turns. Nothing runs yet.
+    /// Creates `nodes` controllers with these operator settings, and `workers` machines,
+    /// alternating between zones `a` and `b`. No controller is started yet.
     pub fn new(nodes: usize, workers: u32, operator: serde_json::Value) -> Cluster {
         let node = |n| Node {
             controller: None,
@@ -141,12 +142,12 @@
             workers: BTreeMap::new(),
             next_machine: 0,
             no_capacity: true,
-            listed_at_once: 500,
-            runs: BTreeMap::new(),
-            messages: BTreeMap::new(),
-            sent: 0,
-            cuts: BTreeSet::new(),
-            questions: BTreeMap::new(),
+            max_list_entries: 500,
+            task_runs: BTreeMap::new(),
+            event_queue: BTreeMap::new(),
+            last_sequence: 0,
+            cut_links: BTreeSet::new(),
+            pending_requests: BTreeMap::new(),
             next_request: 1,
             answers: Vec::new(),
             journal: Journal::default(),
@@ -158,7 +159,7 @@
         cluster
     }
 
-    /// Edits the settings of all controllers, before they are started.
+    /// Edits the settings of all controllers; takes effect at their next start.
     pub fn edit_settings(&mut self, edit: impl Fn(&mut serde_json::Value)) {
         self.nodes.iter_mut().for_each(|n| edit(&mut n.settings));
     }
@@ -179,177 +180,189 @@
         let rng = SmallRng::seed_from_u64(n as u64 * 100 + u64::from(node.incarnation));
         node.controller = Some(Controller::new(Config::new(platform, operator), rng));
         let incarnation = node.incarnation;
-        self.after(1 + n as u64, Message::Tick { node: n, incarnation });
+        self.schedule_after(1 + n as u64, ScheduledEvent::Tick { node: n, incarnation });
     }
 
     pub fn stop(&mut self, n: usize) {
         self.nodes[n].controller = None;
     }
 
-    pub fn cut(&mut self, a: End, b: End) {
-        self.cuts.insert((a, b));
+    pub fn cut(&mut self, a: Endpoint, b: Endpoint) {
+        self.cut_links.insert((a, b));
     }
 
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.cut_links.clear();
     }
 
-    fn is_cut(&self, a: &End, b: &End) -> bool {
-        let pair = |(x, y): &(End, End)| (x, y) == (a, b) || (y, x) == (a, b);
-        self.cuts.iter().any(pair)
+    fn is_cut(&self, a: &Endpoint, b: &Endpoint) -> bool {
+        let connects = |(x, y): &(Endpoint, Endpoint)| (x, y) == (a, b) || (y, x) == (a, b);
+        self.cut_links.iter().any(connects)
     }
 
     fn boot(&mut self, number: u32, machine_type: &str, zone: &str, spot: bool) {
         let worker = Worker::new(number, machine_type, zone, spot, self.now_ms);
         let name = worker.name.clone();
         self.workers.insert(name.clone(), worker);
-        self.after(10 + u64::from(number), Message::Report { worker: name });
+        self.schedule_after(10 + u64::from(number), ScheduledEvent::HeartbeatDue { worker: name });
     }
 
-    fn after(&mut self, ms: u64, message: Message) {
-        self.sent += 1;
-        self.messages.insert((self.now_ms + ms, self.sent), message);
+    fn schedule_after(&mut self, ms: u64, event: ScheduledEvent) {
+        self.last_sequence += 1;
+        self.event_queue.insert((self.now_ms + ms, self.last_sequence), event);
     }
 
     pub fn run(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
-        while let Some(first) = self.messages.first_entry() {
+        while let Some(first) = self.event_queue.first_entry() {
             if first.key().0 > until_ms {
                 break;
             }
-            let ((at_ms, _), message) = first.remove_entry();
+            let ((at_ms, _), event) = first.remove_entry();
             self.now_ms = at_ms;
             self.store.expire(at_ms);
-            self.deliver(message);
-            for (caller, response) in self.store.answered_watches(at_ms) {
+            self.dispatch(event);
+            for (caller, response) in self.store.close_due_watches(at_ms) {
                 let outcome = Outcome::Answer(response);
-                if !self.store.refuses.contains(&caller.node) {
-                    self.after(1, Message::Ends { caller, outcome });
+                if !self.store.refused_nodes.contains(&caller.node) {
+                    self.schedule_after(1, ScheduledEvent::CallEnds { caller, outcome });
                 }
             }
         }
         self.now_ms = until_ms;
     }
 
-    /// Runs until the condition holds; fails if that takes too long.
-    pub fn run_until(&mut self, most_ms: u64, what: &str, holds: impl Fn(&mut Cluster) -> bool) {
-        let until_ms = self.now_ms + most_ms;
+    /// Runs until the condition holds; panics if it does not hold within `within_ms`.
+    pub fn run_until(
+        &mut self,
+        within_ms: u64,
+        condition: &str,
+        holds: impl Fn(&mut Cluster) -> bool,
+    ) {
+        let until_ms = self.now_ms + within_ms;
         while !holds(self) {
-            assert!(self.now_ms < until_ms, "not within {most_ms} ms: {what}");
+            assert!(self.now_ms < until_ms, "not within {within_ms} ms: {condition}");
             self.run(50);
         }
     }
 
-    fn deliver(&mut self, message: Message) {
-        match message {
-            Message::Tick { node, incarnation } => {
-                if self.alive(node, incarnation) {
-                    self.after(TICK_MS, Message::Tick { node, incarnation });
-                    self.feed(node, Event::Tick);
+    fn dispatch(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Tick { node, incarnation } => {
+                if self.is_alive(node, incarnation) {
+                    self.schedule_after(TICK_MS, ScheduledEvent::Tick { node, incarnation });
+                    self.handle_event(node, Event::Tick);
                 }
             }
-            Message::Arrives { caller, call } => self.arrives(caller, call),
-            Message::Ends { caller, outcome } => {
-                if self.alive(caller.node, caller.incarnation) {
-                    self.feed(caller.node, Event::Outcome { call: caller.call, outcome });
+            ScheduledEvent::CallArrives { caller, call } => self.deliver_call(caller, call),
+            ScheduledEvent::CallEnds { caller, outcome } => {
+                if self.is_alive(caller.node, caller.incarnation) {
+                    self.handle_event(caller.node, Event::Outcome { call: caller.call, outcome });
                 }
             }
-            Message::Report { worker } => self.send_report(&worker),
-            Message::Boots { number, machine_type, zone, spot } => {
+            ScheduledEvent::HeartbeatDue { worker } => self.send_heartbeat(&worker),
+            ScheduledEvent::MachineUp { number, machine_type, zone, spot } => {
                 self.boot(number, &machine_type, &zone, spot)
             }
         }
     }
 
-    fn alive(&self, node: usize, incarnation: u32) -> bool {
+    fn is_alive(&self, node: usize, incarnation: u32) -> bool {
         self.nodes[node].controller.is_some() && self.nodes[node].incarnation == incarnation
     }
 
-    /// Gives a controller an event, and carries out what it decides.
-    fn feed(&mut self, node: usize, event: Event) {
-        let now = Now { steady_ms: self.now_ms, wall_ms: WALL_MS + self.now_ms };
+    /// Passes an event to a controller and executes the resulting actions.
+    fn handle_event(&mut self, node: usize, event: Event) {
+        let now = Now { steady_ms: self.now_ms, wall_ms: WALL_CLOCK_START_MS + self.now_ms };
         let incarnation = self.nodes[node].incarnation;
         let Some(controller) = self.nodes[node].controller.as_mut() else { return };
         for action in controller.handle(now, event) {
             match action {
                 Action::Call(call) => {
-                    self.note_call(node, &call);
+                    self.record_call(node, &call);
                     let caller = Caller { node, incarnation, call: call.id };
-                    self.after(1, Message::Arrives { caller, call });
+                    self.schedule_after(1, ScheduledEvent::CallArrives { caller, call });
                 }
-                Action::Answer { id, response } => self.answered(node, id, response),
+                Action::Answer { id, response } => self.on_answer(node, id, response),
             }
         }
     }
 
-    fn note_call(&mut self, node: usize, call: &Call) {
+    fn record_call(&mut self, node: usize, call: &Call) {
         let (channel, to) = match &call.peer {
             Peer::State => (Channel::ToStore, "store".to_string()),
             Peer::Cloud => (Channel::ToCloud, "cloud".to_string()),
             Peer::Worker(addr) => (Channel::ToWorkers, format!("worker {addr}")),
-            Peer::Sibling(at) => (Channel::ToControllers, format!("n{}", sibling(node, *at))),
+            Peer::Sibling(at) => (Channel::ToControllers, format!("n{}", sibling_node(node, *at))),
         };
         let from = format!("n{node}");
         self.journal.request(channel, &from, &to, call.method, &call.target, &call.body);
     }
 
-    fn arrives(&mut self, caller: Caller, call: Call) {
-        let from = End::Node(caller.node);
-        let lost = Message::Ends { caller, outcome: Outcome::Lost };
+    fn deliver_call(&mut self, caller: Caller, call: Call) {
+        let from = Endpoint::Node(caller.node);
+        let lost = ScheduledEvent::CallEnds { caller, outcome: Outcome::Lost };
         match call.peer {
             Peer::State => {
-                if self.store.refuses.contains(&caller.node) {
+                if self.store.refused_nodes.contains(&caller.node) {
                     let refused = Outcome::Answer(Response::new(503, Vec::new()));
                     if !call.target.starts_with("/changes") {
-                        self.after(1, Message::Ends { caller, outcome: refused });
+                        self.schedule_after(
+                            1,
+                            ScheduledEvent::CallEnds { caller, outcome: refused },
+                        );
                     }
                     return;
                 }
-                let body = decoded(&call.body);
+                let body = decode_body(&call.body);
                 let (now_ms, method) = (self.now_ms, call.method);
                 let answer = self.store.handle(now_ms, method, &call.target, &body, caller);
                 if let Some((caller, response)) = answer {
                     let outcome = Outcome::Answer(response);
-                    self.after(1, Message::Ends { caller, outcome });
+                    self.schedule_after(1, ScheduledEvent::CallEnds { caller, outcome });
                 }
             }
             Peer::Cloud => {
-                let response = self.cloud(call.method, &call.target, &decoded(&call.body));
-                self.after(1, Message::Ends { caller, outcome: Outcome::Answer(response) });
+                let response =
+                    self.handle_cloud_request(call.method, &call.target, &decode_body(&call.body));
+                self.schedule_after(
+                    1,
+                    ScheduledEvent::CallEnds { caller, outcome: Outcome::Answer(response) },
+                );
             }
             Peer::Worker(addr) => {
-                let found = self.workers.values().find(|w| w.addr == addr.to_string());
-                let Some(name) = found.filter(|w| !w.hangs).map(|w| w.name.clone()) else {
-                    return self.after(call.timeout_ms, lost);
+                let recipient = self.workers.values().find(|w| w.addr == addr.to_string());
+                let Some(name) = recipient.filter(|w| !w.is_hung).map(|w| w.name.clone()) else {
+                    return self.schedule_after(call.timeout_ms, lost);
                 };
-                if self.is_cut(&from, &End::Worker(name.clone())) {
-                    return self.after(call.timeout_ms, lost);
+                if self.is_cut(&from, &Endpoint::Worker(name.clone())) {
+                    return self.schedule_after(call.timeout_ms, lost);
                 }
-                let (now_ms, runs) = (self.now_ms, &self.runs);
-                let worker = self.workers.get_mut(&name).expect("it was found");
+                let (now_ms, task_runs) = (self.now_ms, &self.task_runs);
+                let worker = self.workers.get_mut(&name).expect("the worker was found above");
                 let status = match call.target.as_str() {
-                    "/orders" => worker.orders(now_ms, &decoded(&call.body), runs),
+                    "/orders" => worker.on_orders(now_ms, &decode_body(&call.body), task_runs),
                     "/inspect" => 200,
-                    other => panic!("workers have no {other}"),
+                    other => panic!("workers do not implement {other}"),
                 };
-                let body = encode(&worker.report(now_ms, runs));
+                let body = encode(&worker.heartbeat(now_ms, task_runs));
                 let outcome = Outcome::Answer(Response::new(status, body));
-                self.after(1, Message::Ends { caller, outcome });
+                self.schedule_after(1, ScheduledEvent::CallEnds { caller, outcome });
             }
             Peer::Sibling(at) => {
-                let to = sibling(caller.node, at);
-                if self.nodes[to].controller.is_none() || self.is_cut(&from, &End::Node(to)) {
-                    return self.after(call.timeout_ms, lost);
+                let to = sibling_node(caller.node, at);
+                if self.nodes[to].controller.is_none() || self.is_cut(&from, &Endpoint::Node(to)) {
+                    return self.schedule_after(call.timeout_ms, lost);
                 }
                 let text = format!("n{} -> n{to}: {} {}", caller.node, call.method, call.target);
-                let asker = Asker::Controller(caller);
-                self.ask(to, true, text, call.method, &call.target, call.body, asker);
+                let requester = Requester::Controller(caller);
+                self.send_request(to, true, text, call.method, &call.target, call.body, requester);
             }
         }
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn ask(
+    fn send_request(
         &mut self,
         node: usize,
         mesh: bool,
@@ -357,53 +370,72 @@
         method: &str,
         target: &str,
         body: Vec<u8>,
-        asker: Asker,
+        requester: Requester,
     ) {
         let id = self.next_request;
         self.next_request += 1;
-        self.questions.insert((node, id), Question { text, body: body.clone(), asker });
+        self.pending_requests
+            .insert((node, id), PendingRequest { text, body: body.clone(), requester });
         let (method, target) = (method.to_string(), target.to_string());
         let request = Request { method, target, body, close: false };
         let event = match mesh {
             true => Event::Mesh { id, request },
             false => Event::Client { id, request },
         };
-        self.feed(node, event);
-    }
-
-    fn answered(&mut self, node: usize, id: u64, response: Response) {
-        let question = self.questions.remove(&(node, id)).expect("each question is answered once");
-        let channel = match &question.asker {
-            Asker::User(_) => Channel::AnswersToUsers,
-            Asker::Worker { .. } => Channel::AnswersToWorkers,
-            Asker::Controller(_) => Channel::AnswersToControllers,
+        self.handle_event(node, event);
+    }
+
+    fn on_answer(&mut self, node: usize, id: u64, response: Response) {
+        let pending = self
+            .pending_requests
+            .remove(&(node, id))
+            .expect("each request is answered exactly once");
+        let channel = match &pending.requester {
+            Requester::User(_) => Channel::AnswersToUsers,
+            Requester::Worker { .. } => Channel::AnswersToWorkers,
+            Requester::Controller(_) => Channel::AnswersToControllers,
         };
-        // The names of figures have a test of their own; their values are no messages.
-        if !question.text.contains("/metrics") || response.status != 200 {
-            self.journal.answer(channel, &question.text, &question.body, &response);
+        // Metric names have a test of their own; metric values are not part of the journal.
+        if !pending.text.contains("/metrics") || response.status != 200 {
+            self.journal.answer(channel, &pending.text, &pending.body, &response);
         }
-        match question.asker {
-            Asker::User(number) => self.answers[number] = Some(response),
-            Asker::Worker { name, sent_ms } => self.report_answered(&name, node, sent_ms, response),
-            Asker::Controller(caller) => {
-                self.after(1, Message::Ends { caller, outcome: Outcome::Answer(response) })
+        match pending.requester {
+            Requester::User(number) => self.answers[number] = Some(response),
+            Requester::Worker { name, sent_ms } => {
+                self.on_heartbeat_answer(&name, node, sent_ms, response)
             }
+            Requester::Controller(caller) => self.schedule_after(
+                1,
+                ScheduledEvent::CallEnds { caller, outcome: Outcome::Answer(response) },
+            ),
         }
     }
 
     // Users.
 
-    /// A request on the address for users; the number by which its answer is found.
-    pub fn user(&mut self, node: usize, method: &str, target: &str, body: Vec<u8>) -> usize {
-        self.question(node, false, method, target, body)
+    /// Sends a request to a controller's user address; returns the index for `answer`.
+    pub fn send_user_request(
+        &mut self,
+        node: usize,
+        method: &str,
+        target: &str,
+        body: Vec<u8>,
+    ) -> usize {
+        self.send_tracked_request(node, false, method, target, body)
     }
 
-    /// A request on the address for controllers.
-    pub fn mesh(&mut self, node: usize, method: &str, target: &str, body: Vec<u8>) -> usize {
-        self.question(node, true, method, target, body)
+    /// Sends a request to a controller's mesh address; returns the index for `answer`.
+    pub fn send_mesh_request(
+        &mut self,
+        node: usize,
+        method: &str,
+        target: &str,
+        body: Vec<u8>,
+    ) -> usize {
+        self.send_tracked_request(node, true, method, target, body)
     }
 
-    fn question(
+    fn send_tracked_request(
         &mut self,
         node: usize,
         mesh: bool,
@@ -418,7 +450,7 @@
             true => format!("mesh -> n{node}: {method} {target}"),
             false => format!("{address}{node}: {method} {target}"),
         };
-        self.ask(node, mesh, text, method, target, body, Asker::User(number));
+        self.send_request(node, mesh, text, method, target, body, Requester::User(number));
         number
     }
 
@@ -426,114 +458,139 @@
         self.answers[number].as_ref()
     }
 
-    /// Asks, and waits for the answer.
-    pub fn ask_user(&mut self, node: usize, method: &str, target: &str, body: &[u8]) -> Response {
-        let number = self.user(node, method, target, body.to_vec());
-        self.wait_for(number)
+    /// Sends a request to a controller's user address and waits for the answer.
+    pub fn user_request(
+        &mut self,
+        node: usize,
+        method: &str,
+        target: &str,
+        body: &[u8],
+    ) -> Response {
+        let number = self.send_user_request(node, method, target, body.to_vec());
+        self.wait_for_answer(number)
     }
 
-    pub fn ask_mesh(&mut self, node: usize, method: &str, target: &str, body: &[u8]) -> Response {
-        let number = self.mesh(node, method, target, body.to_vec());
-        self.wait_for(number)
+    pub fn mesh_request(
+        &mut self,
+        node: usize,
+        method: &str,
+        target: &str,
+        body: &[u8],
+    ) -> Response {
+        let number = self.send_mesh_request(node, method, target, body.to_vec());
+        self.wait_for_answer(number)
     }
 
-    pub fn wait_for(&mut self, number: usize) -> Response {
-        self.run_until(6_000, "an answer", |c| c.answer(number).is_some());
-        self.answer(number).expect("it was waited for").clone()
+    pub fn wait_for_answer(&mut self, number: usize) -> Response {
+        self.run_until(6_000, "an answer", |cluster| cluster.answer(number).is_some());
+        self.answer(number).expect("the answer has arrived").clone()
     }
 
     pub fn submit(&mut self, node: usize, job: &Value) -> u16 {
-        self.ask_user(node, "POST", "/api/jobs", &encode(job)).status
+        self.user_request(node, "POST", "/api/jobs", &encode(job)).status
     }
 
     pub fn abort(&mut self, node: usize, job: &str) -> u16 {
-        self.ask_user(node, "POST", &format!("/api/jobs/{job}/abort"), &[]).status
+        self.user_request(node, "POST", &format!("/api/jobs/{job}/abort"), &[]).status
     }
 
-    /// The status that a poll tells, or the status code of its answer if that is not 200.
+    /// Returns the job status that a query reports, or the status code of the answer if it is not
+    /// 200.
     pub fn poll(&mut self, node: usize, job: &str) -> String {
-        let response = self.ask_user(node, "GET", &format!("/api/jobs/{job}"), &[]);
+        let response = self.user_request(node, "GET", &format!("/api/jobs/{job}"), &[]);
         match response.status {
-            200 => text(&decoded(&response.body), "status"),
+            200 => text(&decode_body(&response.body), "status"),
             other => other.to_string(),
         }
     }
 
-    pub fn until_status(&mut self, node: usize, job: &str, status: &str, most_ms: u64) {
-        let until_ms = self.now_ms + most_ms;
+    pub fn run_until_status(&mut self, node: usize, job: &str, status: &str, within_ms: u64) {
+        let until_ms = self.now_ms + within_ms;
         loop {
-            let told = self.poll(node, job);
-            if told == status {
+            let reported = self.poll(node, job);
+            if reported == status {
                 return;
             }
-            assert!(self.now_ms < until_ms, "{job} is {told}, not {status}");
+            assert!(self.now_ms < until_ms, "{job} is {reported}, not {status}");
             self.run(500);
         }
     }
 
-    /// The figures of `GET /metrics`.
+    /// Returns the metrics that `GET /metrics` reports, by name.
     pub fn metrics(&mut self, node: usize) -> BTreeMap<String, f64> {
-        let response = self.ask_mesh(node, "GET", "/metrics", &[]);
-        from_cbor(&response.body).expect("figures by name")
+        let response = self.mesh_request(node, "GET", "/metrics", &[]);
+        from_cbor(&response.body).expect("metrics by name")
     }
 
-    /// Tells a controller how loaded its process is, as the daemon does.
-    pub fn tell_load(&mut self, node: usize, state: LoadState, metrics: &[(&str, f64)]) {
+    /// Reports the load of its process to a controller, as the daemon does.
+    pub fn report_load(&mut self, node: usize, state: LoadState, metrics: &[(&str, f64)]) {
         let metrics = metrics.iter().map(|(name, value)| (name.to_string(), *value)).collect();
-        self.feed(node, Event::Load { state, metrics });
+        self.handle_event(node, Event::Load { state, metrics });
     }
 
     // Workers.
 
-    fn send_report(&mut self, name: &str) {
+    fn send_heartbeat(&mut self, name: &str) {
         let nodes = self.nodes.len();
-        let (now_ms, runs) = (self.now_ms, &self.runs);
+        let (now_ms, task_runs) = (self.now_ms, &self.task_runs);
         let Some(worker) = self.workers.get_mut(name) else { return };
-        if worker.hangs {
-            return self.after(REPORT_MS, Message::Report { worker: name.into() });
+        if worker.is_hung {
+            return self.schedule_after(
+                HEARTBEAT_INTERVAL_MS,
+                ScheduledEvent::HeartbeatDue { worker: name.into() },
+            );
         }
-        let body = encode(&worker.report(now_ms, runs));
+        let body = encode(&worker.heartbeat(now_ms, task_runs));
         let node = worker.node;
         if self.nodes[node].controller.is_none()
-            || self.is_cut(&End::Node(node), &End::Worker(name.into()))
+            || self.is_cut(&Endpoint::Node(node), &Endpoint::Worker(name.into()))
         {
-            self.workers.get_mut(name).expect("it reports").node = (node + 1) % nodes;
-            return self.after(REPORT_MS, Message::Report { worker: name.into() });
+            self.workers.get_mut(name).expect("the worker exists").node = (node + 1) % nodes;
+            return self.schedule_after(
+                HEARTBEAT_INTERVAL_MS,
+                ScheduledEvent::HeartbeatDue { worker: name.into() },
+            );
         }
         let text = format!("{name} -> n{node}: POST /checkin");
-        let asker = Asker::Worker { name: name.into(), sent_ms: now_ms };
-        self.ask(node, false, text, "POST", "/checkin", body, asker);
+        let requester = Requester::Worker { name: name.into(), sent_ms: now_ms };
+        self.send_request(node, false, text, "POST", "/checkin", body, requester);
     }
 
-    fn report_answered(&mut self, name: &str, node: usize, sent_ms: u64, response: Response) {
+    fn on_heartbeat_answer(&mut self, name: &str, node: usize, sent_ms: u64, response: Response) {
         let nodes = self.nodes.len();
-        let (now_ms, runs) = (self.now_ms, &self.runs);
+        let (now_ms, task_runs) = (self.now_ms, &self.task_runs);
         let Some(worker) = self.workers.get_mut(name) else { return };
-        let mut again_ms = REPORT_MS;
+        let mut next_heartbeat_ms = HEARTBEAT_INTERVAL_MS;
         match response.status {
-            200 => worker.answered(sent_ms, now_ms, &decoded(&response.body), runs),
+            200 => {
+                worker.on_heartbeat_answer(sent_ms, now_ms, &decode_body(&response.body), task_runs)
+            }
             421 => {
-                let named = field(&decoded(&response.body), "foreman").as_text().map(String::from);
-                let named = named.and_then(|n| n.trim_start_matches('n').parse::<usize>().ok());
-                match named.filter(|n| *n != node) {
-                    Some(n) => (worker.node, again_ms) = (n, 50),
+                let leader =
+                    field(&decode_body(&response.body), "foreman").as_text().map(String::from);
+                let leader = leader.and_then(|n| n.trim_start_matches('n').parse::<usize>().ok());
+                match leader.filter(|n| *n != node) {
+                    Some(n) => (worker.node, next_heartbeat_ms) = (n, 50),
                     None => worker.node = (node + 1) % nodes,
                 }
             }
             _ => worker.node = (node + 1) % nodes,
         }
-        self.after(again_ms, Message::Report { worker: name.into() });
+        self.schedule_after(
+            next_heartbeat_ms,
+            ScheduledEvent::HeartbeatDue { worker: name.into() },
+        );
     }
 
-    /// Tasks of a job that run, over all machines.
+    /// Returns the number of running tasks of a job on all machines.
     pub fn running(&self, job: &str) -> usize {
-        let of_job = |t: &&str| t.split('/').next() == Some(job);
-        self.workers.values().map(|w| w.running().filter(of_job).count()).sum()
+        let of_job = |task: &&str| task.split('/').next() == Some(job);
+        self.workers.values().map(|worker| worker.running().filter(of_job).count()).sum()
     }
 
     // The cloud.
 
-    fn cloud(&mut self, method: &str, target: &str, body: &Value) -> Response {
+    fn handle_cloud_request(&mut self, method: &str, target: &str, body: &Value) -> Response {
         let path = target.split('?').next().unwrap_or("");
         let ok = |body: Value| Response::new(200, encode(&body));
         match (method, path) {
@@ -549,9 +606,9 @@
                 let since = target.split_once("since=").map_or("", |(_, rest)| rest);
                 let since = since.split('&').next().unwrap_or("");
                 let found = self.workers.values().filter(|w| w.name.as_str() > since);
-                let more = found.clone().count() > self.listed_at_once;
+                let more = found.clone().count() > self.max_list_entries;
                 let hosts: Vec<Value> = found
-                    .take(self.listed_at_once)
+                    .take(self.max_list_entries)
                     .map(|w| {
                         raw!({
                             "ref" => w.name.as_str(), "addr" => w.addr.as_str(),
@@ -571,8 +628,11 @@
                     let number = self.next_machine;
                     self.next_machine += 1;
                     let (machine_type, zone) = (text(body, "host_type"), text(body, "hall"));
-                    let spot = field(body, "loaners").as_bool().expect("spot or not");
-                    self.after(3_000, Message::Boots { number, machine_type, zone, spot });
+                    let spot = field(body, "loaners").as_bool().expect("a flag");
+                    self.schedule_after(
+                        3_000,
+                        ScheduledEvent::MachineUp { number, machine_type, zone, spot },
+                    );
                     hosts.push(Value::from(format!("vm-{number:06}")));
                 }
                 ok(raw!({"hosts" => hosts}))
@@ -583,13 +643,14 @@
                 }
                 Response::new(200, Vec::new())
             }
-            other => panic!("the cloud has no {other:?}"),
+            other => panic!("the cloud does not implement {other:?}"),
         }
     }
 }
 
-/// The number of a controller's sibling by its place in the settings.
-fn sibling(node: usize, at: usize) -> usize {
+/// Returns the index of a controller's sibling, given its position in the sibling list, which
+/// omits the controller itself.
+fn sibling_node(node: usize, at: usize) -> usize {
     if at < node {
         at
     } else {
@@ -597,9 +658,9 @@
     }
 }
 
-fn decoded(body: &[u8]) -> Value {
+fn decode_body(body: &[u8]) -> Value {
     match body {
         [] => Value::Null,
-        _ => from_cbor(body).expect("a message of ours is CBOR"),
+        _ => from_cbor(body).expect("controllers send valid CBOR"),
     }
 }
--- a/crates/core/tests/golden/jobs.rs
+++ b/crates/core/tests/golden/jobs.rs
@@ -1,8 +1,8 @@
-//! Submissions, as users write them.
+//! Job submissions as raw CBOR values.
 
 use crate::cbor::{raw, set_field, Value};
 
-/// A job of so many tasks, with every field that must be there.
+/// Returns a submission of a job with this many tasks and all mandatory fields.
 pub fn job(id: &str, shape: &str, tasks: u32) -> Value {
     let rank = if shape == "service" { "production" } else { "normal" };
     raw!({
@@ -14,13 +14,14 @@
     })
 }
 
-/// The same job with some fields set.
-pub fn with(mut job: Value, fields: &[(&str, Value)]) -> Value {
-    fields.iter().for_each(|(name, value)| set_field(&mut job, name, value.clone()));
-    job
+/// Returns the map with some fields set or replaced.
+pub fn with_fields(mut map: Value, fields: &[(&str, Value)]) -> Value {
+    fields.iter().for_each(|(name, value)| set_field(&mut map, name, value.clone()));
+    map
 }
 
-pub fn needing(job: Value, others: &[&str]) -> Value {
-    let others = others.iter().map(|o| Value::from(*o)).collect();
-    with(job, &[("prereqs", Value::Array(others))])
+/// Returns the submission with the given dependencies.
+pub fn depending_on(job: Value, dependencies: &[&str]) -> Value {
+    let dependencies = dependencies.iter().map(|id| Value::from(*id)).collect();
+    with_fields(job, &[("prereqs", Value::Array(dependencies))])
 }
--- a/crates/core/tests/golden/journal.rs
+++ b/crates/core/tests/golden/journal.rs
@@ -1,4 +1,4 @@
-//! What a cluster has said, message by message, and its comparison with the golden files.
+//! Records the messages of the controllers and compares them with the golden files.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 
 use crate::cbor::{body_form, body_text, without_digits};
 
-/// Who a message is for, or whose request is answered.
+/// The recipients of a message: of a request, or of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Channel {
     ToStore,
@@ -19,18 +19,18 @@
     AnswersToControllers,
 }
 
-/// The messages of the controllers. Of each form the first is shown, byte for byte; all of them
-/// go into a digest for each channel.
+/// The messages of the controllers. The first message of each form is shown with all its bytes;
+/// a digest per channel covers all messages.
 #[derive(Default)]
 pub struct Journal {
     forms: BTreeSet<(Channel, String)>,
     shown: Vec<(Channel, String)>,
     digests: BTreeMap<Channel, Digest>,
-    /// Every message, for those who look for what has changed a digest.
-    all: String,
+    /// All messages, written to the `GOLDEN_TRACE` folder to find what has changed a digest.
+    trace: String,
 }
 
-/// Number and FNV-1a hash of all messages over a channel.
+/// Number and FNV-1a hash of all messages of a channel.
 struct Digest {
     messages: u64,
     hash: u64,
@@ -63,40 +63,47 @@
     ) {
         let form = format!("{method} {} {}", target_form(target), body_form(body));
         let text = format!("{from} -> {to}: {method} {target}\n{}", indented(body));
-        self.keep(channel, form, text);
+        self.record(channel, form, text);
     }
 
-    pub fn answer(&mut self, channel: Channel, question: &str, request: &[u8], answer: &Response) {
+    pub fn answer(
+        &mut self,
+        channel: Channel,
+        request_line: &str,
+        request: &[u8],
+        answer: &Response,
+    ) {
         let form = format!(
             "{} {} {} {:?} {}",
-            without_digits(question),
+            without_digits(request_line),
             body_form(request),
             answer.status,
             answer.retry_after_s.is_some(),
             body_form(&answer.body)
         );
-        let later = answer.retry_after_s.map_or(String::new(), |s| format!(", retry after {s} s"));
+        let retry_after =
+            answer.retry_after_s.map_or(String::new(), |s| format!(", retry after {s} s"));
         let text = format!(
-            "{question}\n{}  answer {}{later}{}\n{}",
+            "{request_line}\n{}  answer {}{retry_after}{}\n{}",
             indented(request),
             answer.status,
             if answer.close { ", close" } else { "" },
             indented(&answer.body)
         );
-        self.keep(channel, form, text);
+        self.record(channel, form, text);
     }
 
-    fn keep(&mut self, channel: Channel, form: String, text: String) {
+    fn record(&mut self, channel: Channel, form: String, text: String) {
         self.digests.entry(channel).or_default().add(&text);
-        self.all.push_str(&text);
+        self.trace.push_str(&text);
         if self.forms.insert((channel, form)) {
             self.shown.push((channel, text));
         }
     }
 
-    /// What was said over these channels, in order, and a digest of all of it.
+    /// Returns the shown messages of these channels in order, followed by a digest per channel.
     pub fn text(&self, channels: &[Channel]) -> String {
-        let chosen = self.shown.iter().filter(|(c, _)| channels.contains(c));
+        let chosen = self.shown.iter().filter(|(channel, _)| channels.contains(channel));
         let mut parts: Vec<String> = chosen.map(|(_, text)| text.clone()).collect();
         for channel in channels {
             if let Some(Digest { messages, hash }) = self.digests.get(channel) {
@@ -106,18 +113,19 @@
         parts.join("\n")
     }
 
-    /// Compares with a golden file. If `GOLDEN_TRACE` names a folder, every message is written
-    /// there, so that the traces of two versions can be compared.
+    /// Compares the messages of these channels with a golden file. If `GOLDEN_TRACE` names a
+    /// folder, all messages are written there, so that the traces of two versions can be compared.
     pub fn assert_golden(&self, name: &str, channels: &[Channel]) {
         if let Some(folder) = std::env::var_os("GOLDEN_TRACE") {
             let file = Path::new(&folder).join(format!("{name}.txt"));
-            std::fs::write(file, &self.all).expect("the trace can be written");
+            std::fs::write(file, &self.trace).expect("the trace can be written");
         }
         assert_golden(name, &self.text(channels));
     }
 }
 
-/// A target without the data in it; numbers of parameters that say how much is asked for stay.
+/// Returns a target without the digits of its path and the value of `since`; the values of other
+/// query parameters, such as limits, stay.
 fn target_form(target: &str) -> String {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let parameters = query.split('&').map(|p| match p.starts_with("since=") {
@@ -138,8 +146,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/expected").join(format!("{name}.txt"))
 }
 
-/// Compares with the golden file, line by line. `GOLDEN_UPDATE=1` writes the file instead: only
-/// for a change that is meant to change what others see, never for a refactoring.
+/// Compares a text with a golden file, line by line. `GOLDEN_UPDATE=1` first rewrites the file: use
+/// it only for an intended change of what other processes see, never for a refactoring.
 pub fn assert_golden(name: &str, text: &str) {
     let file = golden_file(name);
     if std::env::var_os("GOLDEN_UPDATE").is_some() {
--- a/crates/core/tests/golden/store.rs
+++ b/crates/core/tests/golden/store.rs
@@ -1,4 +1,4 @@
-//! A key-value store as the protocol describes it, with raw values.
+//! A key-value store that implements the protocol on raw CBOR values.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,17 +20,17 @@
 struct Change {
     revision: u64,
     path: String,
-    /// None: the key was deleted.
+    /// The new value; `None` if the key was deleted.
     value: Option<Value>,
 }
 
-/// A watch that is open.
+/// An open watch.
 pub struct Watch<T> {
     prefix: String,
     since: u64,
     until_ms: u64,
-    /// Who is answered.
-    pub asker: T,
+    /// Recipient of the answer.
+    pub requester: T,
 }
 
 pub struct Store<T> {
@@ -40,13 +40,14 @@
     last_lease: u64,
     changes: Vec<Change>,
     watches: Vec<Watch<T>>,
-    /// Controllers whose every request gets 503.
-    pub refuses: BTreeSet<usize>,
-    /// Watches of changes before this revision get 410.
+    /// Controllers whose requests are answered with 503; their watches get no answer.
+    pub refused_nodes: BTreeSet<usize>,
+    /// Watches that start before this revision are answered with 410.
     pub compacted_to: u64,
-    /// Keys in one answer at most.
-    pub listed_at_once: usize,
-    /// The status of the next transactions that set a key with this prefix, which are not executed.
+    /// Maximum number of keys in one answer.
+    pub max_list_entries: usize,
+    /// Key prefix, status code and count: the next transactions that set a key with this prefix are
+    /// answered with this status and not executed.
     pub refuse_next: Option<(&'static str, u16, u32)>,
 }
 
@@ -63,21 +64,21 @@
             last_lease: 0,
             changes: Vec::new(),
             watches: Vec::new(),
-            refuses: BTreeSet::new(),
+            refused_nodes: BTreeSet::new(),
             compacted_to: 0,
-            listed_at_once: 1_000,
+            max_list_entries: 1_000,
             refuse_next: None,
         }
     }
 
-    /// The answer to a request, unless it is a watch, which is kept.
+    /// Handles a request and returns the answer; a watch stays open and returns none.
     pub fn handle(
         &mut self,
         now_ms: u64,
         method: &str,
         target: &str,
         body: &Value,
-        asker: T,
+        requester: T,
     ) -> Option<(T, Response)> {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let parameter = |name: &str| {
@@ -87,19 +88,19 @@
         let number = |name: &str| parameter(name).map(|n| n.parse::<u64>().expect("a number"));
         let response = match (method, path) {
             ("GET", "/keys") => {
-                let asked = number("most").unwrap_or(1_000) as usize;
-                let most = asked.min(self.listed_at_once);
+                let requested = number("most").unwrap_or(1_000) as usize;
+                let max_entries = requested.min(self.max_list_entries);
                 let prefix = parameter("starts").expect("a prefix");
-                self.list(&prefix, &parameter("since").unwrap_or_default(), most)
+                self.list(&prefix, &parameter("since").unwrap_or_default(), max_entries)
             }
             ("GET", "/changes") => {
                 let since = number("since").expect("a revision");
                 if since < self.compacted_to {
-                    return Some((asker, Response::new(410, Vec::new())));
+                    return Some((requester, Response::new(410, Vec::new())));
                 }
                 let prefix = parameter("starts").expect("a prefix");
                 let until_ms = now_ms + number("block_ms").unwrap_or(0);
-                self.watches.push(Watch { prefix, since, until_ms, asker });
+                self.watches.push(Watch { prefix, since, until_ms, requester });
                 return None;
             }
             ("POST", "/multi") => self.transact(body),
@@ -123,11 +124,11 @@
             ("GET", key) => {
                 let key = key.strip_prefix("/keys/").expect("a key");
                 match self.keys.get(key) {
-                    Some(e) => {
-                        let permit = e.lease.map_or(Value::Null, Value::from);
-                        let value = e.value.clone();
+                    Some(entry) => {
+                        let permit = entry.lease.map_or(Value::Null, Value::from);
+                        let value = entry.value.clone();
                         let pair = raw!({
-                            "path" => key, "value" => value, "stamp" => e.revision,
+                            "path" => key, "value" => value, "stamp" => entry.revision,
                             "permit" => permit
                         });
                         reply(200, &pair)
@@ -135,16 +136,16 @@
                     None => reply(404, &raw!({"ledger_rev" => self.revision})),
                 }
             }
-            other => panic!("the store has no {other:?}"),
+            other => panic!("the store does not implement {other:?}"),
         };
-        Some((asker, response))
+        Some((requester, response))
     }
 
-    fn list(&self, prefix: &str, since: &str, most: usize) -> Response {
+    fn list(&self, prefix: &str, since: &str, max_entries: usize) -> Response {
         let found = self.keys.iter().filter(|(k, _)| k.starts_with(prefix) && k.as_str() > since);
-        let more = found.clone().count() > most;
+        let more = found.clone().count() > max_entries;
         let pairs: Vec<Value> = found
-            .take(most)
+            .take(max_entries)
             .map(|(k, e)| {
                 let value = e.value.clone();
                 raw!({"path" => k.as_str(), "value" => value, "stamp" => e.revision})
@@ -153,13 +154,13 @@
         reply(200, &raw!({"pairs" => pairs, "more" => more, "ledger_rev" => self.revision}))
     }
 
-    /// Sets a key past all controllers.
+    /// Sets a key directly, without a controller's request.
     pub fn put(&mut self, path: &str, value: Value) {
-        self.put_together(&[(path, value)]);
+        self.put_all(&[(path, value)]);
     }
 
-    /// Sets some keys in one revision.
-    pub fn put_together(&mut self, pairs: &[(&str, Value)]) {
+    /// Sets several keys in one revision.
+    pub fn put_all(&mut self, pairs: &[(&str, Value)]) {
         self.revision += 1;
         for (path, value) in pairs {
             self.set(path.to_string(), value.clone(), None);
@@ -180,24 +181,27 @@
     fn transact(&mut self, body: &Value) -> Response {
         let apply = items(body, "apply");
         if let Some((prefix, status, left)) = &mut self.refuse_next {
-            let sets =
-                |c: &Value| field(c, "set").as_text().is_some_and(|path| path.starts_with(*prefix));
-            if *left > 0 && apply.iter().any(sets) {
+            let sets_prefix = |change: &Value| {
+                field(change, "set").as_text().is_some_and(|path| path.starts_with(*prefix))
+            };
+            if *left > 0 && apply.iter().any(sets_prefix) {
                 *left -= 1;
                 return Response::new(*status, Vec::new());
             }
         }
         let guards = items(body, "guards").into_iter();
         let failed: Vec<Value> = guards
-            .map(|g| (text(&g, "path"), integer(&g, "stamp")))
+            .map(|guard| (text(&guard, "path"), integer(&guard, "stamp")))
             .filter(|(path, stamp)| self.keys.get(path).map_or(0, |e| e.revision) != *stamp)
             .map(|(path, _)| path.into())
             .collect();
         if !failed.is_empty() {
             return reply(409, &raw!({"failed" => failed, "ledger_rev" => self.revision}));
         }
-        let lease_of = |c: &Value| field(c, "permit").as_integer().map(|_| integer(c, "permit"));
-        if apply.iter().filter_map(lease_of).any(|l| !self.leases.contains_key(&l)) {
+        let lease_of = |change: &Value| {
+            field(change, "permit").as_integer().map(|_| integer(change, "permit"))
+        };
+        if apply.iter().filter_map(lease_of).any(|id| !self.leases.contains_key(&id)) {
             return reply(400, &raw!({"error" => "no such lease"}));
         }
         if !apply.is_empty() {
@@ -215,34 +219,39 @@
         reply(200, &raw!({"ledger_rev" => self.revision}))
     }
 
-    /// Ends leases whose time is up, and the keys on them.
+    /// Removes expired leases and deletes the keys attached to them.
     pub fn expire(&mut self, now_ms: u64) {
-        let over = self.leases.iter().filter(|(_, l)| l.until_ms < now_ms).map(|(id, _)| *id);
-        for id in over.collect::<Vec<u64>>() {
+        let expired = self.leases.iter().filter(|(_, l)| l.until_ms < now_ms).map(|(id, _)| *id);
+        for id in expired.collect::<Vec<u64>>() {
             self.leases.remove(&id);
-            let on_it = self.keys.iter().filter(|(_, e)| e.lease == Some(id));
-            for path in on_it.map(|(path, _)| path.clone()).collect::<Vec<_>>() {
+            let attached = self.keys.iter().filter(|(_, e)| e.lease == Some(id));
+            for path in attached.map(|(path, _)| path.clone()).collect::<Vec<_>>() {
                 self.revision += 1;
                 self.delete(path);
             }
         }
     }
 
-    /// Watches that have something to tell, or whose time is up.
-    pub fn answered_watches(&mut self, now_ms: u64) -> Vec<(T, Response)> {
-        let mut out = Vec::new();
+    /// Closes and answers the watches that have changes to report or whose timeout has passed.
+    pub fn close_due_watches(&mut self, now_ms: u64) -> Vec<(T, Response)> {
+        let mut answers = Vec::new();
         for watch in std::mem::take(&mut self.watches) {
-            let seen = |c: &&Change| c.revision > watch.since && c.path.starts_with(&watch.prefix);
+            let matches = |change: &&Change| {
+                change.revision > watch.since && change.path.starts_with(&watch.prefix)
+            };
             let log: Vec<Value> = self
                 .changes
                 .iter()
-                .filter(seen)
-                .map(|c| match &c.value {
+                .filter(matches)
+                .map(|change| match &change.value {
                     Some(value) => {
                         let value = value.clone();
-                        raw!({"set" => c.path.as_str(), "value" => value, "stamp" => c.revision})
+                        raw!({
+                            "set" => change.path.as_str(), "value" => value,
+                            "stamp" => change.revision
+                        })
                     }
-                    None => raw!({"delete" => c.path.as_str(), "stamp" => c.revision}),
+                    None => raw!({"delete" => change.path.as_str(), "stamp" => change.revision}),
                 })
                 .collect();
             if log.is_empty() && now_ms < watch.until_ms {
@@ -250,8 +259,8 @@
                 continue;
             }
             let body = raw!({"ledger_rev" => self.revision, "log" => log});
-            out.push((watch.asker, reply(200, &body)));
+            answers.push((watch.requester, reply(200, &body)));
         }
-        out
+        answers
     }
 }
--- a/crates/core/tests/golden/worker.rs
+++ b/crates/core/tests/golden/worker.rs
@@ -1,4 +1,4 @@
-//! Workers as the protocol describes them, with raw reports.
+//! Workers that implement the protocol on raw CBOR heartbeats and orders.
 
 use std::collections::BTreeMap;
 
@@ -12,11 +12,11 @@
     ends_ms: u64,
 }
 
-/// How the tasks of a job run.
+/// The behavior of the tasks of a job.
 #[derive(Clone, Copy, Debug)]
-pub struct Run {
+pub struct TaskRun {
     pub run_ms: u64,
-    /// Why a task exits by itself.
+    /// Exit cause of a task that has run for `run_ms`.
     pub cause: &'static str,
 }
 
@@ -26,17 +26,17 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
+    pub agent_epoch: u64,
     sequence: u64,
-    pub token: u64,
-    /// Seconds until the cloud takes the machine away.
-    pub notice_s: Option<f64>,
-    /// The controller that it reports to.
+    pub fencing_token: u64,
+    /// Time until the cloud reclaims the machine, as the heartbeat reports it.
+    pub interruption_notice_s: Option<f64>,
+    /// The controller that the worker sends its heartbeats to.
     pub node: usize,
-    lease_from_ms: u64,
+    lease_start_ms: u64,
     tasks: BTreeMap<String, Task>,
-    /// It sends no reports, and answers no calls.
-    pub hangs: bool,
+    /// The worker sends no heartbeats and answers no calls.
+    pub is_hung: bool,
 }
 
 pub const LEASE_MS: u64 = 8_000;
@@ -49,19 +49,19 @@
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
-            session: 1,
+            agent_epoch: 1,
             sequence: 0,
-            token: 0,
-            notice_s: None,
+            fencing_token: 0,
+            interruption_notice_s: None,
             node: 0,
-            lease_from_ms: now_ms,
+            lease_start_ms: now_ms,
             tasks: BTreeMap::new(),
-            hangs: false,
+            is_hung: false,
         }
     }
 
-    /// A task that it holds since before the controllers were started.
-    pub fn holds(&mut self, task: &str, attempt: u64, ends_ms: u64) {
+    /// Adds a task that runs until `ends_ms`.
+    pub fn add_running_task(&mut self, task: &str, attempt: u64, ends_ms: u64) {
         let running = Task { attempt, status: "running", cause: None, saved: None, ends_ms };
         self.tasks.insert(task.into(), running);
     }
@@ -71,24 +71,25 @@
         running.map(|(name, _)| name.as_str())
     }
 
-    /// Tasks that are over, and the lease.
-    fn advance(&mut self, now_ms: u64, runs: &BTreeMap<String, Run>) {
-        if now_ms > self.lease_from_ms + LEASE_MS {
+    /// Drops all tasks if the lease has expired, and ends the tasks whose run time has passed.
+    fn advance(&mut self, now_ms: u64, task_runs: &BTreeMap<String, TaskRun>) {
+        if now_ms > self.lease_start_ms + LEASE_MS {
             self.tasks.clear();
-            self.session += 1;
-            self.lease_from_ms = now_ms;
+            self.agent_epoch += 1;
+            self.lease_start_ms = now_ms;
         }
         for (name, task) in &mut self.tasks {
             if task.status == "running" && now_ms >= task.ends_ms {
                 let job = name.split('/').next().unwrap_or("");
                 (task.status, task.cause) =
-                    ("exited", Some(runs.get(job).map_or("done", |r| r.cause)));
+                    ("exited", Some(task_runs.get(job).map_or("done", |r| r.cause)));
             }
         }
     }
 
-    pub fn report(&mut self, now_ms: u64, runs: &BTreeMap<String, Run>) -> Value {
-        self.advance(now_ms, runs);
+    /// Returns the worker's next heartbeat.
+    pub fn heartbeat(&mut self, now_ms: u64, task_runs: &BTreeMap<String, TaskRun>) -> Value {
+        self.advance(now_ms, task_runs);
         self.sequence += 1;
         let tasks: Vec<Value> = self
             .tasks
@@ -101,56 +102,63 @@
                 Value::Map(task.into_iter().map(|(k, v): (_, Value)| (k.into(), v)).collect())
             })
             .collect();
-        let notice = self.notice_s.map_or(Value::Null, Value::from);
+        let notice = self.interruption_notice_s.map_or(Value::Null, Value::from);
         raw!({
             "host" => self.name.as_str(), "addr" => self.addr.as_str(),
             "host_type" => self.machine_type.as_str(), "hall" => self.zone.as_str(),
-            "loaners" => self.spot, "tenure" => self.session, "tally" => self.sequence,
-            "baton" => self.token, "recall_s" => notice, "pieces" => tasks
+            "loaners" => self.spot, "tenure" => self.agent_epoch, "tally" => self.sequence,
+            "baton" => self.fencing_token, "recall_s" => notice, "pieces" => tasks
         })
     }
 
-    /// A 200 to its report.
-    pub fn answered(
+    /// Handles a 200 answer to a heartbeat.
+    pub fn on_heartbeat_answer(
         &mut self,
         sent_ms: u64,
         now_ms: u64,
         body: &Value,
-        runs: &BTreeMap<String, Run>,
+        task_runs: &BTreeMap<String, TaskRun>,
     ) {
-        if integer(body, "baton") < self.token {
+        if integer(body, "baton") < self.fencing_token {
             return;
         }
-        self.token = integer(body, "baton");
-        self.lease_from_ms = self.lease_from_ms.max(sent_ms);
-        self.execute(now_ms, &items(body, "orders"), runs);
+        self.fencing_token = integer(body, "baton");
+        self.lease_start_ms = self.lease_start_ms.max(sent_ms);
+        self.execute(now_ms, &items(body, "orders"), task_runs);
     }
 
-    /// `POST /orders`: the status.
-    pub fn orders(&mut self, now_ms: u64, body: &Value, runs: &BTreeMap<String, Run>) -> u16 {
-        self.advance(now_ms, runs);
-        if integer(body, "baton") < self.token || integer(body, "tenure") != self.session {
+    /// Handles `POST /orders`; returns the status code.
+    pub fn on_orders(
+        &mut self,
+        now_ms: u64,
+        body: &Value,
+        task_runs: &BTreeMap<String, TaskRun>,
+    ) -> u16 {
+        self.advance(now_ms, task_runs);
+        if integer(body, "baton") < self.fencing_token
+            || integer(body, "tenure") != self.agent_epoch
+        {
             return 409;
         }
-        self.token = integer(body, "baton");
-        self.execute(now_ms, &items(body, "orders"), runs);
+        self.fencing_token = integer(body, "baton");
+        self.execute(now_ms, &items(body, "orders"), task_runs);
         200
     }
 
-    fn execute(&mut self, now_ms: u64, orders: &[Value], runs: &BTreeMap<String, Run>) {
+    fn execute(&mut self, now_ms: u64, orders: &[Value], task_runs: &BTreeMap<String, TaskRun>) {
         for order in orders {
             let (name, attempt) = (text(order, "piece"), integer(order, "try"));
-            let ours = self.tasks.get_mut(&name).filter(|t| t.attempt == attempt);
-            match (text(order, "verb").as_str(), ours) {
+            let known = self.tasks.get_mut(&name).filter(|t| t.attempt == attempt);
+            match (text(order, "verb").as_str(), known) {
                 ("run", None) => {
                     let job = name.split('/').next().unwrap_or("");
-                    let run_ms = runs.get(job).map_or(2_000, |r| r.run_ms);
-                    self.holds(&name, attempt, now_ms + run_ms);
+                    let run_ms = task_runs.get(job).map_or(2_000, |r| r.run_ms);
+                    self.add_running_task(&name, attempt, now_ms + run_ms);
                 }
                 ("kill", Some(task)) if task.status != "exited" => {
-                    let grace = field(order, "wind_down_s").as_float().unwrap_or(0.0);
+                    let grace_s = field(order, "wind_down_s").as_float().unwrap_or(0.0);
                     (task.status, task.cause) = ("exited", Some("stopped"));
-                    task.saved = (grace > 0.0).then_some(true);
+                    task.saved = (grace_s > 0.0).then_some(true);
                 }
                 ("clear", Some(_)) => drop(self.tasks.remove(&name)),
                 _ => {}
--- a/crates/core/tests/unit/capacity_pool.rs
+++ b/crates/core/tests/unit/capacity_pool.rs
@@ -1,4 +1,4 @@
-//! Tests of the private parts of `fleet/provisioning/capacity_pool.rs`.
+//! Tests of private items of `fleet/provisioning/capacity_pool.rs`.
 
 use proptest::prelude::*;
 
@@ -10,10 +10,11 @@
 }
 
 proptest! {
-    /// Guards how many machines are provisioned: counting machines that are alike finds exactly
-    /// the capacity that listing them one by one would, and takes exactly what is placed.
+    /// Guards against provisioning too many or too few machines: counting identical machines as a
+    /// group finds exactly the capacity of the single machines, and placing tasks takes exactly
+    /// the capacity that they need.
     #[test]
-    fn counted_capacity_equals_capacity_of_single_machines(
+    fn grouped_capacity_equals_capacity_of_single_machines(
         machines in prop::collection::vec((0u32..3, 1u32..5), 0..30),
         jobs in prop::collection::vec((1u32..4, 0u32..60), 1..8),
     ) {
--- a/crates/core/tests/unit/queue.rs
+++ b/crates/core/tests/unit/queue.rs
@@ -1,4 +1,4 @@
-//! Tests of what `queue.rs` keeps to itself.
+//! Tests of private items of `queue.rs`.
 
 use super::*;
 
@@ -15,9 +15,10 @@
     }
 }
 
-/// Guards the switch to scarcity past both thresholds, and the way back.
+/// Guards against a queue that orders by scarcity below one of the two thresholds, or that does not
+/// return to shortest first.
 #[test]
-fn order_changes_past_both_thresholds_and_changes_back() {
+fn scarcity_order_applies_only_above_both_thresholds() {
     let queue = [probe(5.0, 0.5, 0, 1), probe(50.0, 3.0, 0, 2)];
     let first = |ratio, wait| {
         let order = QueueOrder::choose(ratio, 1.0, wait, 30.0);
@@ -25,11 +26,12 @@
     };
     assert_eq!(first(0.9, 60.0), 0, "ratio below its threshold: shortest first");
     assert_eq!(first(3.0, 20.0), 0, "wait below its threshold: shortest first");
-    assert_eq!(first(3.0, 60.0), 1, "past both: scarcest first");
-    assert_eq!(first(0.9, 20.0), 0, "and back");
+    assert_eq!(first(3.0, 60.0), 1, "above both thresholds: scarcest first");
+    assert_eq!(first(0.9, 20.0), 0, "below both thresholds again: shortest first");
 }
 
-/// Guards the slack cap: a task is passed at most five times whatever the order.
+/// Guards against starvation of long tasks: with a slack cap of five, a task is passed over at most
+/// five times in every order.
 #[test]
 fn slack_cap_holds_in_every_order() {
     for order in [QueueOrder::ShortestFirst, QueueOrder::ScarcityFirst] {
@@ -37,26 +39,27 @@
         let mut passed = 0;
         loop {
             let queue = [long, probe(1.0, 9.0, 0, 10 + passed)];
-            let got = pick(&queue, order, 5, |_| true).unwrap();
-            if got.chosen == 0 {
+            let picked = pick(&queue, order, 5, |_| true).unwrap();
+            if picked.chosen == 0 {
                 break;
             }
-            assert_eq!(got.passed, vec![0]);
+            assert_eq!(picked.passed, vec![0]);
             long.times_passed_over += 1;
             passed += 1;
-            assert!(passed <= 5, "passed again at the cap in {order:?}");
+            assert!(passed <= 5, "passed over again at the slack cap in {order:?}");
         }
         assert_eq!(passed, 5);
-        // At the cap and without resources, no probe of its class goes before it.
+        // A task at the slack cap that lacks resources blocks all other probes with the same
+        // priority and quota guarantee.
         let queue = [long, probe(1.0, 9.0, 0, 99)];
         assert_eq!(pick(&queue, order, 5, |p| p != 0), None);
     }
 }
 
-/// Guards the deadlines that can still be met against work that is late already,
-/// and the late work against being passed for ever.
+/// Guards against late work delaying probes that can still meet their deadline, and against late
+/// work being passed over forever.
 #[test]
-fn what_can_be_in_time_goes_ahead_of_what_is_late() {
+fn probes_that_can_meet_their_deadline_precede_late_probes() {
     let mut late = probe(1.0, 0.0, 0, 0);
     late.missed_objectives = 1;
     let queue = [late, probe(90.0, 0.0, 0, 1)];
@@ -68,14 +71,14 @@
     }
 }
 
-/// Guards priority and guarantee, which stand above length and scarcity.
+/// Guards against length or scarcity taking precedence over priority and quota guarantee.
 #[test]
-fn priority_then_guarantee_come_first() {
+fn priority_then_quota_guarantee_precede_length_and_scarcity() {
     let mut high = probe(500.0, 0.0, 0, 2);
     high.priority = Priority::High;
-    let mut owed = probe(400.0, 0.0, 0, 3);
-    owed.guaranteed = true;
-    let queue = [probe(1.0, 9.0, 5, 0), owed, high];
+    let mut guaranteed_probe = probe(400.0, 0.0, 0, 3);
+    guaranteed_probe.guaranteed = true;
+    let queue = [probe(1.0, 9.0, 5, 0), guaranteed_probe, high];
     let order = QueueOrder::ShortestFirst;
     assert_eq!(pick(&queue, order, 5, |_| true).unwrap().chosen, 2);
     assert_eq!(pick(&queue, order, 5, |p| p != 2).unwrap().chosen, 1);
--- a/crates/core/tests/unit/read_budget.rs
+++ b/crates/core/tests/unit/read_budget.rs
@@ -1,12 +1,12 @@
 use super::{ReadBudget, ReadPurpose};
 
-/// Reads that a purpose can make within a second, tried every 10 ms.
+/// Returns the number of reads granted to a purpose within one second, requested every 10 ms.
 fn reads_in_a_second(budget: &mut ReadBudget, from_ms: u64, purpose: ReadPurpose) -> usize {
     (0..100).filter(|step| budget.take(from_ms + 10 * step, purpose)).count()
 }
 
 #[test]
-fn status_queries_keep_their_part_whatever_others_force() {
+fn status_queries_keep_their_share_when_scans_are_charged_beyond_the_budget() {
     let mut budget = ReadBudget::new(100.0);
     (0..1_000).for_each(|_| budget.charge(1, ReadPurpose::BatchScan));
     let reads = reads_in_a_second(&mut budget, 1_000, ReadPurpose::StatusQuery);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_pause_that_the_store_asked_for_holds_for_all() {
+fn pause_requested_by_the_store_applies_to_status_queries() {
     let mut budget = ReadBudget::new(100.0);
     budget.pause(1_000, 500);
     assert!(!budget.take(1_400, ReadPurpose::StatusQuery));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn less_urgent_purposes_leave_more() {
+fn less_urgent_purposes_leave_more_of_the_budget() {
     let left_by = |purpose| {
         let mut budget = ReadBudget::new(100.0);
         while budget.take(1, purpose) {}
