--- a/crates/core/tests/golden/cluster.rs
+++ b/crates/core/tests/golden/cluster.rs
@@ -400,7 +400,7 @@
             self.journal.answer(channel, &pending.text, &pending.body, &response);
         }
         match pending.requester {
-            Requester::User(number) => self.answers[number] = Some(response),
+            Requester::User(request_index) => self.answers[request_index] = Some(response),
             Requester::Worker { name, sent_ms } => {
                 self.on_heartbeat_answer(&name, node, sent_ms, response)
             }
@@ -443,19 +443,19 @@
         target: &str,
         body: Vec<u8>,
     ) -> usize {
-        let number = self.answers.len();
+        let request_index = self.answers.len();
         self.answers.push(None);
         let address = if mesh { "n" } else { "user -> n" };
         let text = match mesh {
             true => format!("mesh -> n{node}: {method} {target}"),
             false => format!("{address}{node}: {method} {target}"),
         };
-        self.send_request(node, mesh, text, method, target, body, Requester::User(number));
-        number
+        self.send_request(node, mesh, text, method, target, body, Requester::User(request_index));
+        request_index
     }
 
-    pub fn answer(&self, number: usize) -> Option<&Response> {
-        self.answers[number].as_ref()
+    pub fn answer(&self, request_index: usize) -> Option<&Response> {
+        self.answers[request_index].as_ref()
     }
 
     /// Sends a request to a controller's user address and waits for the answer.
@@ -466,8 +466,8 @@
         target: &str,
         body: &[u8],
     ) -> Response {
-        let number = self.send_user_request(node, method, target, body.to_vec());
-        self.wait_for_answer(number)
+        let request_index = self.send_user_request(node, method, target, body.to_vec());
+        self.wait_for_answer(request_index)
     }
 
     pub fn mesh_request(
@@ -477,13 +477,13 @@
         target: &str,
         body: &[u8],
     ) -> Response {
-        let number = self.send_mesh_request(node, method, target, body.to_vec());
-        self.wait_for_answer(number)
+        let request_index = self.send_mesh_request(node, method, target, body.to_vec());
+        self.wait_for_answer(request_index)
     }
 
-    pub fn wait_for_answer(&mut self, number: usize) -> Response {
-        self.run_until(6_000, "an answer", |cluster| cluster.answer(number).is_some());
-        self.answer(number).expect("the answer has arrived").clone()
+    pub fn wait_for_answer(&mut self, request_index: usize) -> Response {
+        self.run_until(6_000, "an answer", |cluster| cluster.answer(request_index).is_some());
+        self.answer(request_index).expect("the answer has arrived").clone()
     }
 
     pub fn submit(&mut self, node: usize, job: &Value) -> u16 {
--- a/crates/core/tests/golden/mesh.rs
+++ b/crates/core/tests/golden/mesh.rs
@@ -35,7 +35,7 @@
     let malformed = with_fields(job("wk-000011", "array", 1), &[("pieces", 0.into())]);
     assert_eq!(cluster.submit(1, &malformed), 400);
     assert_eq!(cluster.submit(2, &depending_on(job("wk-000003", "array", 1), &["wk-000000"])), 201);
-    cluster.run_until(20_000, "it runs", |cluster| cluster.running("wk-000002") == 2);
+    cluster.run_until(20_000, "the job runs", |cluster| cluster.running("wk-000002") == 2);
     assert_eq!(cluster.poll(1, "wk-000002"), "running");
     assert_eq!(cluster.submit(1, &job("wk-000002", "array", 2)), 200);
     assert_eq!(cluster.abort(1, "wk-000002"), 200);
@@ -56,7 +56,8 @@
     cluster.run(3_000);
     let zone_bound = with_fields(job("wk-000001", "array", 4), &[("hall", "b".into())]);
     assert_eq!(cluster.submit(0, &zone_bound), 201);
-    cluster.run_until(30_000, "its tasks run", |cluster| cluster.running("wk-000001") == 4);
+    cluster
+        .run_until(30_000, "the tasks of the job run", |cluster| cluster.running("wk-000001") == 4);
     // A worker that hangs does not answer the sibling either.
     let runs_tasks = |w: &&mut crate::worker::Worker| w.running().next().is_some();
     cluster.workers.values_mut().find(runs_tasks).expect("a worker runs the tasks").is_hung = true;
@@ -81,7 +82,7 @@
         cluster.submit(0, &with_fields(job("wk-000004", "array", 2), &[("hall", "b".into())])),
         201
     );
-    cluster.run_until(20_000, "they run", |cluster| {
+    cluster.run_until(20_000, "all tasks of both jobs run", |cluster| {
         cluster.running("wk-000001") + cluster.running("wk-000004") == 4
     });
     cluster.cut(Endpoint::Node(0), Endpoint::Node(1));
@@ -250,7 +251,8 @@
     let mut cluster = three_controllers(4);
     cluster.task_runs.insert("wk-000001".into(), LONG_RUN);
     assert_eq!(cluster.submit(0, &job("wk-000001", "array", 3)), 201);
-    cluster.run_until(20_000, "its tasks run", |cluster| cluster.running("wk-000001") == 3);
+    cluster
+        .run_until(20_000, "the tasks of the job run", |cluster| cluster.running("wk-000001") == 3);
     cluster.stop(0);
     cluster.run(12_000);
     let leader = if cluster.metrics(1)["leads"] == 1.0 { 1 } else { 2 };
--- a/crates/core/tests/golden/records.rs
+++ b/crates/core/tests/golden/records.rs
@@ -115,7 +115,9 @@
     let large =
         with_fields(job("wk-000002", "array", 1), &[("host_types", Value::Array(long_names))]);
     assert_eq!(cluster.submit(0, &large), 422);
-    cluster.run_until(20_000, "its tasks run", |cluster| cluster.running("wk-000001") == 66);
+    cluster.run_until(20_000, "the tasks of the job run", |cluster| {
+        cluster.running("wk-000001") == 66
+    });
     cluster.run(3_000);
     assert_eq!(cluster.abort(0, "wk-000001"), 200);
     cluster.run(20_000);
@@ -157,8 +159,8 @@
         .iter()
         .map(|job| cluster.send_user_request(0, "POST", "/api/jobs", encode(job)))
         .collect();
-    for number in requests {
-        assert_eq!(cluster.wait_for_answer(number).status, 201);
+    for request in requests {
+        assert_eq!(cluster.wait_for_answer(request).status, 201);
     }
     cluster.run_until(20_000, "long jobs run", |cluster| {
         cluster.running("wk-000003") + cluster.running("wk-000004") == 4
--- a/crates/core/tests/golden/users.rs
+++ b/crates/core/tests/golden/users.rs
@@ -46,7 +46,7 @@
     assert_eq!(cluster.submit(0, &depending_on(job("wk-000003", "array", 1), &["wk-000003"])), 422);
     assert_eq!(cluster.submit(0, &depending_on(job("wk-000004", "array", 1), &["wk-000001"])), 201);
     assert_eq!(cluster.poll(0, "wk-000004"), "pending");
-    cluster.run_until(20_000, "it runs", |cluster| cluster.running("wk-000002") == 2);
+    cluster.run_until(20_000, "the job runs", |cluster| cluster.running("wk-000002") == 2);
     assert_eq!(cluster.poll(0, "wk-000002"), "running");
     assert_eq!(cluster.abort(0, "wk-000002"), 200);
     assert_eq!(cluster.abort(0, "wk-000002"), 200);
@@ -158,7 +158,7 @@
         })
         .collect();
     let statuses: Vec<u16> =
-        requests.into_iter().map(|number| cluster.wait_for_answer(number).status).collect();
+        requests.into_iter().map(|request| cluster.wait_for_answer(request).status).collect();
     assert!(statuses.contains(&201) && statuses.contains(&429), "{statuses:?}");
     // The store itself refuses writes: for their rate, as unavailable, or as malformed.
     cluster.run(10_000);
--- a/crates/core/tests/golden/workers.rs
+++ b/crates/core/tests/golden/workers.rs
@@ -28,7 +28,7 @@
         cluster.task_runs.insert(id.into(), TaskRun { run_ms: 60_000, cause: "done" });
         assert_eq!(cluster.submit(0, &with_fields(job(id, "array", 2), &checkpoints)), 201);
     }
-    cluster.run_until(20_000, "they run", |cluster| {
+    cluster.run_until(20_000, "all tasks of both jobs run", |cluster| {
         cluster.running("wk-000010") + cluster.running("wk-000011") == 4
     });
     cluster.run(4_000);
--- a/crates/core/tests/simulation/cluster/users.rs
+++ b/crates/core/tests/simulation/cluster/users.rs
@@ -147,7 +147,7 @@
     pub fn run_until(
         &mut self,
         within_ms: u64,
-        what: &str,
+        condition: &str,
         mut holds: impl FnMut(&Cluster) -> bool,
     ) {
         let end_ms = self.now + within_ms;
@@ -157,13 +157,13 @@
             }
             self.run_for_ms(20);
         }
-        panic!("{what}: not within {within_ms} ms; violations: {:?}", self.violations);
+        panic!("{condition}: not within {within_ms} ms; violations: {:?}", self.violations);
     }
 
     /// Runs until exactly `tasks` tasks of a job are live on machines.
     pub fn run_until_running(&mut self, within_ms: u64, id: &str, tasks: usize) {
-        let what = format!("{tasks} tasks of {id} run");
-        self.run_until(within_ms, &what, |cluster| cluster.live_tasks(id).len() == tasks);
+        let condition = format!("{tasks} tasks of {id} run");
+        self.run_until(within_ms, &condition, |cluster| cluster.live_tasks(id).len() == tasks);
     }
 
     /// Runs and queries a job every half second until a user is told that it is done.
