--- a/crates/core/tests/golden/main.rs
+++ b/crates/core/tests/golden/main.rs
@@ -18,7 +18,7 @@
 mod journal;
 mod mesh;
 mod metrics;
-mod old_forms;
+mod old_record_formats;
 mod records;
 mod store;
 mod users;
--- a/crates/core/tests/simulation/aborts.rs
+++ b/crates/core/tests/simulation/aborts.rs
@@ -1,6 +1,6 @@
 //! Aborts that race starts, reads, refused writes and hanging machines.
 
-use crate::cluster::{job, Cluster, LateRefusal, LinkFault, CANCEL_MS};
+use crate::cluster::{job, Cluster, LateRefusal, LinkFault, ABORT_DEADLINE_MS};
 use quartzgate_wire::msg::{JobKind, JobStatus};
 
 /// An abort races a start. In whatever order they arrive, the task must be gone in time and never
@@ -14,10 +14,10 @@
         cluster.submit((step % 3) as usize, &job("wk-000001", JobKind::Array, 6));
         cluster.run_for_ms(1 + step * 3);
         cluster.abort_until_confirmed("wk-000001");
-        cluster.run_for_ms(CANCEL_MS + 5_000);
+        cluster.run_for_ms(ABORT_DEADLINE_MS + 5_000);
         assert!(cluster.live_tasks("wk-000001").is_empty());
         assert_eq!(cluster.observed_status["wk-000001"], JobStatus::Aborted);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -37,10 +37,10 @@
         cluster.workers.get_mut(n).unwrap().hung_until_ms = hung_until_ms;
     });
     cluster.abort_until_confirmed("wk-000001");
-    cluster.run_until(CANCEL_MS / 2, "the machine is gone", |cluster| {
+    cluster.run_until(ABORT_DEADLINE_MS / 2, "the machine is gone", |cluster| {
         !cluster.workers.contains_key(&machine)
     });
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Guards against a job that a stale read brings back: the leader learns of the job's abort after
@@ -67,9 +67,9 @@
             cluster.abort(followers[1], "wk-000001");
             cluster.run_for_ms(15);
         }
-        cluster.run_for_ms(CANCEL_MS + 3_000);
+        cluster.run_for_ms(ABORT_DEADLINE_MS + 3_000);
         assert!(cluster.live_tasks("wk-000001").is_empty());
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -93,7 +93,7 @@
     cluster.run_for_ms(1_000);
     assert_eq!(cluster.status_code(follower_abort), 200);
     cluster.state.late_refusal = None;
-    cluster.run_for_ms(CANCEL_MS + 10_000);
+    cluster.run_for_ms(ABORT_DEADLINE_MS + 10_000);
     assert!(cluster.live_tasks("wk-000001").is_empty());
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
--- a/crates/core/tests/simulation/cluster.rs
+++ b/crates/core/tests/simulation/cluster.rs
@@ -38,11 +38,11 @@
 use workers::TaskStart;
 
 /// Configured interval between a worker's heartbeats.
-pub const REPORT_MS: u64 = 1_000;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
 /// Configured duration of a worker's lease.
-pub const LEASE_MS: u64 = 8_000;
+pub const WORKER_LEASE_MS: u64 = 8_000;
 /// Time after a confirmed abort within which the job's tasks must have ended.
-pub const CANCEL_MS: u64 = 24_000;
+pub const ABORT_DEADLINE_MS: u64 = 24_000;
 /// Memory of each machine.
 const MEMORY_GB: f64 = 32.0;
 
@@ -73,13 +73,13 @@
     /// Configured maximum value size of the state service; `None` keeps the one of `platform`.
     pub max_value_kb: Option<f64>,
     /// Controllers that agree to no format after the first, like the first released version.
-    pub legacy_controllers: BTreeSet<usize>,
+    pub first_version_controllers: BTreeSet<usize>,
     /// Feature tables of controllers that run another build.
     pub feature_tables: BTreeMap<usize, &'static GateTable>,
     /// Features that the operator settings of a controller withhold.
     pub withheld_features: BTreeMap<usize, Vec<String>>,
     /// Number of controllers in a controller's settings, where it differs from the actual number.
-    pub configured_count: BTreeMap<usize, usize>,
+    pub configured_controller_count: BTreeMap<usize, usize>,
     /// Stores all small jobs in batch records, not only while the write budget is scarce.
     pub batch_small_jobs: bool,
     /// Keeps idle machines instead of returning them to the cloud.
@@ -193,10 +193,10 @@
             team_gpu_limit: 0.0,
             announced_limits: None,
             max_value_kb: None,
-            legacy_controllers: BTreeSet::new(),
+            first_version_controllers: BTreeSet::new(),
             feature_tables: BTreeMap::new(),
             withheld_features: BTreeMap::new(),
-            configured_count: BTreeMap::new(),
+            configured_controller_count: BTreeMap::new(),
             batch_small_jobs: false,
             keep_idle_machines: false,
             state: StateService::default(),
@@ -287,8 +287,12 @@
                 "name": "t", "cpus": 0.0, "cpus_max": team_cpu_limit, "gpus": 0.0, "gpus_max": 0.0
             }],
             "objectives": [],
-            "workers": {"report_s": REPORT_MS as f64 / 1e3, "lease_s": LEASE_MS as f64 / 1e3,
-                        "gang_wait_s": 20.0, "gang_peer_s": 3.0, "cancel_s": CANCEL_MS as f64 / 1e3},
+            "workers": {
+                "report_s": HEARTBEAT_INTERVAL_MS as f64 / 1e3,
+                "lease_s": WORKER_LEASE_MS as f64 / 1e3,
+                "gang_wait_s": 20.0, "gang_peer_s": 3.0,
+                "cancel_s": ABORT_DEADLINE_MS as f64 / 1e3
+            },
             "state": {"rps": 200.0, "write_rps": 40.0, "value_kb": 8.0, "txn_ops": 12},
             "cloud": {"rps": 8.0, "list_lag_s": 2.0},
             "resources": {"cpu_share": 0.1, "mem_mb": 64.0, "max_sockets": 500},
--- a/crates/core/tests/simulation/cluster/controllers.rs
+++ b/crates/core/tests/simulation/cluster/controllers.rs
@@ -58,7 +58,8 @@
     }
 
     fn config_of(&self, node: usize) -> Config {
-        let count = self.configured_count.get(&node).copied().unwrap_or(self.incarnations.len());
+        let count =
+            self.configured_controller_count.get(&node).copied().unwrap_or(self.incarnations.len());
         let mut platform = platform(node, count, self.team_cpu_limit);
         let announced = self.announced_limits.clone();
         platform.params.state.next =
@@ -70,7 +71,7 @@
         platform.check().unwrap();
         let default = Operator::default();
         let operator = Operator {
-            new_format: !self.legacy_controllers.contains(&node),
+            new_format: !self.first_version_controllers.contains(&node),
             withhold: self.withheld_features.get(&node).cloned().unwrap_or_default(),
             share_pages_below: if self.batch_small_jobs { 1.0 } else { 0.5 },
             idle_ratio: if self.keep_idle_machines { 1_000.0 } else { default.idle_ratio },
@@ -147,7 +148,7 @@
 
     /// Replaces a controller by one of another build, which starts after `ms`.
     pub fn replace_build(&mut self, node: usize, table: &'static GateTable, ms: u64) {
-        self.legacy_controllers.remove(&node);
+        self.first_version_controllers.remove(&node);
         self.feature_tables.insert(node, table);
         self.crash_for_ms(node, ms);
     }
--- a/crates/core/tests/simulation/cluster/faults.rs
+++ b/crates/core/tests/simulation/cluster/faults.rs
@@ -48,7 +48,7 @@
     /// The last task of a job completed.
     LastTaskEnded,
     /// A machine was ordered to forget an exited task and did so.
-    ExitCleared,
+    ExitedTaskForgotten,
 }
 
 /// A milestone and the simulated time at which it was reached.
--- a/crates/core/tests/simulation/cluster/invariants.rs
+++ b/crates/core/tests/simulation/cluster/invariants.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::workers::HeldTask;
-use super::{job_of, Cluster, Worker, CANCEL_MS, LEASE_MS, MEMORY_GB};
+use super::{job_of, Cluster, Worker, ABORT_DEADLINE_MS, MEMORY_GB, WORKER_LEASE_MS};
 use quartzgate_core::records::{
     read_placement, BatchRecord, EpochRecord, JobRecord, RecordedStatus, BATCH_PREFIX, EPOCH_KEY,
     FORMAT_KEY, PLACEMENT_PREFIX,
@@ -50,7 +50,7 @@
 
 impl Cluster {
     /// Asserts that no invariant has been violated so far.
-    pub fn check_invariants(&self) {
+    pub fn assert_no_violations(&self) {
         assert!(self.violations.is_empty(), "seed {}: {:#?}", self.seed, self.violations);
     }
 
@@ -64,7 +64,7 @@
     pub(super) fn check_start(&mut self, machine: &str, task: &str, spec: &JobSpec) {
         self.check_runs_once(machine, task);
         let (now, aborted) = (self.now, self.abort_confirmed_at.get(&spec.id).copied());
-        if aborted.is_some_and(|at| now > at + CANCEL_MS) {
+        if aborted.is_some_and(|at| now > at + ABORT_DEADLINE_MS) {
             self.violation(format!("ran_cancelled {task} at {now}"));
         }
         self.check_dependencies_are_done(task, spec);
@@ -177,7 +177,7 @@
     /// `ran_cancelled`: no task is live more than `cancel_s` after its job's confirmed abort.
     pub(super) fn check_not_aborted(&mut self, machine: &str, task: &str, held: &HeldTask) {
         let (now, aborted) = (self.now, self.abort_confirmed_at.get(job_of(task)).copied());
-        if aborted.is_some_and(|at| now > at + CANCEL_MS) && held.is_live() {
+        if aborted.is_some_and(|at| now > at + ABORT_DEADLINE_MS) && held.is_live() {
             self.violation(format!("ran_cancelled {task} still on {machine} at {now}"));
         }
     }
@@ -212,12 +212,12 @@
 
     /// Checks a start order that is sent after its job's abort was confirmed. The process that
     /// confirmed the abort must never send one; any other process may, but only while it may still
-    /// be unaware of the abort: until `CANCEL_MS - LEASE_MS` after the confirmation.
+    /// be unaware of the abort: until `ABORT_DEADLINE_MS - WORKER_LEASE_MS` after the confirmation.
     fn check_start_after_abort(&mut self, by: usize, task: &str, after_ms: u64) {
         let (incarnation, job) = (self.incarnations[by], job_of(task).to_string());
         let confirmation = AbortConfirmation { node: by, incarnation, job };
         let confirmed_by_sender = self.abort_confirmed_by.contains(&confirmation);
-        if confirmed_by_sender || after_ms > CANCEL_MS - LEASE_MS {
+        if confirmed_by_sender || after_ms > ABORT_DEADLINE_MS - WORKER_LEASE_MS {
             self.violation(format!(
                 "{task} started by n{by} {after_ms} ms after its abort, confirmed there: \
                  {confirmed_by_sender}"
@@ -266,7 +266,7 @@
         let gates = FeatureGates::new(self.feature_table(node), BTreeSet::new());
         let understood = gates.interpret(Some(activated.clone()));
         matches!(understood, ActivationStatus::Active(_))
-            && !self.legacy_controllers.contains(&node)
+            && !self.first_version_controllers.contains(&node)
     }
 
     /// Checks that each accepted job is stored in a batch record or a record of its own, and that
@@ -321,7 +321,7 @@
     pub fn assert_recovered(&mut self) {
         self.assert_no_accepted_job_is_lost();
         self.assert_no_job_waits_beside_free_capacity();
-        self.check_invariants();
+        self.assert_no_violations();
     }
 
     /// Asserts that, after all faults have ended, every ready controller answers a query of every
@@ -347,7 +347,7 @@
             "seed {}: queries without an answer within 75 s: {open:?}, status codes {answers:?}",
             self.seed
         );
-        self.check_invariants();
+        self.assert_no_violations();
     }
 
     /// Returns the controllers that answer 200 to `/ready`.
--- a/crates/core/tests/simulation/cluster/network.rs
+++ b/crates/core/tests/simulation/cluster/network.rs
@@ -65,12 +65,12 @@
     }
 
     /// Partitions a controller from the state service.
-    pub fn cut_from_state_service(&mut self, node: usize, fault: LinkFault) {
+    pub fn cut_controller_from_state_service(&mut self, node: usize, fault: LinkFault) {
         self.cut_link(Endpoint::Controller(node), Endpoint::StateService, fault);
     }
 
     /// Partitions a controller from a machine.
-    pub fn cut_from_worker(&mut self, node: usize, machine: String, fault: LinkFault) {
+    pub fn cut_controller_from_worker(&mut self, node: usize, machine: String, fault: LinkFault) {
         self.cut_link(Endpoint::Controller(node), Endpoint::Worker(machine), fault);
     }
 
--- a/crates/core/tests/simulation/cluster/state_service.rs
+++ b/crates/core/tests/simulation/cluster/state_service.rs
@@ -108,7 +108,7 @@
     /// Watches of the handoff queue receive no changes.
     pub handoff_watch_silent: bool,
     /// Transactions that set a key containing this text are refused with 400.
-    pub refused_key_part: Option<String>,
+    pub refused_key_substring: Option<String>,
     pub limits: Option<StateLimits>,
     /// Number of revisions that the change log retains; a watch that starts earlier gets 410.
     pub retained_changes: Option<u64>,
@@ -247,7 +247,7 @@
         // The first released version announces no formats: its write is acknowledged but not
         // applied.
         let announces = changes().any(|change| sets_under(change, FORMAT_NODE_PREFIX));
-        if self.legacy_controllers.contains(&from) && announces {
+        if self.first_version_controllers.contains(&from) && announces {
             let answer =
                 TransactionAnswer { store_revision: self.state.revision, failed: Vec::new() };
             let response = Response::new(200, to_cbor(&answer));
@@ -314,7 +314,7 @@
     }
 
     /// Replaces the value of an existing key, for example by a malformed one; its revision stays.
-    pub fn damage_value(&mut self, key: &str, value: Value) {
+    pub fn replace_value_keeping_revision(&mut self, key: &str, value: Value) {
         self.state.keys.get_mut(key).unwrap().value = value;
     }
 
@@ -406,8 +406,9 @@
     /// Returns the status code with which the limits refuse a transaction, if they do.
     fn refusal_by_limits(&mut self, txn: &Transaction) -> Option<u16> {
         let limits = self.state.limits.unwrap_or(StateLimits::NONE);
-        let refused_key_part = self.state.refused_key_part.as_ref();
-        let is_malformed = |key: &String| refused_key_part.is_some_and(|part| key.contains(part));
+        let refused_key_substring = self.state.refused_key_substring.as_ref();
+        let is_malformed =
+            |key: &String| refused_key_substring.is_some_and(|part| key.contains(part));
         let size = |value: &Value| serde_json::to_string(value).unwrap().len();
         let is_refused = |change: &Change| match change {
             Change::Set { set, value, .. } => {
--- a/crates/core/tests/simulation/cluster/users.rs
+++ b/crates/core/tests/simulation/cluster/users.rs
@@ -4,7 +4,7 @@
 use super::clock::SimulationEvent;
 use super::invariants::AbortConfirmation;
 use super::network::Requester;
-use super::{job, Cluster, Milestone, CANCEL_MS};
+use super::{job, Cluster, Milestone, ABORT_DEADLINE_MS};
 use ciborium::value::Value;
 use quartzgate_core::Event;
 use quartzgate_wire::http::{Request, Response};
@@ -210,7 +210,7 @@
     }
 
     /// Returns whether an accepted job is done or, for a service, runs with all its replicas.
-    pub fn is_served(&self, id: &str) -> bool {
+    pub fn is_done_or_running(&self, id: &str) -> bool {
         let spec = &self.jobs[id];
         match spec.shape {
             JobKind::Service => self.live_tasks(id).len() as u32 == spec.tasks,
@@ -250,7 +250,7 @@
 
     /// Sends one of these at random: a repeated submission of a job that is not aborted, the abort
     /// of a job that is done, a job that fits no machine, or a submission that lacks a field.
-    pub fn send_odd_request(&mut self, node: usize) {
+    pub fn send_repeated_or_invalid_request(&mut self, node: usize) {
         let observed: Vec<(String, JobStatus)> =
             self.observed_status.iter().map(|(id, status)| (id.clone(), *status)).collect();
         let kind = self.rng.random_range(0..6u32);
@@ -440,7 +440,7 @@
         let dependencies = self.transitive_dependencies(id);
         let aborted = dependencies.iter().filter_map(|id| self.abort_confirmed_at.get(id)).min();
         let is_open = matches!(status, JobStatus::Queued | JobStatus::Running);
-        if is_open && aborted.is_some_and(|at| self.now > at + CANCEL_MS) {
+        if is_open && aborted.is_some_and(|at| self.now > at + ABORT_DEADLINE_MS) {
             self.violation(format!("orphaned {id}: {status:?}"));
         }
         if status == JobStatus::Aborted && !self.abort_was_requested(id) {
@@ -457,7 +457,7 @@
             self.abort_confirmed_at.insert(id.into(), self.now);
             self.record_milestone(Milestone::AbortConfirmed);
             let deadline = SimulationEvent::AbortDeadline { job: id.into() };
-            self.schedule_after(CANCEL_MS + 1, deadline);
+            self.schedule_after(ABORT_DEADLINE_MS + 1, deadline);
         }
     }
 
--- a/crates/core/tests/simulation/cluster/workers.rs
+++ b/crates/core/tests/simulation/cluster/workers.rs
@@ -6,7 +6,9 @@
 
 use super::clock::SimulationEvent;
 use super::network::{HeldCall, Requester};
-use super::{job_of, machine_name, Cluster, Endpoint, Milestone, LEASE_MS, REPORT_MS};
+use super::{
+    job_of, machine_name, Cluster, Endpoint, Milestone, HEARTBEAT_INTERVAL_MS, WORKER_LEASE_MS,
+};
 use quartzgate_core::Event;
 use quartzgate_wire::http::{Request, Response};
 use quartzgate_wire::msg::{
@@ -155,7 +157,7 @@
             fencing_token: 0,
             controller: 0,
             lease_start_ms: self.now,
-            lease_ms: LEASE_MS + self.clock_skew * LEASE_MS / 2_000,
+            lease_ms: WORKER_LEASE_MS + self.clock_skew * WORKER_LEASE_MS / 2_000,
             tasks: BTreeMap::new(),
             dead: false,
             hung_until_ms: 0,
@@ -244,14 +246,14 @@
 
     /// Sends a worker's heartbeat and schedules the next one.
     pub(super) fn send_heartbeat(&mut self, name: &str) {
-        let jitter_ms = self.rng.random_range(0..REPORT_MS / 2);
+        let jitter_ms = self.rng.random_range(0..HEARTBEAT_INTERVAL_MS / 2);
         let now = self.now;
         let Some(worker) = self.workers.get(name) else { return };
         if worker.dead {
             return;
         }
         let next = SimulationEvent::HeartbeatDue { machine: name.into() };
-        self.schedule_after(REPORT_MS * 3 / 4 + jitter_ms, next);
+        self.schedule_after(HEARTBEAT_INTERVAL_MS * 3 / 4 + jitter_ms, next);
         let worker = self.workers.get_mut(name).unwrap();
         if now < worker.hung_until_ms || worker.awaits_answer {
             return;
@@ -451,7 +453,7 @@
         let exited = |held: &HeldTask| held.attempt == attempt && !held.is_live();
         if worker.tasks.get(task).is_some_and(exited) {
             worker.tasks.remove(task);
-            self.record_milestone(Milestone::ExitCleared);
+            self.record_milestone(Milestone::ExitedTaskForgotten);
         }
     }
 
--- a/crates/core/tests/simulation/dependencies.rs
+++ b/crates/core/tests/simulation/dependencies.rs
@@ -4,7 +4,7 @@
 //! dependencies was aborted.
 
 use crate::cluster::{
-    job, with_dependencies, Cluster, LateRefusal, LinkFault, StateLimits, CANCEL_MS,
+    job, with_dependencies, Cluster, LateRefusal, LinkFault, StateLimits, ABORT_DEADLINE_MS,
 };
 use quartzgate_core::records::RecordedStatus;
 use quartzgate_wire::msg::{JobKind, JobStatus, Priority};
@@ -55,7 +55,7 @@
     assert!(metrics["latency_ms.chain_start.count"] >= 3.0);
     assert!(metrics["latency_ms.chain_start.p50"] < 1_000.0);
     assert!(metrics["latency_ms.write.p50"] <= metrics["latency_ms.write.max"]);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Every controller immediately refuses dependencies on jobs that were never accepted, on services
@@ -99,7 +99,7 @@
             assert_eq!(request(&mut cluster, dependencies), 200);
         }
     }
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Guards against starting dependents too early: all tasks of a job are done, but the leader cannot
@@ -127,7 +127,7 @@
         cluster.crash_for_ms(leader, 4_000);
         cluster.state.late_refusal = None;
         cluster.run_until_done("wk-000002", 60_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -171,11 +171,11 @@
                     cluster.retry_until(20_000, |cluster, n| cluster.query(n, id), |s| s == 200);
                     assert_eq!(cluster.observed_status.get(id), Some(&JobStatus::Aborted), "{id}");
                 }
-                cluster.run_for_ms(CANCEL_MS);
+                cluster.run_for_ms(ABORT_DEADLINE_MS);
                 assert!(!cluster.task_starts.contains_key("wk-000002/0"));
             }
         }
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
     assert!(
         outcomes[0] > 0 && outcomes[1] > 0,
@@ -242,7 +242,7 @@
             .iter()
             .all(|id| cluster.recorded_status(id) == Some(RecordedStatus::Aborted))
     });
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Failover at varying times while dependency chains run: from the records alone, the new leader
@@ -287,7 +287,7 @@
             cluster.retry_until(20_000, |cluster, n| cluster.query(n, id), |s| s == 200);
             assert_eq!(cluster.observed_status.get(id), Some(&JobStatus::Aborted), "{id}");
         }
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -328,12 +328,12 @@
     }
     cluster.abort_until_confirmed("wk-000139");
     // The abort of one dependency of the fan-in aborts everything that depends on it.
-    cluster.run_for_ms(CANCEL_MS);
+    cluster.run_for_ms(ABORT_DEADLINE_MS);
     let fan_in_status = cluster.observed_status["wk-000139"];
     cluster.retry_until(20_000, |cluster, n| cluster.query(n, &chain_end), |s| s == 200);
     assert_eq!(fan_in_status, JobStatus::Aborted);
     assert_eq!(cluster.observed_status[&chain_end], JobStatus::Aborted);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// A damaged job record within a chain blocks the jobs that depend on it, also after a failover,
@@ -361,7 +361,7 @@
     cluster.run_for_ms(2_500);
     assert_eq!(cluster.status_code(request), 503, "the state of the dependency is unknown");
     assert!(cluster.live_tasks("wk-000002").is_empty());
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// A job on which a high-priority job depends starts before other jobs of its own priority. It
@@ -410,7 +410,7 @@
             ),
             !abort_dependent
         );
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -441,7 +441,7 @@
         cluster.task_starts.contains_key("wk-000002/0")
     });
     cluster.run_until_done("wk-000002", 20_000);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Restarts all controllers as the first version with announced limits, submits a large job and
@@ -449,12 +449,12 @@
 fn upgrade_controllers(cluster: &mut Cluster, rng: &mut SmallRng) {
     cluster.announced_limits =
         Some(serde_json::json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 20.0}));
-    cluster.legacy_controllers = (0..3).collect();
+    cluster.first_version_controllers = (0..3).collect();
     cluster.crash_all_for_ms(10);
     cluster.run_for_ms(3_000);
     cluster.submit_until_accepted(&job("wk-000090", JobKind::Array, 130));
     for n in 0..3 {
-        cluster.legacy_controllers.remove(&n);
+        cluster.first_version_controllers.remove(&n);
         cluster.crash_for_ms(n, 500);
         cluster.run_for_ms(rng.random_range(600..4_000));
     }
@@ -468,7 +468,7 @@
     match rng.random_range(0..9) {
         0 => cluster.crash_for_ms(node, 3_000),
         1 => cluster.crash_all_for_ms(2_000),
-        2 => cluster.cut_from_state_service(node, link_fault),
+        2 => cluster.cut_controller_from_state_service(node, link_fault),
         3 => {
             cluster.state.refused_nodes.insert(node);
         }
--- a/crates/core/tests/simulation/failover.rs
+++ b/crates/core/tests/simulation/failover.rs
@@ -19,7 +19,7 @@
         cluster.run_for_ms(5_000);
         cluster.state.refused_nodes.clear();
         cluster.run_until_done("wk-000001", 120_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -34,12 +34,12 @@
         cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 40));
         cluster.run_for_ms(step * 130);
         let old_leader = cluster.leader().unwrap();
-        cluster.cut_from_state_service(old_leader, LinkFault::Hold);
+        cluster.cut_controller_from_state_service(old_leader, LinkFault::Hold);
         cluster.run_until_leader_changes(20_000, old_leader);
         cluster.run_for_ms(step * 3);
         cluster.heal_links();
         cluster.run_until_done("wk-000001", 120_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -55,7 +55,11 @@
         let old_leader = cluster.leader().unwrap();
         // The start orders are sent, but the network holds them back.
         for machine in 0..4 {
-            cluster.cut_from_worker(old_leader, format!("vm-{machine:06}"), LinkFault::Hold);
+            cluster.cut_controller_from_worker(
+                old_leader,
+                format!("vm-{machine:06}"),
+                LinkFault::Hold,
+            );
         }
         cluster.task_duration_ms.insert("wk-000002".into(), 15_000);
         let spec = job("wk-000002", JobKind::Array, 8);
@@ -68,7 +72,7 @@
         cluster.run_for_ms(3_000);
         cluster.start_controller(old_leader);
         cluster.run_until_done("wk-000002", 60_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -83,13 +87,14 @@
         // renewed.
         cluster.task_duration_ms.insert("wk-000001".into(), 4_000);
         let held = ["vm-000000", "vm-000002"];
-        held.iter().for_each(|m| cluster.cut_from_worker(0, m.to_string(), LinkFault::Hold));
+        held.iter()
+            .for_each(|m| cluster.cut_controller_from_worker(0, m.to_string(), LinkFault::Hold));
         cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 8));
         cluster.run_for_ms(3_000);
         cluster.heal_links();
         cluster.run_for_ms(500);
         cluster.run_until_done("wk-000001", 90_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -109,7 +114,7 @@
         cluster.submit_until_accepted(&spec);
         cluster.run_until_done("wk-000001", 90_000);
         cluster.run_for_ms(3_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -133,7 +138,7 @@
         cluster.run_for_ms(3_000);
         cluster.submit_until_accepted(&spec);
         cluster.run_until_done("wk-000001", 90_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -160,7 +165,7 @@
         cluster.submit_until_accepted(&unconfirmed);
         cluster.run_until_done("wk-000001", 60_000);
         cluster.run_until_done("wk-000002", 60_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -178,7 +183,7 @@
         let old_leader = cluster.leader().unwrap();
         let machine = cluster.live_tasks("wk-000001")[0].machine.clone();
         for n in (0..3).filter(|n| *n != old_leader) {
-            cluster.cut_from_worker(n, machine.clone(), LinkFault::Drop);
+            cluster.cut_controller_from_worker(n, machine.clone(), LinkFault::Drop);
             cluster.cut_controllers(n, old_leader, LinkFault::Drop);
         }
         cluster.state.refused_nodes.insert(old_leader);
@@ -186,7 +191,7 @@
         cluster.heal_links();
         cluster.state.refused_nodes.clear();
         cluster.run_until_done("wk-000001", 300_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -199,7 +204,7 @@
     cluster.run_for_ms(2_000);
     let old_leader = cluster.leader().unwrap();
     let mut heartbeat = cluster.heartbeat_of("vm-000000").unwrap();
-    cluster.cut_from_worker(old_leader, "vm-000000".into(), LinkFault::Drop);
+    cluster.cut_controller_from_worker(old_leader, "vm-000000".into(), LinkFault::Drop);
     cluster.run_for_ms(1_500);
     // The machine has seen a later epoch and holds a task that the old leader would stop.
     let later_epoch = (heartbeat.fencing_token >> 24) + 1;
@@ -226,13 +231,13 @@
         cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 1));
         let old_leader = cluster.leader().unwrap();
         // The first machine reaches only the old leader, the second only the other controllers.
-        cluster.cut_from_state_service(old_leader, LinkFault::Drop);
+        cluster.cut_controller_from_state_service(old_leader, LinkFault::Drop);
         let (first_machine, second_machine) = (cluster.add_worker(), cluster.add_worker());
         cluster.workers.get_mut(&first_machine).unwrap().controller = old_leader;
         cluster.workers.get_mut(&second_machine).unwrap().controller = (old_leader + 1) % 3;
         for n in 0..3 {
             let unreachable = if n == old_leader { &second_machine } else { &first_machine };
-            cluster.cut_from_worker(n, unreachable.clone(), LinkFault::Drop);
+            cluster.cut_controller_from_worker(n, unreachable.clone(), LinkFault::Drop);
         }
         cluster.run_for_ms(1_200);
         cluster.crash(old_leader);
@@ -241,7 +246,7 @@
         });
         cluster.run_for_ms(20_000);
         assert_eq!(cluster.live_tasks("wk-000001").len(), 1);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -264,5 +269,5 @@
     cluster.run_until_leader_changes(10_000, old_leader);
     cluster.run_for_ms(8_000);
     assert_eq!((cluster.workers.len(), cluster.live_tasks("wk-000001").len()), (4, 8));
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
--- a/crates/core/tests/simulation/fault_search.rs
+++ b/crates/core/tests/simulation/fault_search.rs
@@ -10,7 +10,7 @@
 
 use crate::cluster::{
     job, job_id, machine_name, with_dependencies, Cluster, Endpoint, InboundLoss, LinkFault,
-    Milestone, RandomDelay, CANCEL_MS, LEASE_MS, REPORT_MS,
+    Milestone, RandomDelay, ABORT_DEADLINE_MS, HEARTBEAT_INTERVAL_MS, WORKER_LEASE_MS,
 };
 use std::collections::BTreeMap;
 
@@ -29,9 +29,9 @@
 /// Time from the start of the run by which the drawn faults are to be over.
 const LAST_FAULT_MS: u64 = 70_000;
 /// Length of a controller's lease in the state service.
-const MEMBER_LEASE_MS: u64 = LEASE_MS / 4;
+const MEMBER_LEASE_MS: u64 = WORKER_LEASE_MS / 4;
 /// How long a leader may issue orders without its lease.
-const LEASE_BOUND_MS: u64 = CANCEL_MS - LEASE_MS - 600;
+const LEASE_BOUND_MS: u64 = ABORT_DEADLINE_MS - WORKER_LEASE_MS - 600;
 
 /// A controller, given as its offset from the one that leads when the fault is injected, modulo
 /// the number of controllers.
@@ -107,7 +107,7 @@
         share: f64,
     },
     /// Users repeat submissions, abort completed jobs, and submit jobs that cannot run.
-    OddRequests,
+    RepeatedOrInvalidRequests,
 }
 
 /// A milestone of the run and the time after it at which a fault is injected.
@@ -150,14 +150,20 @@
 /// Draws the interval from a change to a fault shortly after it: 20 to 700 ms more than 0 ms,
 /// 200 ms, a heartbeat interval or a controller's lease.
 fn shortly_after(rng: &mut SmallRng) -> u64 {
-    let intervals = [0, 200, REPORT_MS, MEMBER_LEASE_MS];
+    let intervals = [0, 200, HEARTBEAT_INTERVAL_MS, MEMBER_LEASE_MS];
     intervals.choose(rng).unwrap() + rng.random_range(20..700)
 }
 
 /// Draws a duration near a deadline of the protocol: the leases of controllers and workers, the
 /// lease bound, and the time by which an abort takes effect.
 fn near_a_deadline(rng: &mut SmallRng) -> u64 {
-    let deadlines = [MEMBER_LEASE_MS, LEASE_MS, LEASE_BOUND_MS, CANCEL_MS, CANCEL_MS + REPORT_MS];
+    let deadlines = [
+        MEMBER_LEASE_MS,
+        WORKER_LEASE_MS,
+        LEASE_BOUND_MS,
+        ABORT_DEADLINE_MS,
+        ABORT_DEADLINE_MS + HEARTBEAT_INTERVAL_MS,
+    ];
     (deadlines.choose(rng).unwrap() + rng.random_range(0..1_200)).saturating_sub(300)
 }
 
@@ -191,7 +197,7 @@
         19 => FaultKind::LostHeartbeats { first: machine, count: machine_count },
         20 => FaultKind::QueryOnChange,
         21 => FaultKind::AbortAtCompletion { share: 0.6 },
-        22 => FaultKind::OddRequests,
+        22 => FaultKind::RepeatedOrInvalidRequests,
         23 => FaultKind::Crash { leader_offset: 0 },
         14 if silent => FaultKind::CrashAll,
         14 => FaultKind::MachineReboot { machine },
@@ -215,7 +221,7 @@
         Milestone::LeaderElected,
         Milestone::WriteUnanswered,
         Milestone::LastTaskEnded,
-        Milestone::ExitCleared,
+        Milestone::ExitedTaskForgotten,
     ];
     let milestone = match previous.filter(ends_leadership) {
         Some(_) if rng.random_bool(0.6) => Milestone::LeaderElected,
@@ -327,7 +333,7 @@
     start_ms: u64,
     rng: SmallRng,
     faults: Vec<ScheduledFault>,
-    sends_odd_requests: bool,
+    sends_repeated_or_invalid_requests: bool,
     intents: Vec<ScheduledIntent>,
     /// Jobs that users intend to abort.
     to_abort: Vec<String>,
@@ -348,7 +354,7 @@
             cluster,
             rng,
             faults: faults.iter().map(scheduled).collect(),
-            sends_odd_requests: false,
+            sends_repeated_or_invalid_requests: false,
             intents: Vec::new(),
             to_abort: Vec::new(),
             open_requests: BTreeMap::new(),
@@ -397,9 +403,9 @@
         while self.cluster.now < self.start_ms + LAST_FAULT_MS + 1_000 {
             let at_ms = self.cluster.now - self.start_ms;
             self.inject_and_clear_faults(at_ms);
-            if self.sends_odd_requests && at_ms.is_multiple_of(100) {
+            if self.sends_repeated_or_invalid_requests && at_ms.is_multiple_of(100) {
                 let node = self.rng.random_range(0..NODES);
-                self.cluster.send_odd_request(node);
+                self.cluster.send_repeated_or_invalid_request(node);
             }
             (0..self.intents.len()).for_each(|index| self.send_request_if_due(index, at_ms));
             if at_ms >= self.last_query_ms + 500 {
@@ -470,7 +476,7 @@
                 cluster.state.delayed_writes = Some(delay);
             }
             FaultKind::DuplicateHeartbeats { share } => {
-                let delay = RandomDelay { share, from_ms: 2_000, to_ms: 2 * LEASE_MS };
+                let delay = RandomDelay { share, from_ms: 2_000, to_ms: 2 * WORKER_LEASE_MS };
                 cluster.duplicate_heartbeats = Some(delay);
             }
             FaultKind::LostInbound { first, count, loss } => {
@@ -500,7 +506,7 @@
             }
             FaultKind::QueryOnChange => cluster.query_on_change = true,
             FaultKind::AbortAtCompletion { share } => cluster.abort_at_completion = share,
-            FaultKind::OddRequests => self.sends_odd_requests = true,
+            FaultKind::RepeatedOrInvalidRequests => self.sends_repeated_or_invalid_requests = true,
             _ => {}
         }
     }
@@ -529,7 +535,7 @@
             FaultKind::LostHeartbeats { .. } => cluster.lost_heartbeats.clear(),
             FaultKind::QueryOnChange => cluster.query_on_change = false,
             FaultKind::AbortAtCompletion { .. } => cluster.abort_at_completion = 0.0,
-            FaultKind::OddRequests => self.sends_odd_requests = false,
+            FaultKind::RepeatedOrInvalidRequests => self.sends_repeated_or_invalid_requests = false,
             _ => {}
         }
         self.faults[index].state = FaultState::Cleared { target };
@@ -574,7 +580,9 @@
             .filter(|id| !self.to_abort.contains(id) && !self.cluster.abort_was_requested(id))
             .cloned()
             .collect();
-        while self.cluster.now < until_ms && !expected.iter().all(|id| self.cluster.is_served(id)) {
+        while self.cluster.now < until_ms
+            && !expected.iter().all(|id| self.cluster.is_done_or_running(id))
+        {
             self.query_anywhere(&expected);
             self.cluster.run_for_ms(1_000);
             if !self.cluster.violations.is_empty() {
@@ -582,7 +590,7 @@
             }
         }
         let unserved: Vec<&String> =
-            expected.iter().filter(|id| !self.cluster.is_served(id)).collect();
+            expected.iter().filter(|id| !self.cluster.is_done_or_running(id)).collect();
         if !unserved.is_empty() {
             let violation = format!("accepted, but neither done nor running: {unserved:?}");
             self.cluster.violations.push(violation);
--- a/crates/core/tests/simulation/fleet_size.rs
+++ b/crates/core/tests/simulation/fleet_size.rs
@@ -5,7 +5,7 @@
 use quartzgate_core::records::RecordedStatus;
 use quartzgate_wire::msg::JobKind;
 
-use crate::cluster::{job, Cluster, LinkFault, UnansweredWrite, WriteFault, LEASE_MS};
+use crate::cluster::{job, Cluster, LinkFault, UnansweredWrite, WriteFault, WORKER_LEASE_MS};
 
 const JOB: &str = "wk-000001";
 
@@ -63,7 +63,7 @@
     assert_eq!(cluster.leader(), Some(leader));
     assert_eq!(cluster.redirects - redirects_before, 0, "redirected after the stall");
     assert_no_lease_expired(&cluster);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// A follower that receives the heartbeats of the whole fleet must redirect the machines of the
@@ -77,7 +77,7 @@
     cluster.crash_for_ms(follower, 100);
     cluster.run_for_ms(1_500);
     send_all_heartbeats_to(&mut cluster, follower);
-    cluster.run_for_ms(2 * LEASE_MS + 5_000);
+    cluster.run_for_ms(2 * WORKER_LEASE_MS + 5_000);
     let of_other_zone = || cluster.workers.values().filter(|worker| worker.zone == "b");
     let at_follower = of_other_zone().filter(|worker| worker.controller == follower).count();
     // Some machines return to the follower later and are still within their two leases.
@@ -91,7 +91,7 @@
         "only {at_leader} machines of the other zone are at the leader"
     );
     assert_no_lease_expired(&cluster);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// The leader is cut from all workers and from its peers, and one follower serves the whole fleet
@@ -119,7 +119,7 @@
     cluster.heal_links();
     cluster.cut_from_all_workers.clear();
     cluster.run_for_ms(5_000);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// When another controller becomes leader while every machine holds its lease, no machine may lose
@@ -136,7 +136,7 @@
     cluster.run_until_done(JOB, 60_000);
     assert_no_lease_expired(&cluster);
     assert_eq!(total_starts(&cluster), 60, "each task started once");
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// All controllers crash at once and restart within a heartbeat interval; no machine may lose its
@@ -151,7 +151,7 @@
     cluster.run_until_done(JOB, 60_000);
     assert_no_lease_expired(&cluster);
     assert_eq!(total_starts(&cluster), 60, "each task started once");
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// As many simultaneous status queries as there are machines in the largest fleet are all answered
@@ -173,7 +173,7 @@
     let answered = queries.iter().filter(|query| cluster.status_code(**query) == 200).count();
     assert_eq!(answered, MIN_FLEET);
     assert_eq!(measured(&mut cluster) - measured_before, MIN_FLEET as f64);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// The writes of acceptances get no answer and are applied later, for as many jobs as the write
@@ -202,5 +202,5 @@
     assert!(recorded.len() > 500, "only {} are recorded", recorded.len());
     let lost = recorded.iter().filter(|id| !cluster.completed_tasks.contains_key(*id)).count();
     assert_eq!(lost, 0, "recorded jobs that were not run");
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
--- a/crates/core/tests/simulation/format_upgrade.rs
+++ b/crates/core/tests/simulation/format_upgrade.rs
@@ -6,7 +6,7 @@
 //! represents the first version. The frozen types below are copies of the first version's types.
 //! Everything that is written before the activation is compared with them.
 
-use crate::cluster::{job, with_dependencies, Cluster, LinkFault, StateLimits, CANCEL_MS};
+use crate::cluster::{job, with_dependencies, Cluster, LinkFault, StateLimits, ABORT_DEADLINE_MS};
 use crate::rolling_upgrades::FORMAT_2_BUILD;
 use ciborium::value::Value;
 use quartzgate_core::records::{
@@ -275,11 +275,11 @@
 
 /// Returns a cluster whose controllers are all of the first version, with array, service and gang
 /// jobs and announced limits of the state service.
-fn legacy_cluster(workers: usize, seed: u64) -> Cluster {
+fn first_version_cluster(workers: usize, seed: u64) -> Cluster {
     let mut cluster = Cluster::new(3, workers, 0.0, seed);
     cluster.announced_limits =
         Some(serde_json::json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 30.0}));
-    cluster.legacy_controllers = (0..3).collect();
+    cluster.first_version_controllers = (0..3).collect();
     cluster.restart_all_controllers();
     cluster.run_for_ms(1_500);
     cluster.task_duration_ms.insert("wk-000001".into(), 20_000);
@@ -300,12 +300,12 @@
 #[test]
 fn format_activates_during_a_rolling_upgrade_with_failovers() {
     for case in 0..6u64 {
-        let mut cluster = legacy_cluster(60, 200 + case);
+        let mut cluster = first_version_cluster(60, 200 + case);
         let dependent = with_dependencies(job("wk-000009", JobKind::Array, 2), &["wk-000003"]);
         for n in 0..3 {
             // The controller to be replaced may be the leader, or a follower of an upgraded leader.
             let n = (n + case as usize) % 3;
-            cluster.legacy_controllers.remove(&n);
+            cluster.first_version_controllers.remove(&n);
             cluster.crash_for_ms(n, 500);
             cluster.run_for_ms(2_500);
             if case % 2 == 1 {
@@ -313,7 +313,7 @@
                 cluster.crash_for_ms(leader, 500);
                 cluster.run_for_ms(3_500);
             }
-            if !cluster.legacy_controllers.is_empty() {
+            if !cluster.first_version_controllers.is_empty() {
                 assert!(!cluster.format_is_activated());
                 assert_eq!(cluster.metrics_of(n)["format"], 1.0);
                 let request = cluster.send_request(n, "POST", "/api/jobs", to_cbor(&dependent));
@@ -359,12 +359,12 @@
         cluster.abort_until_confirmed("wk-000004");
         cluster.run_until_done("wk-000009", 60_000);
         cluster.run_until_done("wk-000001", 200_000);
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         assert_eq!(
             (cluster.live_tasks("wk-000002").len(), cluster.live_tasks("wk-000004").len()),
             (5, 0)
         );
-        cluster.check_invariants();
+        cluster.assert_no_violations();
         // The metrics report the format that each controller supports.
         let leader = cluster.leader().unwrap();
         let metrics = cluster.metrics_of(leader);
@@ -377,17 +377,17 @@
 #[test]
 fn format_is_not_activated_while_one_controller_disagrees() {
     let mut cluster = Cluster::new(3, 2, 0.0, 220);
-    cluster.legacy_controllers.insert(2);
+    cluster.first_version_controllers.insert(2);
     cluster.crash(2);
     cluster.start_controller(2);
     for n in [0, 1, 2, 0, 1, 2] {
         cluster.run_for_ms(3_000);
         cluster.crash_for_ms(n, 500);
     }
-    cluster.cut_from_state_service(2, LinkFault::Drop);
+    cluster.cut_controller_from_state_service(2, LinkFault::Drop);
     cluster.run_for_ms(10_000);
     assert!(!cluster.format_is_activated());
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// The state service lowers its limits at varying times around the activation, while large records
@@ -397,9 +397,9 @@
 fn large_records_are_rewritten_when_limits_fall() {
     let mut cases_with_large_records = 0;
     for case in 0..8u64 {
-        let mut cluster = legacy_cluster(60, 230 + case);
+        let mut cluster = first_version_cluster(60, 230 + case);
         for n in 0..3 {
-            cluster.legacy_controllers.remove(&n);
+            cluster.first_version_controllers.remove(&n);
             cluster.crash_for_ms(n, 300);
             cluster.run_for_ms(1_200);
         }
@@ -421,7 +421,7 @@
         cluster.abort_until_confirmed("wk-000004");
         cluster.run_until_done("wk-000005", 200_000);
         cluster.run_until_done("wk-000001", 200_000);
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         assert_eq!(
             (cluster.live_tasks("wk-000002").len(), cluster.live_tasks("wk-000004").len()),
             (5, 0)
@@ -436,7 +436,7 @@
             "{} writes refused by the rate limit",
             cluster.state.refused_for_rate
         );
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
     assert!(
         cases_with_large_records > 3,
@@ -452,13 +452,13 @@
     (0..3).for_each(|n| cluster.replace_build(n, &FORMAT_2_BUILD, 1));
     cluster.run_until(10_000, "the format is activated", Cluster::format_is_activated);
     cluster.run_for_ms(1_500);
-    cluster.state.refused_key_part = Some("shares/wk-000001".into());
+    cluster.state.refused_key_substring = Some("shares/wk-000001".into());
     // The job's record is refused together with its first placement.
     let first_job = job("wk-000001", JobKind::Array, 3);
     cluster.task_duration_ms.insert("wk-000001".into(), 4_000);
     cluster.submit(cluster.leader().unwrap(), &first_job);
     cluster.run_for_ms(500);
-    cluster.state.refused_key_part = Some("shares/wk-000002".into());
+    cluster.state.refused_key_substring = Some("shares/wk-000002".into());
     cluster.submit_until_accepted(&first_job);
     // The second job waits for its dependency and therefore has no placement yet.
     let second_job = with_dependencies(job("wk-000002", JobKind::Array, 3), &["wk-000001"]);
@@ -477,10 +477,10 @@
         !cluster.task_starts.contains_key("wk-000002/0"),
         "a task started before its placement was recorded"
     );
-    cluster.state.refused_key_part = None;
+    cluster.state.refused_key_substring = None;
     cluster.run_until_done("wk-000002", 40_000);
     assert_eq!(cluster.observed_status["wk-000002"], JobStatus::Done);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// After the activation every write fits the announced limits under any load, so that the time at
@@ -516,7 +516,7 @@
     cluster.run_until_done("wk-000001", 90_000);
     cluster.run_until_done("wk-000012", 90_000);
     assert_eq!(cluster.state.refused_for_size, 0, "writes exceeded the announced limits");
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Returns a cluster with two jobs of 64 tasks, in which the first job's placement record is split
@@ -553,7 +553,7 @@
             cluster.task_starts.iter().filter(|(t, s)| t.starts_with("wk-000001/") && s.len() > 1);
         let restarted: Vec<_> = restarted.collect();
         assert_eq!(restarted.len(), 0, "running tasks were started again");
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -568,7 +568,7 @@
         let key = ["shares/wk-000001/0/0", "shares/wk-000001/0/0.1"][case as usize % 2];
         match case {
             2 => drop(cluster.state.keys.remove("shares/wk-000001/0/0.1")),
-            _ => cluster.damage_value(key, damaged),
+            _ => cluster.replace_value_keeping_revision(key, damaged),
         }
         let revision_before = cluster.state.keys.get(key).map(|stored| stored.revision);
         let starts_before: usize =
@@ -577,7 +577,7 @@
         cluster.submit_until_accepted(&job("wk-000003", JobKind::Array, 3));
         cluster.run_until_done("wk-000003", 120_000);
         cluster.run_until_done("wk-000002", 120_000);
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         assert_eq!(
             cluster.state.keys.get(key).map(|stored| stored.revision),
             revision_before,
@@ -589,6 +589,6 @@
         cluster.query(0, "wk-000001");
         cluster.run_for_ms(1_000);
         assert_ne!(cluster.observed_status["wk-000001"], JobStatus::Done);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
--- a/crates/core/tests/simulation/inline_placements.rs
+++ b/crates/core/tests/simulation/inline_placements.rs
@@ -1,6 +1,6 @@
 //! Format 3: the placement of a job that has a single chunk is stored in the job's record.
 
-use crate::cluster::{job, Cluster, LinkFault, StateLimits, CANCEL_MS};
+use crate::cluster::{job, Cluster, LinkFault, StateLimits, ABORT_DEADLINE_MS};
 use crate::rolling_upgrades::FORMAT_2_BUILD;
 use ciborium::value::Value;
 use quartzgate_core::records::{checked_size, JobRecord};
@@ -55,7 +55,7 @@
         );
     }
     assert_eq!((cluster.state.writes - writes_before, separate_placement_count(&cluster)), (16, 0));
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Guards against a new leader that starts a task twice or stops a running one: it recovers the
@@ -104,7 +104,7 @@
             cluster.task_starts.iter().filter(|(t, s)| t.starts_with("wk-000001/") && s.len() > 1);
         assert_eq!(restarted.count(), 0, "running tasks were started again");
         assert_eq!(cluster.live_tasks("wk-000003").len(), 4);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -133,7 +133,7 @@
         cluster.run_until_done("wk-000002", 120_000);
         cluster.run_for_ms(3_000);
         assert_eq!((separate_placement_count(&cluster), cluster.state.refused_for_size), (0, 0));
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
     assert!(
         cases_with_separate_records > 2,
@@ -177,11 +177,11 @@
             cluster.crash_all_for_ms(300);
         }
         cluster.heal_links();
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         assert_eq!(cluster.live_tasks("wk-000001").len(), 0);
         cluster.submit_until_accepted(&job("wk-000002", JobKind::Array, 3));
         cluster.run_until_done("wk-000002", 60_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -200,13 +200,13 @@
         let size = checked_size(&cluster.state.keys["jobs/wk-000001"].value);
         cases_with_full_record += u32::from((1380..=1536).contains(&size));
         let leader = cluster.leader().unwrap();
-        cluster.cut_from_state_service(leader, LinkFault::Drop);
+        cluster.cut_controller_from_state_service(leader, LinkFault::Drop);
         cluster.retry_until(20_000, |cluster, n| cluster.abort(n, "wk-000001"), |s| s == 200);
         assert_eq!(cluster.state.refused_for_size, 0);
         cluster.heal_links();
-        cluster.run_for_ms(CANCEL_MS + 10_000);
+        cluster.run_for_ms(ABORT_DEADLINE_MS + 10_000);
         assert_eq!(cluster.live_tasks("wk-000001").len(), 0);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
     assert!(cases_with_full_record > 0, "no record came close to the size limit");
 }
@@ -227,15 +227,15 @@
             _ => share.piece_count = 2,
         }
         let damaged = Value::serialized(&record).unwrap();
-        cluster.damage_value("jobs/wk-000001", damaged.clone());
+        cluster.replace_value_keeping_revision("jobs/wk-000001", damaged.clone());
         (0..3).for_each(|n| cluster.start_controller(n));
         cluster.run_until_done("wk-000002", 60_000);
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         assert_eq!(
             cluster.state.keys["jobs/wk-000001"].value, damaged,
             "the damaged record was changed"
         );
         assert_ne!(cluster.observed_status["wk-000001"], JobStatus::Done);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
--- a/crates/core/tests/simulation/input_validation.rs
+++ b/crates/core/tests/simulation/input_validation.rs
@@ -188,7 +188,7 @@
         cluster.run_for_ms(200);
         assert_eq!(cluster.status_code(request), 400, "{body:?}");
     }
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// A repeated submission of a known job is accepted even if a field differs, is invalid or absent:
@@ -234,7 +234,7 @@
             let observed = cluster.observed_status[&spec.id];
             assert!(observed == status || observed == JobStatus::Queued, "{observed:?}");
         }
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
--- a/crates/core/tests/simulation/job_batches.rs
+++ b/crates/core/tests/simulation/job_batches.rs
@@ -1,7 +1,7 @@
 //! Format 4: several small jobs are stored together in one batch record.
 
 use crate::cluster::{
-    job, job_id, Cluster, LateRefusal, LinkFault, StateLimits, ThrottledKey, CANCEL_MS,
+    job, job_id, Cluster, LateRefusal, LinkFault, StateLimits, ThrottledKey, ABORT_DEADLINE_MS,
 };
 use crate::random_faults::inject_random_fault;
 use ciborium::value::Value;
@@ -69,7 +69,7 @@
     assert_eq!((batched_jobs(&cluster).len(), batch_records(&cluster).len()), (0, 1));
     let total_writes = cluster.state.writes - writes_before;
     assert!(total_writes <= 40 + 8, "{total_writes} writes for forty jobs");
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Small jobs arrive at three times the write rate of the state service. At least 97% of them are
@@ -98,7 +98,7 @@
     cluster.run_for_ms(20_000);
     let done = cluster.completed_tasks.values().filter(|d| !d.is_empty()).count();
     assert!(done * 100 >= accepted * 97, "{done} of {accepted} are done");
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Guards against a new leader that starts a task twice or stops a running one. It recovers the
@@ -134,9 +134,9 @@
         let restarted =
             cluster.task_starts.iter().filter(|(t, s)| !t.starts_with("wk-000003") && s.len() > 1);
         assert_eq!(restarted.count(), 0, "running tasks were started again");
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         assert_eq!((batched_jobs(&cluster).len(), cluster.live_tasks(&job_id(3)).len()), (0, 0));
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -179,11 +179,11 @@
         |s| s < 300,
     );
     cluster.heal_links();
-    cluster.run_for_ms(CANCEL_MS);
+    cluster.run_for_ms(ABORT_DEADLINE_MS);
     assert_eq!(cluster.live_tasks(&job_id(16)).len(), 0);
     cluster.run_until_done(&job_id(17), 120_000);
     cluster.run_until_done("wk-000099", 60_000);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// A follower updates its copy of the batch records from the changes since its last scan (records
@@ -222,7 +222,7 @@
     cluster.run_for_ms(300);
     assert_eq!((cluster.status_code(unknown), cluster.state.batch_scans), (404, scans));
     cluster.heal_links();
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Status queries use up a follower's read rate limit. Submissions through it are still accepted,
@@ -252,7 +252,7 @@
     let answers: Vec<u16> = requests.iter().map(|request| cluster.status_code(*request)).collect();
     assert!(answers.iter().all(|s| *s == 201), "{answers:?}");
     cluster.heal_links();
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Submits 250 one-task jobs of the given priority and one job class, whose completions exceed the
@@ -301,7 +301,7 @@
                 cluster.run_until_done(&job_id(n), 120_000);
             }
         }
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -339,7 +339,7 @@
         cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 2));
         cluster.run_until_done("wk-000001", 60_000);
         assert!(cluster.task_starts.values().all(|s| s.len() == 1));
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
     assert!(accepted_by_follower > 3, "accepted by a follower: {accepted_by_follower}");
 }
@@ -358,7 +358,7 @@
         match case % 6 {
             0 => cluster.state.unanswered_writes = 1 + case as u32 % 3,
             1 | 2 => {
-                cluster.cut_from_state_service(leader, LinkFault::Hold);
+                cluster.cut_controller_from_state_service(leader, LinkFault::Hold);
                 cluster.run_for_ms(if case % 6 == 1 { 900 } else { 9_000 });
                 cluster.heal_links();
             }
@@ -419,13 +419,13 @@
         cluster.run_for_ms(1_000);
         assert!(cluster.state.throttled_key.is_none());
         (0..16).for_each(|n| cluster.submit_until_accepted(&job(&job_id(n), JobKind::Array, 1)));
-        cluster.check_invariants();
+        cluster.assert_no_violations();
         cluster.crash_all_for_ms(200);
         for n in 0..16 {
             cluster.submit_until_accepted(&job(&job_id(n), JobKind::Array, 1));
             cluster.run_until_done(&job_id(n), 60_000);
         }
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -474,7 +474,7 @@
             cluster.run_for_ms(1_000);
             assert_eq!(cluster.status_code(repeated), 503, "the job was accepted again");
         }
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -540,7 +540,7 @@
                 cluster.abort(node, &id);
             }
             cluster.run_for_ms(rng.random_range(500..6_000));
-            cluster.check_invariants();
+            cluster.assert_no_violations();
         }
         cluster.heal_links();
         cluster.state.refused_nodes.clear();
@@ -553,7 +553,7 @@
                 cluster.run_until_done(&spec.id, 300_000);
             }
         }
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         assert_eq!(batched_jobs(&cluster).len(), 0, "seed {seed}");
         cluster.assert_no_accepted_job_is_lost();
     }
--- a/crates/core/tests/simulation/job_lifecycle.rs
+++ b/crates/core/tests/simulation/job_lifecycle.rs
@@ -21,7 +21,7 @@
     let (query, abort) = (cluster.query(1, "wk-000009"), cluster.abort(2, "wk-000009"));
     cluster.run_for_ms(1_000);
     assert_eq!((cluster.status_code(query), cluster.status_code(abort)), (404, 404));
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Guards against wrong answers to concurrent submissions of the same job: each gets 200, 201 or
@@ -38,7 +38,7 @@
         .iter()
         .all(|request| [200, 201, 503].contains(&cluster.status_code(*request))));
     cluster.run_until_done("wk-000001", 20_000);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Submission is idempotent: every controller answers a repeated submission of a known job,
@@ -58,7 +58,7 @@
         cluster.run_for_ms(500);
         assert_eq!((cluster.status_code(identical), cluster.status_code(changed)), (200, 200));
     }
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Gang scheduling: either all tasks of a gang run in the same attempt or none, so that the loss of
@@ -81,7 +81,7 @@
     let started_at: std::collections::BTreeSet<u64> =
         cluster.task_starts["wk-000001/0"].iter().map(|start| start.at_ms).collect();
     assert!(started_at.len() >= 2);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Returns the number of a job's tasks that run on live machines.
--- a/crates/core/tests/simulation/machine_faults.rs
+++ b/crates/core/tests/simulation/machine_faults.rs
@@ -15,7 +15,7 @@
     for n in 1..5 {
         cluster.run_until_done(&format!("wk-00000{n}"), 60_000);
     }
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Fault attribution: jobs that fail on every machine are retried seldom and do not cause healthy
@@ -58,6 +58,6 @@
             cluster.run_for_ms(500);
             assert_eq!(cluster.status_code(abort), 200);
         }
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
--- a/crates/core/tests/simulation/overlapping_faults.rs
+++ b/crates/core/tests/simulation/overlapping_faults.rs
@@ -2,8 +2,8 @@
 //! the leader alone.
 
 use crate::cluster::{
-    job, job_id, machine_name, Cluster, Endpoint, LinkFault, MidCallHang, RandomDelay, CANCEL_MS,
-    LEASE_MS, REPORT_MS,
+    job, job_id, machine_name, Cluster, Endpoint, LinkFault, MidCallHang, RandomDelay,
+    ABORT_DEADLINE_MS, HEARTBEAT_INTERVAL_MS, WORKER_LEASE_MS,
 };
 use quartzgate_wire::msg::{JobKind, JobStatus};
 
@@ -47,7 +47,7 @@
 /// Makes the state service refuse one controller, by silence or with 503.
 fn refuse_controller(cluster: &mut Cluster, node: usize, silent: bool) {
     match silent {
-        true => cluster.cut_from_state_service(node, LinkFault::Drop),
+        true => cluster.cut_controller_from_state_service(node, LinkFault::Drop),
         false => {
             cluster.state.refused_nodes.insert(node);
         }
@@ -75,16 +75,18 @@
     fn cut_other_routes(self, cluster: &mut Cluster, leader: usize) {
         let siblings = [(leader + 1) % 3, (leader + 2) % 3];
         match self {
-            HeartbeatRoute::Relay => (0..6)
-                .for_each(|m| cluster.cut_from_worker(leader, machine_name(m), LinkFault::Drop)),
+            HeartbeatRoute::Relay => (0..6).for_each(|m| {
+                cluster.cut_controller_from_worker(leader, machine_name(m), LinkFault::Drop)
+            }),
             HeartbeatRoute::Proxy => {
                 for n in siblings {
                     cluster.cut_controllers(leader, n, LinkFault::Drop);
-                    (0..3)
-                        .for_each(|m| cluster.cut_from_worker(n, machine_name(m), LinkFault::Drop));
+                    (0..3).for_each(|m| {
+                        cluster.cut_controller_from_worker(n, machine_name(m), LinkFault::Drop)
+                    });
                 }
                 (3..6).for_each(|m| {
-                    cluster.cut_from_worker(leader, machine_name(m), LinkFault::Drop)
+                    cluster.cut_controller_from_worker(leader, machine_name(m), LinkFault::Drop)
                 });
             }
             HeartbeatRoute::Direct => {}
@@ -120,19 +122,19 @@
         refuse_controller(&mut cluster, old_leader, silent);
         // The time since the refusal is 0 to past the lease bound, in steps of less than a
         // heartbeat interval.
-        cluster.run_for_ms(case * 37 % 66 * (REPORT_MS / 4) + case % 7);
+        cluster.run_for_ms(case * 37 % 66 * (HEARTBEAT_INTERVAL_MS / 4) + case % 7);
         let is_confirmed = abort_within(&mut cluster, &[sibling, other_sibling], &job_id(1), 2_500);
-        cluster.run_for_ms([0, 1, 40, 400, REPORT_MS][case as usize % 5]);
+        cluster.run_for_ms([0, 1, 40, 400, HEARTBEAT_INTERVAL_MS][case as usize % 5]);
         cluster.state.down = true;
         confirmed += u64::from(is_confirmed);
         let outage_began_ms = cluster.now;
         match case / 2 % 4 {
             0 => cluster.crash_for_ms(sibling, 200),
-            1 => cluster.hang_machine(&machine_name(case as usize % 6), LEASE_MS),
-            2 => cluster.stall(old_leader, LEASE_MS + 3_000 + case % 400),
+            1 => cluster.hang_machine(&machine_name(case as usize % 6), WORKER_LEASE_MS),
+            2 => cluster.stall(old_leader, WORKER_LEASE_MS + 3_000 + case % 400),
             _ => {}
         }
-        let outage_ms = if case % 4 == 0 { LEASE_MS / 2 } else { CANCEL_MS + 4_000 };
+        let outage_ms = if case % 4 == 0 { WORKER_LEASE_MS / 2 } else { ABORT_DEADLINE_MS + 4_000 };
         match case / 5 % 3 {
             0 => stop_refusing_controller(&mut cluster, old_leader),
             1 => {
@@ -143,10 +145,10 @@
         }
         cluster.run_for_ms((outage_began_ms + outage_ms).saturating_sub(cluster.now));
         cluster.state.down = false;
-        cluster.run_for_ms(REPORT_MS);
+        cluster.run_for_ms(HEARTBEAT_INTERVAL_MS);
         stop_refusing_controller(&mut cluster, old_leader);
-        cluster.run_for_ms(CANCEL_MS);
-        cluster.check_invariants();
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
+        cluster.assert_no_violations();
         cluster.heal_links();
         cluster.scale_in_disabled = false;
         if is_confirmed {
@@ -207,11 +209,13 @@
         }
         cluster.state.down = true;
         let confirmed_at = cluster.now;
-        cluster.run_until(2 * REPORT_MS, "the tasks of the aborted job are gone", |cluster| {
-            cluster.live_tasks(&job_id(1)).is_empty()
-        });
+        cluster.run_until(
+            2 * HEARTBEAT_INTERVAL_MS,
+            "the tasks of the aborted job are gone",
+            |cluster| cluster.live_tasks(&job_id(1)).is_empty(),
+        );
         stop_times_ms.push(cluster.now - confirmed_at);
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         cluster.state.down = false;
         stop_refusing_controller(&mut cluster, old_leader);
         cluster.run_until_running(90_000, &job_id(2), 3);
@@ -234,8 +238,10 @@
         // Recovery takes many reads, as each list returns only one key.
         cluster.state.max_list_keys = Some(1);
         let old_leader = cluster.leader().unwrap();
-        (0..6).for_each(|m| cluster.cut_from_worker(old_leader, machine_name(m), LinkFault::Drop));
-        cluster.run_for_ms(REPORT_MS * 3);
+        (0..6).for_each(|m| {
+            cluster.cut_controller_from_worker(old_leader, machine_name(m), LinkFault::Drop)
+        });
+        cluster.run_for_ms(HEARTBEAT_INTERVAL_MS * 3);
         let request = cluster.abort(old_leader, &job_id(1));
         while cluster.status_code(request) != 200 {
             cluster.run_for_ms(1);
@@ -244,9 +250,9 @@
         cluster.run_until_leader_changes(20_000, old_leader);
         cluster.run_for_ms(1 + case % 12);
         cluster.state.down = true;
-        cluster.run_for_ms(CANCEL_MS + LEASE_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS + WORKER_LEASE_MS);
         cluster.state.down = false;
-        cluster.check_invariants();
+        cluster.assert_no_violations();
         cluster.heal_links();
         cluster.scale_in_disabled = false;
         cluster.start_controller(old_leader);
@@ -297,13 +303,13 @@
         cluster.run_for_ms(case % 8 * 600);
         refuse_controller(&mut cluster, old_leader, false);
         cluster.state.down = true;
-        cluster.run_for_ms(CANCEL_MS + LEASE_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS + WORKER_LEASE_MS);
         cluster.state.down = false;
         stop_refusing_controller(&mut cluster, old_leader);
         cluster.heal_links();
-        cluster.check_invariants();
+        cluster.assert_no_violations();
         cluster.abort_until_confirmed(&job_id(1));
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         assert!(cluster.live_tasks(&job_id(1)).is_empty());
         cluster.run_until_running(90_000, &job_id(2), 3);
         cluster.assert_no_accepted_job_is_lost();
@@ -415,7 +421,7 @@
         cluster.submit_until_accepted(&job(&job_id(10), JobKind::Array, 4));
         cluster.abort_until_confirmed(&job_id(1));
         cluster.run_until_done(&job_id(10), 120_000);
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         cluster.run_until_running(90_000, &job_id(2), 3);
         cluster.assert_no_accepted_job_is_lost();
     }
@@ -433,7 +439,7 @@
         cluster.scale_in_disabled = case % 2 == 0;
         cluster.scale_out_disabled = false;
         cluster.task_duration_ms = (1..4).map(|n| (job_id(n), 9_000)).collect();
-        let hang_ms = 500 + case * (LEASE_MS / 30);
+        let hang_ms = 500 + case * (WORKER_LEASE_MS / 30);
         for m in 0..2 {
             let worker = cluster.workers.get_mut(&machine_name(m)).unwrap();
             let after_orders = case as usize / 2 % 2;
@@ -449,7 +455,7 @@
             let leader = cluster.leader().unwrap();
             cluster.crash_for_ms(leader, 200);
         }
-        cluster.run_for_ms(CANCEL_MS + LEASE_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS + WORKER_LEASE_MS);
         for n in 2..4 {
             cluster.submit_until_accepted(&job(&job_id(n), JobKind::Array, 3));
             cluster.run_until_done(&job_id(n), 120_000);
--- a/crates/core/tests/simulation/overload.rs
+++ b/crates/core/tests/simulation/overload.rs
@@ -34,7 +34,7 @@
     cluster.run_for_ms(200);
     assert_eq!(cluster.status_code(request), 200);
     assert_eq!(cluster.observed_status.get(&ids[0]), Some(&JobStatus::Aborted));
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Submits `per_round` small jobs to one controller every 100 ms, in `rounds` rounds; returns the
@@ -104,7 +104,7 @@
             "{id} has not completed"
         );
     }
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// A submission that the leader refuses for lack of write capacity must not be recorded by a
@@ -127,5 +127,5 @@
         handoff_entries, 0,
         "a follower recorded jobs although the leader had no writes left"
     );
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
--- a/crates/core/tests/simulation/partitions.rs
+++ b/crates/core/tests/simulation/partitions.rs
@@ -1,6 +1,6 @@
 //! Network partitions between controllers, zones, workers and the state service.
 
-use crate::cluster::{job, job_id, Cluster, LinkFault, CANCEL_MS};
+use crate::cluster::{job, job_id, Cluster, LinkFault, ABORT_DEADLINE_MS};
 use quartzgate_wire::msg::JobKind;
 
 /// Partitions the leader, with two workers whose leases it renews, from all other controllers, the
@@ -8,16 +8,16 @@
 fn partition_leader_with_two_workers(cluster: &mut Cluster) -> usize {
     let old_leader = cluster.leader().unwrap();
     let (near_workers, far_workers) = (["vm-000000", "vm-000001"], ["vm-000002", "vm-000003"]);
-    cluster.cut_from_state_service(old_leader, LinkFault::Hold);
+    cluster.cut_controller_from_state_service(old_leader, LinkFault::Hold);
     for n in (0..3).filter(|n| *n != old_leader) {
         cluster.cut_controllers(old_leader, n, LinkFault::Hold);
         near_workers
             .iter()
-            .for_each(|m| cluster.cut_from_worker(n, m.to_string(), LinkFault::Hold));
+            .for_each(|m| cluster.cut_controller_from_worker(n, m.to_string(), LinkFault::Hold));
     }
-    far_workers
-        .iter()
-        .for_each(|m| cluster.cut_from_worker(old_leader, m.to_string(), LinkFault::Hold));
+    far_workers.iter().for_each(|m| {
+        cluster.cut_controller_from_worker(old_leader, m.to_string(), LinkFault::Hold)
+    });
     cluster.run_until_leader_changes(20_000, old_leader);
     old_leader
 }
@@ -37,11 +37,11 @@
         partition_leader_with_two_workers(&mut cluster);
         cluster.abort_until_confirmed("wk-000001");
         // The cluster records a violation if a task is on a machine past `cancel_s`.
-        cluster.run_for_ms(CANCEL_MS + 10_000);
+        cluster.run_for_ms(ABORT_DEADLINE_MS + 10_000);
         assert!(cluster.live_tasks("wk-000001").is_empty());
         cluster.heal_links();
         cluster.run_for_ms(20_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -57,10 +57,10 @@
         cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 4));
         cluster.run_until_running(5_000, "wk-000001", 4);
         partition_leader_with_two_workers(&mut cluster);
-        cluster.run_for_ms(CANCEL_MS + 15_000);
+        cluster.run_for_ms(ABORT_DEADLINE_MS + 15_000);
         cluster.heal_links();
         cluster.run_until_running(60_000, "wk-000001", 4);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -81,7 +81,9 @@
         .map(|(n, _)| n.clone())
         .collect();
     for n in 0..3 {
-        zone_a.iter().for_each(|m| cluster.cut_from_worker(n, m.clone(), LinkFault::Drop));
+        zone_a
+            .iter()
+            .for_each(|m| cluster.cut_controller_from_worker(n, m.clone(), LinkFault::Drop));
     }
     cluster.run_for_ms(30_000);
     cluster.scale_out_disabled = false;
@@ -93,7 +95,7 @@
     assert!(replicas_in_zone_b <= 3);
     cluster.heal_links();
     cluster.run_until_running(30_000, "wk-000001", 5);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Partitions the leader and the machines of zone a from the other controllers and zone b.
@@ -106,7 +108,7 @@
             cluster.cut_controllers(leader, n, LinkFault::Drop);
         }
         for (worker_name, _) in worker_zones.iter().filter(|(_, zone)| zone == unreachable_zone) {
-            cluster.cut_from_worker(n, worker_name.clone(), LinkFault::Drop);
+            cluster.cut_controller_from_worker(n, worker_name.clone(), LinkFault::Drop);
         }
     }
 }
@@ -130,12 +132,12 @@
         cluster.run_until_done("wk-000001", 10_000);
         if seed % 2 == 0 {
             cluster.abort_until_confirmed("wk-000002");
-            cluster.run_for_ms(CANCEL_MS);
+            cluster.run_for_ms(ABORT_DEADLINE_MS);
             assert!(cluster.live_tasks("wk-000002").is_empty());
         }
         cluster.heal_links();
         cluster.run_for_ms(20_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -157,7 +159,7 @@
         let starts_before: usize = cluster.task_starts.values().map(Vec::len).sum();
         cluster.run_for_ms(10_000);
         cluster.abort_until_confirmed("wk-000002");
-        cluster.run_for_ms(CANCEL_MS + 3_000);
+        cluster.run_for_ms(ABORT_DEADLINE_MS + 3_000);
         assert!(cluster.live_tasks("wk-000002").is_empty());
         assert_eq!(cluster.live_tasks("wk-000001").len(), 4, "seed {seed}");
         let starts_after: usize = cluster.task_starts.values().map(Vec::len).sum();
@@ -165,7 +167,7 @@
         cluster.heal_links();
         cluster.run_for_ms(20_000);
         assert_eq!(cluster.live_tasks("wk-000001").len(), 4);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -196,7 +198,7 @@
     cluster.run_until(5_000, "all tasks are gone", |cluster| {
         cluster.live_tasks("wk-000002").is_empty()
     });
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// The leader cannot reach any worker, but its siblings can: running tasks keep running in every
@@ -211,7 +213,9 @@
         cluster.run_until_running(5_000, "wk-000001", 6);
         let leader = cluster.leader().unwrap();
         let workers: Vec<String> = cluster.workers.keys().cloned().collect();
-        workers.iter().for_each(|n| cluster.cut_from_worker(leader, n.clone(), link_fault));
+        workers
+            .iter()
+            .for_each(|n| cluster.cut_controller_from_worker(leader, n.clone(), link_fault));
         cluster.run_for_ms(12_000);
         cluster.submit_until_accepted(&job("wk-000002", JobKind::Array, 6));
         cluster.run_until_done("wk-000002", 12_000);
@@ -224,7 +228,7 @@
         assert_eq!((cluster.status_code(abort), cluster.live_tasks("wk-000001").len()), (200, 0));
         cluster.heal_links();
         cluster.run_for_ms(10_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -244,11 +248,11 @@
     cluster.state.rejects_mailboxes = true;
     cluster.workers.get_mut(&holder).unwrap().controller = proxy;
     cluster.cut_controllers(leader, proxy, LinkFault::Drop);
-    cluster.cut_from_worker(leader, holder.clone(), LinkFault::Drop);
-    cluster.cut_from_worker(other, holder, LinkFault::Drop);
+    cluster.cut_controller_from_worker(leader, holder.clone(), LinkFault::Drop);
+    cluster.cut_controller_from_worker(other, holder, LinkFault::Drop);
     cluster.run_for_ms(40_000);
     assert_eq!((cluster.leader(), cluster.live_tasks("wk-000001").len()), (Some(leader), 1));
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Guards against a lease proxy that starts a job after confirming its abort: the proxy must not
@@ -263,8 +267,8 @@
     cluster.cut_controllers(leader, proxy, LinkFault::Drop);
     cluster.cut_controllers(leader, (leader + 2) % 3, LinkFault::Drop);
     for worker in workers {
-        cluster.cut_from_worker(leader, worker.clone(), LinkFault::Drop);
-        cluster.cut_from_worker((leader + 2) % 3, worker, LinkFault::Drop);
+        cluster.cut_controller_from_worker(leader, worker.clone(), LinkFault::Drop);
+        cluster.cut_controller_from_worker((leader + 2) % 3, worker, LinkFault::Drop);
     }
     cluster.run_for_ms(6_000);
     for case in 0..80u32 {
@@ -278,5 +282,5 @@
     }
     assert!(cluster.task_starts.len() > 20, "the leader commands workers through the proxy");
     assert!(cluster.abort_confirmed_at.len() > 40, "the proxy confirms aborts");
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
--- a/crates/core/tests/simulation/process_restarts.rs
+++ b/crates/core/tests/simulation/process_restarts.rs
@@ -2,7 +2,9 @@
 //! records, calls and orders of the earlier incarnation still exist, and the other processes may
 //! not have noticed the restart.
 
-use crate::cluster::{job, job_id, Cluster, LinkFault, CANCEL_MS, LEASE_MS, REPORT_MS};
+use crate::cluster::{
+    job, job_id, Cluster, LinkFault, ABORT_DEADLINE_MS, HEARTBEAT_INTERVAL_MS, WORKER_LEASE_MS,
+};
 use quartzgate_wire::msg::{JobKind, JobStatus};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -37,7 +39,7 @@
         // Writes and orders of the earlier incarnation are delivered when the next incarnation
         // leads.
         1 => {
-            cluster.cut_from_state_service(leader, LinkFault::Hold);
+            cluster.cut_controller_from_state_service(leader, LinkFault::Hold);
             for n in 8..12 {
                 cluster.submit(leader, &job(&job_id(n), JobKind::Array, 2));
             }
@@ -47,9 +49,9 @@
         3 => {
             let workers: Vec<String> = cluster.workers.keys().take(4).cloned().collect();
             for worker in workers {
-                cluster.cut_from_worker(leader, worker, LinkFault::Hold);
+                cluster.cut_controller_from_worker(leader, worker, LinkFault::Hold);
             }
-            cluster.run_for_ms(2 * REPORT_MS);
+            cluster.run_for_ms(2 * HEARTBEAT_INTERVAL_MS);
         }
         // Heartbeats and forwarded requests arrive from an earlier incarnation.
         4 => {
@@ -66,10 +68,10 @@
             cluster.cut_controllers(leader, successor, LinkFault::Drop);
             let far_workers: Vec<String> = cluster.workers.keys().step_by(2).cloned().collect();
             for worker in far_workers {
-                cluster.cut_from_worker(leader, worker.clone(), LinkFault::Drop);
-                cluster.cut_from_worker(third, worker, LinkFault::Drop);
+                cluster.cut_controller_from_worker(leader, worker.clone(), LinkFault::Drop);
+                cluster.cut_controller_from_worker(third, worker, LinkFault::Drop);
             }
-            cluster.run_for_ms(5 * REPORT_MS);
+            cluster.run_for_ms(5 * HEARTBEAT_INTERVAL_MS);
             for n in 8..12 {
                 cluster.submit(successor, &job(&job_id(n), JobKind::Array, 2));
             }
@@ -113,7 +115,7 @@
         cluster.state.down = false;
         cluster.heal_links();
         start_delays_ms.push(time_to_first_start_ms(&mut cluster, "wk-900000"));
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         for n in 0..8 {
             cluster.run_until_done(&job_id(n), 120_000);
             let starts = &cluster.task_starts[&format!("{}/0", job_id(n))];
@@ -137,7 +139,7 @@
         percentile(0.95),
         percentile(1.0)
     );
-    assert!(percentile(0.5) < 1_000 && percentile(1.0) < LEASE_MS, "{start_delays_ms:?}");
+    assert!(percentile(0.5) < 1_000 && percentile(1.0) < WORKER_LEASE_MS, "{start_delays_ms:?}");
 }
 
 /// Guards against a crash-looping controller that keeps the leadership forever. It crashes whenever
@@ -185,7 +187,7 @@
         for n in (0..3).filter(|n| *n != proxy) {
             cluster.cut_controllers(n, proxy, LinkFault::Drop);
             for worker in &far_workers {
-                cluster.cut_from_worker(n, worker.clone(), LinkFault::Drop);
+                cluster.cut_controller_from_worker(n, worker.clone(), LinkFault::Drop);
             }
         }
         cluster.run_for_ms(6_000);
@@ -194,7 +196,7 @@
             cluster.run_for_ms(DOWNTIME_MS + 300 * (case / 3));
         }
         cluster.run_for_ms(4_000 + 1_000 * case);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
         cluster.heal_links();
         for n in 0..10 {
             cluster.run_until_done(&job_id(n), 180_000);
@@ -272,7 +274,7 @@
         match case / 6 {
             0..3 => cluster.crash_for_ms(node, DOWNTIME_MS),
             3 => (0..3).for_each(|n| cluster.crash_for_ms(n, DOWNTIME_MS)),
-            4 => cluster.cut_from_state_service(node, LinkFault::Hold),
+            4 => cluster.cut_controller_from_state_service(node, LinkFault::Hold),
             _ => {
                 cluster.state.down = true;
                 cluster.crash_for_ms(node, 4_000);
--- a/crates/core/tests/simulation/process_stalls.rs
+++ b/crates/core/tests/simulation/process_stalls.rs
@@ -1,6 +1,6 @@
 //! Process stalls: controllers that make no progress while their clocks continue.
 
-use crate::cluster::{job, Cluster, CANCEL_MS};
+use crate::cluster::{job, Cluster, ABORT_DEADLINE_MS};
 use quartzgate_wire::msg::JobKind;
 
 /// Returns a cluster with a short array, a long array and a service with `spread`.
@@ -48,12 +48,12 @@
             cluster.submit_until_accepted(&spec);
             cluster.run_until_done("wk-000001", 60_000);
             cluster.run_until_done("wk-000004", 60_000);
-            cluster.run_for_ms(CANCEL_MS);
+            cluster.run_for_ms(ABORT_DEADLINE_MS);
             assert_eq!(
                 (cluster.live_tasks("wk-000002").len(), cluster.live_tasks("wk-000003").len()),
                 (4, 0)
             );
-            cluster.check_invariants();
+            cluster.assert_no_violations();
         }
     }
 }
@@ -94,5 +94,5 @@
         machine_count,
         "no machine is returned as idle because the leader stalled"
     );
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
--- a/crates/core/tests/simulation/race_conditions.rs
+++ b/crates/core/tests/simulation/race_conditions.rs
@@ -4,7 +4,8 @@
 
 use crate::cluster::{
     job, job_id, machine_name, with_dependencies, Cluster, Endpoint, InboundLoss, LinkFault,
-    RandomDelay, StateLimits, UnansweredWrite, WriteFault, CANCEL_MS, LEASE_MS, REPORT_MS,
+    RandomDelay, StateLimits, UnansweredWrite, WriteFault, ABORT_DEADLINE_MS,
+    HEARTBEAT_INTERVAL_MS, WORKER_LEASE_MS,
 };
 use quartzgate_wire::msg::{JobKind, JobSpec, JobStatus, Priority};
 use quartzgate_wire::to_cbor;
@@ -23,14 +24,14 @@
         cluster.task_duration_ms = [(job_id(1), 600_000)].into();
         cluster.submit_until_accepted(&job(&job_id(1), JobKind::Array, 1));
         cluster.run_until_running(20_000, &job_id(1), 1);
-        cluster.run_for_ms(2 * REPORT_MS);
+        cluster.run_for_ms(2 * HEARTBEAT_INTERVAL_MS);
         let first_machine = cluster.live_tasks(&job_id(1))[0].machine.clone();
         let stale_heartbeat = to_cbor(&cluster.heartbeat_of(&first_machine).unwrap());
-        cluster.reboot_machine(&first_machine, 2 * LEASE_MS);
+        cluster.reboot_machine(&first_machine, 2 * WORKER_LEASE_MS);
         cluster.run_until(60_000, "the task runs elsewhere", |cluster| {
             cluster.live_tasks(&job_id(1)).first().is_some_and(|live| live.machine != first_machine)
         });
-        cluster.run_for_ms(2 * LEASE_MS);
+        cluster.run_for_ms(2 * WORKER_LEASE_MS);
         let second_machine = cluster.live_tasks(&job_id(1))[0].machine.clone();
         // The first machine is unreachable for a while.
         cluster.lost_heartbeats.insert(first_machine.clone());
@@ -41,7 +42,7 @@
         cluster.crash_for_ms(leader, 60_000);
         // The second machine reaches only the controller that does not become leader.
         for n in 0..3 {
-            cluster.cut_from_worker(n, second_machine.clone(), LinkFault::Drop);
+            cluster.cut_controller_from_worker(n, second_machine.clone(), LinkFault::Drop);
         }
         cluster.run_until(20_000, "another controller leads", |cluster| {
             cluster.epoch_revision() > epoch
@@ -58,13 +59,13 @@
             )
         });
         let token_before = cluster.workers[&second_machine].fencing_token;
-        cluster.run_for_ms(2 * REPORT_MS + case * 41 % (2 * REPORT_MS));
+        cluster.run_for_ms(2 * HEARTBEAT_INTERVAL_MS + case * 41 % (2 * HEARTBEAT_INTERVAL_MS));
         cluster.lost_heartbeats.clear();
         cluster.inbound_loss.clear();
-        cluster.run_for_ms(LEASE_MS);
+        cluster.run_for_ms(WORKER_LEASE_MS);
         renewed += u64::from(cluster.workers[&second_machine].fencing_token > token_before);
         cluster.heal_links();
-        cluster.check_invariants();
+        cluster.assert_no_violations();
         cluster.run_until_running(60_000, &job_id(1), 1);
         cluster.assert_recovered();
     }
@@ -161,7 +162,8 @@
 /// not run.
 fn unserved_jobs(cluster: &Cluster) -> Vec<String> {
     let accepted = cluster.observed_status.keys();
-    let unserved = accepted.filter(|id| !cluster.abort_was_requested(id) && !cluster.is_served(id));
+    let unserved =
+        accepted.filter(|id| !cluster.abort_was_requested(id) && !cluster.is_done_or_running(id));
     unserved.cloned().collect()
 }
 
@@ -182,7 +184,7 @@
         cluster.run_for_ms(100);
     }
     cluster.clear_all_faults();
-    cluster.run_for_ms(2 * LEASE_MS);
+    cluster.run_for_ms(2 * WORKER_LEASE_MS);
     load.repeat_until_confirmed(cluster);
     let until = cluster.now + 120_000;
     while cluster.now < until && !unserved_jobs(cluster).is_empty() {
@@ -295,7 +297,7 @@
                     cluster.cut_controllers(leader, n, LinkFault::Drop);
                 }
                 (0..4).for_each(|m| {
-                    cluster.cut_from_worker(leader, machine_name(m), LinkFault::Drop)
+                    cluster.cut_controller_from_worker(leader, machine_name(m), LinkFault::Drop)
                 });
             }
             let remaining = cluster.state.write_faults.first().map_or(3, |f| f.remaining);
@@ -354,8 +356,9 @@
         for (index, machine) in machines.iter().enumerate() {
             match (index as u64 + case) % 3 {
                 0 => cluster.hang_machine(machine, 1_000 + case * 190),
-                1 => (0..3)
-                    .for_each(|n| cluster.cut_from_worker(n, machine.clone(), LinkFault::Hold)),
+                1 => (0..3).for_each(|n| {
+                    cluster.cut_controller_from_worker(n, machine.clone(), LinkFault::Hold)
+                }),
                 _ => {}
             }
         }
@@ -382,12 +385,12 @@
             }
             _ => request_aborts(&mut cluster),
         }
-        cluster.run_for_ms(LEASE_MS);
+        cluster.run_for_ms(WORKER_LEASE_MS);
         cluster.state.refused_nodes.clear();
         (1..4).for_each(|n| cluster.abort_until_confirmed(&job_id(n)));
-        cluster.run_for_ms(LEASE_MS);
+        cluster.run_for_ms(WORKER_LEASE_MS);
         cluster.heal_links();
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         cluster.scale_in_disabled = false;
         cluster.run_until(90_000, "the waiting jobs run", |cluster| {
             (4..7).all(|n| cluster.live_tasks(&job_id(n)).len() == 2)
@@ -419,7 +422,7 @@
                 cluster.state.refused_nodes.insert(node);
             }
             2 => cluster.stall(node, 4_000 + case * 10),
-            _ => cluster.cut_from_state_service(node, LinkFault::Hold),
+            _ => cluster.cut_controller_from_state_service(node, LinkFault::Hold),
         };
         let epoch = cluster.epoch_revision();
         inject_fault(&mut cluster, first_leader);
@@ -456,9 +459,9 @@
             returned_to_first += u64::from(cluster.leader() == Some(first_leader));
         }
         cluster.abort(first_leader, &job_id(1));
-        cluster.run_for_ms(LEASE_MS);
+        cluster.run_for_ms(WORKER_LEASE_MS);
         (1..6).for_each(|n| cluster.abort_until_confirmed(&job_id(n)));
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         (1..6).for_each(|n| assert!(cluster.live_tasks(&job_id(n)).is_empty()));
         cluster.scale_in_disabled = false;
         cluster.run_until_running(60_000, &job_id(6), 2);
@@ -533,7 +536,7 @@
                         for n in (0..3).filter(|n| *n != leader) {
                             cluster.cut_controllers(leader, n, LinkFault::Drop);
                         }
-                        cluster.cut_from_state_service(leader, LinkFault::Hold);
+                        cluster.cut_controller_from_state_service(leader, LinkFault::Hold);
                     }
                 }
             }
@@ -625,7 +628,7 @@
                 cluster.violations
             );
         }
-        cluster.check_invariants();
+        cluster.assert_no_violations();
         cluster.run_until(60_000, "no records of finished jobs are left", |cluster| {
             let record_count =
                 |prefix: &str| cluster.state.keys.keys().filter(|k| k.starts_with(prefix)).count();
@@ -749,14 +752,14 @@
         cluster.state.retained_changes = Some(1);
         cluster.state.refused_nodes.clear();
         let healed_at_ms = cluster.now;
-        cluster.run_until(CANCEL_MS, "the tasks of the aborted job are gone", |cluster| {
+        cluster.run_until(ABORT_DEADLINE_MS, "the tasks of the aborted job are gone", |cluster| {
             cluster.live_tasks(&job_id(1)).is_empty()
         });
         entries_read_soon += u64::from(cluster.now < healed_at_ms + 1_000);
         entries_read += 1;
         cluster.state.retained_changes = None;
         cluster.heal_links();
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         cluster.assert_recovered();
     }
     assert!(
@@ -826,7 +829,7 @@
         cluster.run_for_ms(3_000);
         cluster.abort_until_confirmed(&job_id(1));
         outcome_counts[usize::from(cluster.observed_status[&job_id(1)] == JobStatus::Done)] += 1;
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
     assert!(outcome_counts.iter().all(|n| *n > 0), "aborted and done: {outcome_counts:?}");
 }
@@ -858,24 +861,24 @@
             cluster.cut_controllers(inner_controller, *n, link_fault);
             [1, 3, 5, 7]
                 .iter()
-                .for_each(|m| cluster.cut_from_worker(*n, machine_name(*m), link_fault));
+                .for_each(|m| cluster.cut_controller_from_worker(*n, machine_name(*m), link_fault));
         }
-        [0, 2, 4, 6]
-            .iter()
-            .for_each(|m| cluster.cut_from_worker(inner_controller, machine_name(*m), link_fault));
+        [0, 2, 4, 6].iter().for_each(|m| {
+            cluster.cut_controller_from_worker(inner_controller, machine_name(*m), link_fault)
+        });
         cluster.run_for_ms(case * 131 % 4_000);
         cluster.abort(inner_controller, &job_id(1));
         cluster.abort(outer_controllers[0], &job_id(2));
-        cluster.run_for_ms(LEASE_MS);
+        cluster.run_for_ms(WORKER_LEASE_MS);
         if case % 3 == 0 {
             let leader = cluster.leader().unwrap_or(0);
             cluster.crash_for_ms(leader, [200, 3_000][case as usize / 3 % 2]);
         }
         cluster.abort(outer_controllers[1], &job_id(3));
-        cluster.run_for_ms(LEASE_MS + 4_000);
+        cluster.run_for_ms(WORKER_LEASE_MS + 4_000);
         cluster.heal_links();
         (1..4).for_each(|n| cluster.abort_until_confirmed(&job_id(n)));
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         cluster.run_until(90_000, "the other jobs run", |cluster| {
             (4..6).all(|n| cluster.live_tasks(&job_id(n)).len() == 2)
         });
@@ -951,13 +954,13 @@
         for n in 0..3 {
             cluster.crash_for_ms(
                 n,
-                LEASE_MS + 500 + case * 150 + n as u64 * [0, 300, 4_000][case as usize % 3],
+                WORKER_LEASE_MS + 500 + case * 150 + n as u64 * [0, 300, 4_000][case as usize % 3],
             );
         }
-        let hung_until_ms = cluster.now + LEASE_MS - 200;
+        let hung_until_ms = cluster.now + WORKER_LEASE_MS - 200;
         cluster.workers.get_mut(&machine_name(case as usize % 6)).unwrap().hung_until_ms =
             hung_until_ms;
-        cluster.run_for_ms(LEASE_MS + 8_000);
+        cluster.run_for_ms(WORKER_LEASE_MS + 8_000);
         if cluster.observed_status.contains_key(&job_id(3)) {
             cluster.abort_until_confirmed(&job_id(3));
         }
@@ -984,18 +987,18 @@
             (1..4).all(|n| cluster.live_tasks(&job_id(n)).len() == 2)
         });
         cluster.lost_heartbeats.extend((0..1 + case as usize % 4).map(machine_name));
-        cluster.run_for_ms(case * 217 % LEASE_MS);
+        cluster.run_for_ms(case * 217 % WORKER_LEASE_MS);
         cluster.abort(case as usize % 3, &job_id(1));
         if case % 3 == 0 {
             let leader = cluster.leader().unwrap();
             cluster.crash_for_ms(leader, [200, 4_000][case as usize / 3 % 2]);
         }
-        cluster.run_for_ms(LEASE_MS / 2 + case * 500);
+        cluster.run_for_ms(WORKER_LEASE_MS / 2 + case * 500);
         cluster.abort_until_confirmed(&job_id(1));
         cluster.submit_until_accepted(&job(&job_id(4), JobKind::Array, 2));
-        cluster.run_for_ms(LEASE_MS);
+        cluster.run_for_ms(WORKER_LEASE_MS);
         cluster.lost_heartbeats.clear();
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         assert!(cluster.live_tasks(&job_id(1)).is_empty());
         cluster.run_until(90_000, "the other jobs run", |cluster| {
             (2..5).all(|n| cluster.live_tasks(&job_id(n)).len() == 2)
@@ -1028,19 +1031,23 @@
         let link_fault = if case % 3 == 0 { LinkFault::Hold } else { LinkFault::Drop };
         for m in 0..3 {
             (0..3).for_each(|n| {
-                cluster.cut_from_worker(n, machine_name(m + case as usize % 4), link_fault)
+                cluster.cut_controller_from_worker(
+                    n,
+                    machine_name(m + case as usize % 4),
+                    link_fault,
+                )
             });
         }
         cluster.run_for_ms(case * 151 % 5_000);
         cluster.abort((leader + 1) % 3, &job_id(1));
         cluster.abort((leader + 2) % 3, &job_id(2));
-        cluster.run_for_ms(LEASE_MS / 2 + case * 300);
+        cluster.run_for_ms(WORKER_LEASE_MS / 2 + case * 300);
         cluster.heal_links();
         cluster.abort_until_confirmed(&job_id(1));
         cluster.abort_until_confirmed(&job_id(2));
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         cluster.run_until(90_000, "the other jobs run", |cluster| {
-            cluster.check_invariants();
+            cluster.assert_no_violations();
             (3..7).filter(|n| cluster.live_tasks(&job_id(*n)).len() == 2).count() == 4
         });
         cluster.assert_recovered();
@@ -1075,7 +1082,7 @@
             let leader = cluster.leader().unwrap();
             cluster.crash_for_ms(leader, [200, 4_000][case as usize % 2]);
         }
-        cluster.run_for_ms(LEASE_MS);
+        cluster.run_for_ms(WORKER_LEASE_MS);
         for n in [1, 2, 4] {
             cluster.run_until_done(&job_id(n), 200_000);
         }
@@ -1098,7 +1105,9 @@
         let (leader, others) = partition_leader_from_siblings(&mut cluster);
         let machines: Vec<String> =
             cluster.live_tasks(&job_id(1)).into_iter().map(|live| live.machine).collect();
-        machines.iter().for_each(|m| cluster.cut_from_worker(leader, m.clone(), LinkFault::Drop));
+        machines
+            .iter()
+            .for_each(|m| cluster.cut_controller_from_worker(leader, m.clone(), LinkFault::Drop));
         cluster.run_until(6_000, "a proxy renews the leases", |cluster| {
             cluster.state.keys.keys().any(|k| k.starts_with("view/keeper/"))
         });
@@ -1124,7 +1133,7 @@
         }
         cluster.clear_all_faults();
         cluster.abort_until_confirmed(&job_id(1));
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         cluster.assert_recovered();
     }
     assert!(stopped_by_proxy > 12, "a proxy stopped the tasks {stopped_by_proxy} times");
--- a/crates/core/tests/simulation/random_faults.rs
+++ b/crates/core/tests/simulation/random_faults.rs
@@ -11,7 +11,7 @@
     match rng.random_range(0..11) {
         0 => cluster.crash_for_ms(node, 3_000),
         1 => cluster.crash_all_for_ms(2_000),
-        2 => cluster.cut_from_state_service(node, link_fault),
+        2 => cluster.cut_controller_from_state_service(node, link_fault),
         3 => {
             cluster.state.refused_nodes.insert(node);
         }
@@ -27,7 +27,7 @@
         7 => {
             let machines: Vec<String> = cluster.workers.keys().cloned().collect();
             for machine in machines.iter().filter(|_| rng.random_bool(0.4)) {
-                cluster.cut_from_worker(node, machine.clone(), link_fault);
+                cluster.cut_controller_from_worker(node, machine.clone(), link_fault);
             }
         }
         _ => {
--- a/crates/core/tests/simulation/reachability.rs
+++ b/crates/core/tests/simulation/reachability.rs
@@ -2,8 +2,8 @@
 //! that are delivered again late; isolated controllers; and machines that reboot quickly.
 
 use crate::cluster::{
-    job, job_id, with_dependencies, Cluster, InboundLoss, LinkFault, RandomDelay, CANCEL_MS,
-    LEASE_MS, REPORT_MS,
+    job, job_id, with_dependencies, Cluster, InboundLoss, LinkFault, RandomDelay,
+    ABORT_DEADLINE_MS, HEARTBEAT_INTERVAL_MS, WORKER_LEASE_MS,
 };
 use quartzgate_wire::msg::JobKind;
 
@@ -77,7 +77,7 @@
         cluster.task_duration_ms.insert(job_id(900), 20_000);
         cluster.submit_until_accepted(&job(&job_id(900), JobKind::Array, 16));
         cluster.run_until(
-            5 * LEASE_MS,
+            5 * WORKER_LEASE_MS,
             &format!("case {case}: machines that are reachable again have work"),
             |cluster| starts_on_unreachable(cluster) > starts_before,
         );
@@ -105,10 +105,10 @@
         cluster
             .inbound_loss
             .insert(machine.clone(), [LOSE_ALL, LOSE_ANSWERS, LOSE_ORDERS][case as usize / 3 % 3]);
-        cluster.run_for_ms(REPORT_MS);
+        cluster.run_for_ms(HEARTBEAT_INTERVAL_MS);
         cluster.abort_until_confirmed(&job_id(2));
         // The cluster records a violation if an aborted task exists past `cancel_s`.
-        cluster.run_for_ms(CANCEL_MS + LEASE_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS + WORKER_LEASE_MS);
         if cluster.inbound_loss[&machine].answers {
             assert!(
                 !cluster.workers.contains_key(&machine),
@@ -133,7 +133,8 @@
         let mut cluster = settled_cluster(8, 11_200 + case);
         cluster.scale_in_disabled = case % 2 == 0;
         let (from_ms, to_ms) =
-            [(2_000, 6_000), (LEASE_MS, 2 * LEASE_MS), (500, 5 * LEASE_MS)][case as usize % 3];
+            [(2_000, 6_000), (WORKER_LEASE_MS, 2 * WORKER_LEASE_MS), (500, 5 * WORKER_LEASE_MS)]
+                [case as usize % 3];
         cluster.duplicate_heartbeats = Some(RandomDelay { share: 1.0, from_ms, to_ms });
         cluster.task_duration_ms = (0..12).map(|n| (job_id(n), 15_000)).collect();
         (0..6).for_each(|n| cluster.submit_until_accepted(&job(&job_id(n), JobKind::Array, 2)));
@@ -155,7 +156,7 @@
             }
             _ => {
                 cluster.cut_controllers(leader, (leader + 1) % 3, LinkFault::Hold);
-                cluster.cut_from_worker(leader, machine.clone(), LinkFault::Hold);
+                cluster.cut_controller_from_worker(leader, machine.clone(), LinkFault::Hold);
             }
         }
         let jobs_with_lost_tasks: Vec<String> =
@@ -165,7 +166,7 @@
             // The bound is the same as without duplicates: one lease, or after a failover the lease
             // bound and one lease.
             cluster.run_until(
-                CANCEL_MS + LEASE_MS,
+                ABORT_DEADLINE_MS + WORKER_LEASE_MS,
                 &format!("case {case}: its tasks run elsewhere"),
                 |cluster| {
                     let starts_of_job =
@@ -176,7 +177,7 @@
                 },
             );
         }
-        cluster.run_for_ms(LEASE_MS);
+        cluster.run_for_ms(WORKER_LEASE_MS);
         cluster.heal_links();
         (6..12).for_each(|n| cluster.submit_until_accepted(&job(&job_id(n), JobKind::Array, 2)));
         (0..12).for_each(|n| cluster.run_until_done(&job_id(n), 240_000));
@@ -196,7 +197,7 @@
         let mut cluster = Cluster::new(nodes, 10, 0.0, 11_300 + case);
         cluster.scale_out_disabled = false;
         // The delay has the same ratio to the lease as with leases of 18 s.
-        cluster.redirect_delay_ms = Some(LEASE_MS / 18);
+        cluster.redirect_delay_ms = Some(WORKER_LEASE_MS / 18);
         cluster.run_for_ms(2_500);
         cluster.task_duration_ms = (0..8).map(|n| (job_id(n), 70_000)).collect();
         (0..8).for_each(|n| cluster.submit_until_accepted(&job(&job_id(n), JobKind::Array, 1)));
@@ -210,7 +211,7 @@
         };
         let link_fault = if case / 8 == 1 { LinkFault::Hold } else { LinkFault::Drop };
         for n in &isolated {
-            cluster.cut_from_state_service(*n, link_fault);
+            cluster.cut_controller_from_state_service(*n, link_fault);
             for m in (0..nodes).filter(|m| m != n) {
                 cluster.cut_controllers(*n, m, link_fault);
             }
@@ -219,7 +220,7 @@
             // The partition heals while the other controllers elect a leader.
             cluster.run_for_ms(2_300);
         } else {
-            cluster.run_for_ms(CANCEL_MS);
+            cluster.run_for_ms(ABORT_DEADLINE_MS);
             for n in &isolated {
                 let ready = cluster.send_request(*n, "GET", "/ready", Vec::new());
                 cluster.run_for_ms(1_000);
@@ -239,13 +240,13 @@
             let submitted_at_ms = cluster.now;
             while !cluster.task_starts.contains_key("wk-000100/0") {
                 assert!(
-                    cluster.now < submitted_at_ms + CANCEL_MS,
+                    cluster.now < submitted_at_ms + ABORT_DEADLINE_MS,
                     "case {case}: nothing new is started"
                 );
                 cluster.submit(other, &job("wk-000100", JobKind::Array, 1));
                 cluster.run_for_ms(1_000);
             }
-            cluster.run_for_ms(CANCEL_MS);
+            cluster.run_for_ms(ABORT_DEADLINE_MS);
         }
         cluster.heal_links();
         for n in 0..8 {
@@ -278,7 +279,7 @@
             // All machines reboot.
             1 => machines.iter().for_each(|m| cluster.reboot_machine(m, 200)),
             // The machine has been silent for almost its lease, or longer, when it is back.
-            2 => cluster.reboot_machine(&machine, LEASE_MS - 500 + 400 * (case / 4)),
+            2 => cluster.reboot_machine(&machine, WORKER_LEASE_MS - 500 + 400 * (case / 4)),
             _ => {
                 cluster.crash_for_ms(leader, 200);
                 cluster.run_for_ms(150 * (case / 4));
--- a/crates/core/tests/simulation/rolling_upgrades.rs
+++ b/crates/core/tests/simulation/rolling_upgrades.rs
@@ -3,7 +3,7 @@
 //! tables in this file. At each activation the cluster checks that it is a single step, that it
 //! deactivates nothing, and that every live controller supports it (`check_activation`).
 
-use crate::cluster::{job, Cluster, LinkFault, CANCEL_MS};
+use crate::cluster::{job, Cluster, LinkFault, ABORT_DEADLINE_MS};
 use std::collections::BTreeSet;
 
 use quartzgate_core::records::{encode, FORMAT_KEY};
@@ -64,7 +64,7 @@
         cluster.crash(n);
         cluster.feature_tables.insert(n, &FORMAT_2_BUILD);
         if first_version {
-            cluster.legacy_controllers.insert(n);
+            cluster.first_version_controllers.insert(n);
         }
         cluster.start_controller(n);
     }
@@ -114,7 +114,7 @@
         assert_eq!((metrics["format"], metrics["format_foreign"]), (4.0, 0.0), "n{n}");
         assert!(!metrics.keys().any(|k| k.starts_with("step_held")), "n{n}");
     }
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Upgrades from format 1 or 2, with the controllers replaced in every order. Nothing may be
@@ -174,7 +174,7 @@
         // The controller is rolled back while its announcement of the newer build still exists.
         cluster.replace_build(rolled_back, &FORMAT_2_BUILD, 300);
         if first_version {
-            cluster.legacy_controllers.insert(rolled_back);
+            cluster.first_version_controllers.insert(rolled_back);
         }
         cluster.run_for_ms(300 + case * 400);
         cluster.replace_build(last, &NEXT_BUILD, 200);
@@ -193,7 +193,7 @@
                 "reported as supporting format {supported_format}"
             );
         }
-        cluster.check_invariants();
+        cluster.assert_no_violations();
         cluster.replace_build(rolled_back, &NEXT_BUILD, 300);
         cluster.run_until(40_000, "all features are activated", all_features_active);
         assert_upgraded_and_serving(&mut cluster);
@@ -215,7 +215,7 @@
     let leader = cluster.leader().unwrap();
     assert!(cluster.metrics_of(leader).contains_key("step_held_s.format-2.n0"));
     cluster.feature_tables.insert(0, &FORMAT_2_BUILD);
-    cluster.legacy_controllers.insert(0);
+    cluster.first_version_controllers.insert(0);
     cluster.start_controller(0);
     cluster.run_for_ms(10_000);
     assert_eq!(cluster.activated_format().version, 1);
@@ -237,7 +237,7 @@
         let leader = cluster.leader().unwrap_or(0);
         match case % 3 {
             0 => {
-                cluster.cut_from_state_service(leader, LinkFault::Hold);
+                cluster.cut_controller_from_state_service(leader, LinkFault::Hold);
                 cluster.run_for_ms(9_000);
                 cluster.heal_links();
             }
@@ -269,7 +269,7 @@
         match case {
             0 => {
                 cluster.replace_build(follower, &FORMAT_2_BUILD, 100);
-                cluster.legacy_controllers.insert(follower);
+                cluster.first_version_controllers.insert(follower);
                 cluster.run_for_ms(1_200);
             }
             1 => {
@@ -284,7 +284,7 @@
         cluster.state.hold_activations = false;
         cluster.heal_links();
         cluster.run_for_ms(1_000);
-        cluster.check_invariants();
+        cluster.assert_no_violations();
         if case == 0 {
             assert_eq!(cluster.activated_format().version, 1);
             cluster.replace_build(follower, &NEXT_BUILD, 100);
@@ -301,12 +301,12 @@
 #[test]
 fn member_key_is_rewritten_when_its_first_write_is_refused() {
     let mut cluster = cluster_before_upgrade(3, true, 392);
-    cluster.state.refused_key_part = Some("members/n1".into());
+    cluster.state.refused_key_substring = Some("members/n1".into());
     // The controllers are down for longer than their leases, so that their keys have expired.
     (0..3).for_each(|n| cluster.replace_build(n, &NEXT_BUILD, 4_000));
     cluster.run_for_ms(12_000);
     assert_eq!(cluster.activated_format().version, 1);
-    cluster.state.refused_key_part = None;
+    cluster.state.refused_key_substring = None;
     cluster.run_until(20_000, "all features are activated", all_features_active);
     assert_upgraded_and_serving(&mut cluster);
 }
@@ -376,9 +376,9 @@
     assert!(cluster.metrics_of(leader).contains_key("step_held_s.format-2.n6"));
     // Controller n5 is rolled back, and the others' settings are reduced to five controllers.
     cluster.replace_build(5, &FORMAT_2_BUILD, 300);
-    cluster.legacy_controllers.insert(5);
+    cluster.first_version_controllers.insert(5);
     for n in 0..5 {
-        cluster.configured_count.insert(n, 5);
+        cluster.configured_controller_count.insert(n, 5);
         cluster.crash_for_ms(n, 400);
         cluster.run_for_ms(1_500);
     }
@@ -410,7 +410,7 @@
     cluster.crash_for_ms(1, 300);
     cluster.run_for_ms(4_000);
     assert_eq!(cluster.metrics_of(1)["format_foreign"], 1.0);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// Simulates a rollout that replaces random controllers by either build at random times while
@@ -433,14 +433,14 @@
             4 if cluster.activated_format() == initial_format => {
                 cluster.replace_build(n, &FORMAT_2_BUILD, rng.random_range(50..2_000));
                 if initial_format.version == 1 {
-                    cluster.legacy_controllers.insert(n);
+                    cluster.first_version_controllers.insert(n);
                 }
                 not_upgraded.insert(n);
             }
             5 => cluster.crash_for_ms(n, rng.random_range(50..4_000)),
             6 => {
                 let link_fault = [LinkFault::Drop, LinkFault::Hold][rng.random_range(0..2)];
-                cluster.cut_from_state_service(n, link_fault);
+                cluster.cut_controller_from_state_service(n, link_fault);
             }
             7 => cluster.cut_controllers(n, rng.random_range(0..nodes), LinkFault::Drop),
             8 => cluster.heal_links(),
@@ -456,7 +456,7 @@
             }
         }
         cluster.run_for_ms(rng.random_range(50..3_000));
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
     cluster.heal_links();
     cluster.state.unanswered_writes = 0;
@@ -465,7 +465,7 @@
         cluster.run_for_ms(rng.random_range(0..1_500));
     }
     cluster.run_until(90_000, "all features are activated", all_features_active);
-    cluster.run_for_ms(CANCEL_MS);
+    cluster.run_for_ms(ABORT_DEADLINE_MS);
     assert_upgraded_and_serving(&mut cluster);
 }
 
--- a/crates/core/tests/simulation/state_service_faults.rs
+++ b/crates/core/tests/simulation/state_service_faults.rs
@@ -1,6 +1,6 @@
 //! Faults of the state service: lost answers, outages, unreadable records.
 
-use crate::cluster::{job, Cluster, CANCEL_MS};
+use crate::cluster::{job, Cluster, ABORT_DEADLINE_MS};
 use quartzgate_wire::msg::JobKind;
 
 /// Writes that are applied without an answer are detected by reading: no job or task is lost,
@@ -17,9 +17,9 @@
         cluster.submit_until_accepted(&job("wk-000002", JobKind::Service, 2));
         cluster.state.unanswered_writes = 2;
         cluster.abort_until_confirmed("wk-000002");
-        cluster.run_for_ms(CANCEL_MS);
+        cluster.run_for_ms(ABORT_DEADLINE_MS);
         assert!(cluster.live_tasks("wk-000002").is_empty());
-        cluster.check_invariants();
+        cluster.assert_no_violations();
     }
 }
 
@@ -55,7 +55,7 @@
     cluster.submit_until_accepted(&job("wk-000003", JobKind::Array, 2));
     cluster.run_until_done("wk-000003", 30_000);
     assert_eq!(cluster.live_tasks("wk-000002").len(), 2, "replicas survive the outage");
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
 
 /// An unreadable record (invariant 15) stops only its own job and is not overwritten.
@@ -67,7 +67,7 @@
     cluster.submit_until_accepted(&job("wk-000001", JobKind::Array, 1));
     cluster.run_until_running(5_000, "wk-000001", 1);
     let garbage = ciborium::value::Value::Text("?".into());
-    cluster.damage_value("shares/wk-000001/0/0", garbage.clone());
+    cluster.replace_value_keeping_revision("shares/wk-000001/0/0", garbage.clone());
     cluster.crash_all_for_ms(500);
     cluster.run_for_ms(2_000);
     cluster.submit_until_accepted(&job("wk-000002", JobKind::Array, 2));
@@ -77,5 +77,5 @@
     let request = cluster.query(0, "wk-000001");
     cluster.run_for_ms(500);
     assert!([200, 503].contains(&cluster.status_code(request)));
-    cluster.check_invariants();
+    cluster.assert_no_violations();
 }
--- a/crates/core/tests/simulation/unanswered_queries.rs
+++ b/crates/core/tests/simulation/unanswered_queries.rs
@@ -36,7 +36,7 @@
     let followers: Vec<usize> = (0..cluster.controller_count()).filter(|n| *n != leader).collect();
     cluster.shedding_controllers.insert(leader);
     let longest_ms = cluster.longest_unanswered_ms(ids, &followers, QUERY_INTERVAL_MS, QUERYING_MS);
-    cluster.check_invariants();
+    cluster.assert_no_violations();
     longest_ms
 }
 
