--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use quartzgate_wire::http::MIN_ANSWER_LIMIT;
+use quartzgate_wire::http::MIN_RESPONSE_LIMIT_BYTES;
 use quartzgate_wire::msg::Heartbeat;
 
 use crate::config::Config;
@@ -91,7 +91,7 @@
     }
 
     /// Returns the maximum age, in milliseconds, at which the index of the batch records is updated
-    /// instead of rebuilt. The changes since then must fit [`Config::max_answer_bytes`].
+    /// instead of rebuilt. The changes since then must fit [`Config::max_response_bytes`].
     pub fn max_index_update_age_ms(&self) -> u64 {
         INDEX_AGE_IN_HEARTBEATS * self.heartbeat_interval_ms()
     }
@@ -99,11 +99,11 @@
     /// Returns the maximum size, in bytes, of an answer to a call that this controller makes. A
     /// list of changes has no limit of its own: it contains what the write rate allows between two
     /// reads, each value being of the largest size.
-    pub fn max_answer_bytes(&self) -> usize {
+    pub fn max_response_bytes(&self) -> usize {
         let state = &self.platform.params.state;
         let span_ms = self.max_index_update_age_ms() + 3 * self.store_timeout_ms() + 1_000;
         let changes = state.write_rps * state.value_kb * 1024.0 * span_ms as f64 / 1000.0;
-        (changes as usize).min(self.max_held_bytes()).max(MIN_ANSWER_LIMIT)
+        (changes as usize).min(self.max_held_bytes()).max(MIN_RESPONSE_LIMIT_BYTES)
     }
 
     /// Returns how many submissions with an unknown outcome may be tracked. Each took a write of
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -178,7 +178,7 @@
 
     /// Returns the resources used by tasks of the lowest priority, which every other priority may
     /// preempt.
-    pub fn low(&self) -> Resources {
+    pub fn low_priority_usage(&self) -> Resources {
         self.preemptible_by_priority[Priority::Low as usize]
     }
 
--- a/crates/core/src/fleet/provisioning/demand.rs
+++ b/crates/core/src/fleet/provisioning/demand.rs
@@ -74,7 +74,7 @@
             // Resources used by the lowest priority count as free, because every other priority may
             // preempt it.
             let mut free = self.free_resources(machine);
-            free.add(&machine.low(), 1.0);
+            free.add(&machine.low_priority_usage(), 1.0);
             pool.add(MachineGroup::new(&machine.kind, machine.zone, machine.spot, &free), 1);
         }
         let mut add_empty = |kind: &str, zone, spot, machines| {
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -136,7 +136,7 @@
         };
         // Normal priority preempts only the lowest priority: this cheap test saves the costly one.
         let mut attainable = self.free_resources(machine);
-        attainable.add(&machine.low(), 1.0);
+        attainable.add(&machine.low_priority_usage(), 1.0);
         let cannot_fit = priority == Priority::Normal && !attainable.can_fit(&job.resources());
         !cannot_fit && self.startable(job, key, task, machine_index)
     }
--- a/crates/core/src/recovery/calls.rs
+++ b/crates/core/src/recovery/calls.rs
@@ -11,7 +11,7 @@
     /// Lists the records of the present recovery phase.
     RecordList { epoch: u64 },
     /// Requests a heartbeat from a machine.
-    Inspect { machine: MachineIndex, epoch: u64 },
+    WorkerStatusQuery { machine: MachineIndex, epoch: u64 },
     /// Reads the placements of a recorded job.
     PlacementsRead { job: JobIndex, epoch: u64 },
 }
@@ -20,7 +20,7 @@
     fn epoch(&self) -> u64 {
         match *self {
             RecoveryCall::RecordList { epoch }
-            | RecoveryCall::Inspect { epoch, .. }
+            | RecoveryCall::WorkerStatusQuery { epoch, .. }
             | RecoveryCall::PlacementsRead { epoch, .. } => epoch,
         }
     }
@@ -46,7 +46,9 @@
         }
         match call {
             RecoveryCall::RecordList { .. } => self.on_recovery_list(outcome),
-            RecoveryCall::Inspect { machine, .. } => self.on_inspect_answered(machine, outcome),
+            RecoveryCall::WorkerStatusQuery { machine, .. } => {
+                self.on_worker_status_outcome(machine, outcome)
+            }
             RecoveryCall::PlacementsRead { job, .. } => self.on_placements_read(job, outcome),
         }
     }
--- a/crates/core/src/recovery/reconciliation.rs
+++ b/crates/core/src/recovery/reconciliation.rs
@@ -16,14 +16,14 @@
         let Some(machine) = self.machines.get_mut(ix) else { return };
         let Some(addr) = machine.addr else { return };
         machine.worker_status_queried_ms = self.context.now.steady_ms;
-        let call = RecoveryCall::Inspect { machine: ix, epoch: self.epoch() };
+        let call = RecoveryCall::WorkerStatusQuery { machine: ix, epoch: self.epoch() };
         let timeout_ms = self.context.config.worker_timeout_ms();
         self.get_for_recovery(Peer::Worker(addr), "/inspect".into(), timeout_ms, call);
     }
 
     /// Handles the answer to a heartbeat request. Addresses are reused, so the answer counts only
     /// if it names the machine that was asked.
-    pub(super) fn on_inspect_answered(&mut self, ix: MachineIndex, outcome: Outcome) {
+    pub(super) fn on_worker_status_outcome(&mut self, ix: MachineIndex, outcome: Outcome) {
         let Outcome::Answer(response) = outcome else { return };
         let Some(machine) = self.machines.get(ix) else { return };
         let Ok(heartbeat) = from_cbor::<Heartbeat>(&response.body) else { return };
--- a/crates/overload/src/unanswered_jobs.rs
+++ b/crates/overload/src/unanswered_jobs.rs
@@ -48,7 +48,7 @@
             return queried.first_query_ms;
         }
         if self.queried.len() >= self.max_jobs {
-            self.forget_oldest(now_ms);
+            self.evict_oldest(now_ms);
         }
         self.queried
             .insert(job.to_string(), QueriedJob { first_query_ms: now_ms, last_query_ms: now_ms });
@@ -90,7 +90,7 @@
 
     /// Forgets the jobs that are no longer queried and, if the table is still full, those whose
     /// last query is the oldest.
-    fn forget_oldest(&mut self, now_ms: u64) {
+    fn evict_oldest(&mut self, now_ms: u64) {
         self.queried.retain(|_, queried| now_ms <= queried.last_query_ms + FORGET_AFTER_MS);
         if self.queried.len() < self.max_jobs {
             return;
--- a/crates/quartzgate/src/connection.rs
+++ b/crates/quartzgate/src/connection.rs
@@ -22,9 +22,9 @@
 const MAX_EMPTY_CAPACITY: usize = 4 * 1024;
 
 /// Bytes buffered in addition to the body of a request: its head and a part of the next request.
-const REQUEST_BUFFER_MARGIN: usize = 2 * http::MAX_HEAD;
+const REQUEST_BUFFER_MARGIN: usize = 2 * http::MAX_HEAD_BYTES;
 /// Bytes buffered in addition to the body of a response: its head.
-const RESPONSE_BUFFER_MARGIN: usize = http::MAX_HEAD;
+const RESPONSE_BUFFER_MARGIN: usize = http::MAX_HEAD_BYTES;
 
 /// The listening address on which an inbound connection was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -111,7 +111,7 @@
     direction: Direction,
     state: State,
     /// Largest body of a received message, in bytes.
-    max_body: usize,
+    max_body_bytes: usize,
     input: Vec<u8>,
     output: Vec<u8>,
     /// Number of bytes of `output` that have been written to the socket.
@@ -135,24 +135,24 @@
 impl Connection {
     /// Creates the state of an accepted connection.
     pub fn inbound(stream: TcpStream, endpoint: Endpoint, now_ms: u64) -> Self {
-        let max_body = match endpoint {
-            Endpoint::Clients => http::MAX_BODY,
-            Endpoint::Mesh => http::MAX_MESH_BODY,
+        let max_body_bytes = match endpoint {
+            Endpoint::Clients => http::MAX_BODY_BYTES,
+            Endpoint::Mesh => http::MAX_MESH_BODY_BYTES,
         };
-        Self::new(stream, Direction::Inbound(endpoint), State::Reading, max_body, now_ms)
+        Self::new(stream, Direction::Inbound(endpoint), State::Reading, max_body_bytes, now_ms)
     }
 
     /// Creates the state of a connection that is being opened for a call. The body of a response
-    /// may have at most `max_body` bytes.
+    /// may have at most `max_body_bytes` bytes.
     pub fn outbound(
         stream: TcpStream,
         peer: Peer,
         call: OutboundRequest,
-        max_body: usize,
+        max_body_bytes: usize,
         now_ms: u64,
     ) -> Self {
         let (direction, state) = (Direction::Outbound(peer), State::Connecting(call.id));
-        let mut connection = Self::new(stream, direction, state, max_body, now_ms);
+        let mut connection = Self::new(stream, direction, state, max_body_bytes, now_ms);
         connection.output = call.bytes;
         connection.deadline_ms = call.deadline_ms;
         connection
@@ -162,14 +162,14 @@
         stream: TcpStream,
         direction: Direction,
         state: State,
-        max_body: usize,
+        max_body_bytes: usize,
         now_ms: u64,
     ) -> Self {
         Connection {
             stream,
             direction,
             state,
-            max_body,
+            max_body_bytes,
             input: Vec::new(),
             output: Vec::new(),
             written: 0,
@@ -269,8 +269,8 @@
     /// this process buffer an unlimited amount.
     fn fill(&mut self, buffer: &mut [u8]) -> io::Result<()> {
         let max_input = match self.direction {
-            Direction::Inbound(_) => self.max_body + REQUEST_BUFFER_MARGIN,
-            Direction::Outbound(_) => self.max_body + RESPONSE_BUFFER_MARGIN,
+            Direction::Inbound(_) => self.max_body_bytes + REQUEST_BUFFER_MARGIN,
+            Direction::Outbound(_) => self.max_body_bytes + RESPONSE_BUFFER_MARGIN,
         };
         while self.input.len() <= max_input {
             match self.stream.read(buffer) {
@@ -337,7 +337,8 @@
             }
             return Ok(self.finished_if(self.eof_received));
         }
-        let Some((request, length)) = http::parse_request_within(&self.input, self.max_body)?
+        let Some((request, length)) =
+            http::parse_request_with_limit(&self.input, self.max_body_bytes)?
         else {
             if !self.eof_received && self.deadline_ms == NO_DEADLINE {
                 self.deadline_ms = now_ms + MAX_EXCHANGE_MS;
@@ -454,12 +455,13 @@
                 false => ResponseProgress::Incomplete,
             };
         };
-        let (response, length) = match http::parse_response_within(&self.input, self.max_body) {
-            Ok(Some(parsed)) => parsed,
-            Ok(None) if self.eof_received => return ResponseProgress::Interrupted,
-            Ok(None) => return ResponseProgress::Incomplete,
-            Err(_) => return ResponseProgress::Malformed,
-        };
+        let (response, length) =
+            match http::parse_response_with_limit(&self.input, self.max_body_bytes) {
+                Ok(Some(parsed)) => parsed,
+                Ok(None) if self.eof_received => return ResponseProgress::Interrupted,
+                Ok(None) => return ResponseProgress::Incomplete,
+                Err(_) => return ResponseProgress::Malformed,
+            };
         self.consume(length);
         self.reused = true;
         self.transition_to(State::Idle, now_ms, NO_DEADLINE);
--- a/crates/quartzgate/src/connections.rs
+++ b/crates/quartzgate/src/connections.rs
@@ -343,9 +343,9 @@
         now_ms: u64,
     ) -> io::Result<()> {
         let connection_peer = peer.clone();
-        let max_body = self.max_response_bytes;
+        let max_body_bytes = self.max_response_bytes;
         self.insert(stream, |stream| {
-            Connection::outbound(stream, connection_peer, call, max_body, now_ms)
+            Connection::outbound(stream, connection_peer, call, max_body_bytes, now_ms)
         })?;
         *self.open_by_peer.entry(peer).or_default() += 1;
         self.outbound += 1;
--- a/crates/quartzgate/src/event_loop.rs
+++ b/crates/quartzgate/src/event_loop.rs
@@ -77,7 +77,7 @@
         let clock = Clock::start();
         let platform = &config.platform;
         let max_sockets = platform.params.limits.max_sockets;
-        let connections = ConnectionTable::new(max_sockets, config.max_answer_bytes())?;
+        let connections = ConnectionTable::new(max_sockets, config.max_response_bytes())?;
         let clients: SocketAddr = platform.listen.parse()?;
         let mesh: SocketAddr = platform.mesh_listen.parse()?;
         let listeners = Listeners::bind(clients, mesh, &connections)?;
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use quartzgate_wire::http::{
-    parse_request_within, parse_response_within, write_request, write_response, Request, Response,
+    parse_request_with_limit, parse_response_with_limit, write_request, write_response, Request,
+    Response,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -68,7 +69,7 @@
     stream.write_all(&bytes).await.ok()?;
     let mut buffer = Vec::new();
     loop {
-        if let Some((response, _)) = parse_response_within(&buffer, MAX_BODY_BYTES).ok()? {
+        if let Some((response, _)) = parse_response_with_limit(&buffer, MAX_BODY_BYTES).ok()? {
             return Some((response, stream));
         }
         read_some(&mut stream, &mut buffer).await?;
@@ -105,7 +106,7 @@
 {
     let mut buffer = Vec::new();
     loop {
-        let request = match parse_request_within(&buffer, MAX_BODY_BYTES) {
+        let request = match parse_request_with_limit(&buffer, MAX_BODY_BYTES) {
             Ok(Some((request, length))) => {
                 buffer.drain(..length);
                 request
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -13,15 +13,15 @@
 use httparse::{Header, Status};
 
 /// Largest head accepted, in bytes.
-pub const MAX_HEAD: usize = 8 * 1024;
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Largest body of a request, in bytes; a larger one is refused with 413.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Largest body of a request between controllers, in bytes. Such a body carries a complete request
 /// of a user or a worker, together with the sender's own fields.
-pub const MAX_MESH_BODY: usize = MAX_BODY + MAX_HEAD;
+pub const MAX_MESH_BODY_BYTES: usize = MAX_BODY_BYTES + MAX_HEAD_BYTES;
 /// Smallest limit for the body of a response to a controller's call, in bytes. A list of 4,500
 /// machines is smaller. The protocol sets no limit for the responses to watches.
-pub const MIN_ANSWER_LIMIT: usize = 4 * 1024 * 1024;
+pub const MIN_RESPONSE_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 /// Largest number of headers accepted in a head.
 const MAX_HEADERS: usize = 48;
 /// Longest chunk size line accepted, in bytes.
@@ -71,7 +71,7 @@
     /// The bytes are not an HTTP/1.1 message with unambiguous framing.
     #[error("malformed message")]
     Malformed,
-    /// The head exceeds [`MAX_HEAD`] or has too many headers.
+    /// The head exceeds [`MAX_HEAD_BYTES`] or has too many headers.
     #[error("head too large")]
     HeadTooLarge,
     /// The body exceeds its limit.
@@ -93,24 +93,26 @@
 /// Parses the request at the front of `buffer` and returns it with its length in bytes; returns
 /// `None` while the request is incomplete.
 pub fn parse_request(buffer: &[u8]) -> Result<Option<(Request, usize)>, HttpError> {
-    parse_request_within(buffer, MAX_BODY)
+    parse_request_with_limit(buffer, MAX_BODY_BYTES)
 }
 
-/// Parses a request like [`parse_request`], with `max_body` as the limit for the body, in bytes.
-pub fn parse_request_within(
+/// Parses a request like [`parse_request`], with `max_body_bytes` as the limit for the body.
+pub fn parse_request_with_limit(
     buffer: &[u8],
-    max_body: usize,
+    max_body_bytes: usize,
 ) -> Result<Option<(Request, usize)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let head_length = match head.parse(buffer) {
-        Ok(Status::Complete(length)) if length <= MAX_HEAD => length,
-        Ok(Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(None),
+        Ok(Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(HttpError::HeadTooLarge),
         Err(_) => return Err(HttpError::Malformed),
     };
     let framing = Framing::from_headers(head.headers, head.version == Some(1))?;
-    let Some(body) = framing.read_body(buffer, head_length, max_body)? else { return Ok(None) };
+    let Some(body) = framing.read_body(buffer, head_length, max_body_bytes)? else {
+        return Ok(None);
+    };
     let request = Request {
         method: head.method.unwrap_or_default().to_string(),
         target: head.path.unwrap_or_default().to_string(),
@@ -123,23 +125,25 @@
 /// Parses the response at the front of `buffer` and returns it with its length in bytes; returns
 /// `None` while the response is incomplete.
 pub fn parse_response(buffer: &[u8]) -> Result<Option<(Response, usize)>, HttpError> {
-    parse_response_within(buffer, MIN_ANSWER_LIMIT)
+    parse_response_with_limit(buffer, MIN_RESPONSE_LIMIT_BYTES)
 }
 
-/// Parses a response like [`parse_response`], with `max_body` as the limit for the body, in bytes.
-pub fn parse_response_within(
+/// Parses a response like [`parse_response`], with `max_body_bytes` as the limit for the body.
+pub fn parse_response_with_limit(
     buffer: &[u8],
-    max_body: usize,
+    max_body_bytes: usize,
 ) -> Result<Option<(Response, usize)>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let head_length = match head.parse(buffer) {
         Ok(Status::Complete(length)) => length,
-        Ok(Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(None),
+        Ok(Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => return Ok(None),
         _ => return Err(HttpError::Malformed),
     };
     let framing = Framing::from_headers(head.headers, head.version == Some(1))?;
-    let Some(body) = framing.read_body(buffer, head_length, max_body)? else { return Ok(None) };
+    let Some(body) = framing.read_body(buffer, head_length, max_body_bytes)? else {
+        return Ok(None);
+    };
     let response = Response {
         status: head.code.unwrap_or(0),
         body: body.data,
--- a/crates/wire/tests/hostile.rs
+++ b/crates/wire/tests/hostile.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use quartzgate_wire::http::{
-    parse_request, parse_request_within, parse_response, write_request, write_response, HttpError,
-    Response, MAX_BODY, MAX_MESH_BODY,
+    parse_request, parse_request_with_limit, parse_response, write_request, write_response,
+    HttpError, Response, MAX_BODY_BYTES, MAX_MESH_BODY_BYTES,
 };
 use quartzgate_wire::msg::{
     CloudStatus, Forward, Heartbeat, JobKind, JobSpec, ListedMachine, MachineList, MeshMessage,
@@ -110,7 +110,7 @@
 #[test]
 fn oversized_and_ambiguous_messages_are_refused() {
     let head = |h: &str| format!("POST / HTTP/1.1\r\n{h}\r\n\r\n").into_bytes();
-    let too_long = format!("Content-Length: {}", MAX_BODY + 1);
+    let too_long = format!("Content-Length: {}", MAX_BODY_BYTES + 1);
     assert_eq!(parse_request(&head(&too_long)), Err(HttpError::BodyTooLarge));
     let two_lengths = "Content-Length: 3\r\nContent-Length: 4";
     assert_eq!(parse_request(&head(two_lengths)), Err(HttpError::Malformed));
@@ -177,7 +177,7 @@
     let forward = Forward {
         method: "POST".into(),
         path: format!("/api/jobs/wk-{}/abort", "9".repeat(20)),
-        body: vec![0xff; MAX_BODY],
+        body: vec![0xff; MAX_BODY_BYTES],
     };
     let message = MeshMessage {
         version: MESH_VERSION,
@@ -189,10 +189,10 @@
     let body = to_cbor(&message);
     let mut bytes = Vec::new();
     write_request(&mut bytes, "POST", "/mesh", "h", &body);
-    let (request, _) = parse_request_within(&bytes, MAX_MESH_BODY).unwrap().unwrap();
+    let (request, _) = parse_request_with_limit(&bytes, MAX_MESH_BODY_BYTES).unwrap().unwrap();
     assert_eq!(from_cbor::<MeshMessage>(&request.body).unwrap(), message);
-    let head = format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n", MAX_MESH_BODY + 1);
-    let larger = parse_request_within(head.as_bytes(), MAX_MESH_BODY);
+    let head = format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n", MAX_MESH_BODY_BYTES + 1);
+    let larger = parse_request_with_limit(head.as_bytes(), MAX_MESH_BODY_BYTES);
     assert_eq!(larger, Err(HttpError::BodyTooLarge));
 }
 
