--- a/crates/core/src/api/abort.rs
+++ b/crates/core/src/api/abort.rs
@@ -70,7 +70,7 @@
             }
             None => {
                 let key = job_key(&job_id);
-                guards.push(Guard { path: key.clone(), revision });
+                guards.push(Guard { key: key.clone(), revision });
                 apply.push(Change::Set { set: key, value: encode(&record), lease_id: None });
             }
         }
@@ -214,7 +214,7 @@
         record.status = RecordedStatus::Aborted;
         record.shrink_to_fit(self.max_value_bytes());
         let body = to_cbor(&Transaction {
-            guards: vec![Guard { path: job_key(&job), revision: read.revision }],
+            guards: vec![Guard { key: job_key(&job), revision: read.revision }],
             apply: vec![
                 Change::Set { set: job_key(&job), value: encode(&record), lease_id: None },
                 Change::Set { set: handoff_key(&job), value: encode(&true), lease_id: None },
--- a/crates/core/src/api/admissibility.rs
+++ b/crates/core/src/api/admissibility.rs
@@ -23,7 +23,7 @@
 /// Returns whether a job exceeds its team's limits. The tasks of an array count one by one, as they
 /// need not run at the same time; those of any other job count together.
 fn exceeds_team_limit(spec: &JobSpec, team: &Team) -> bool {
-    let tasks_at_once = if spec.shape == JobKind::Array { 1.0 } else { spec.tasks as f64 };
+    let tasks_at_once = if spec.kind == JobKind::Array { 1.0 } else { spec.tasks as f64 };
     let exceeds = |each: f64, limit: f64| limit > 0.0 && each * tasks_at_once > limit + TOLERANCE;
     exceeds(spec.cpus, team.cpus_max) || exceeds(spec.gpus, team.gpus_max)
 }
@@ -39,7 +39,7 @@
 /// Returns whether a job whose tasks must not all be in one zone has no second zone for them. An
 /// array is never affected: it continues with the tasks that may run.
 fn lacks_second_zone(spec: &JobSpec, zones: usize) -> bool {
-    let runs_at_once = spec.shape != JobKind::Array && spec.tasks > 1;
+    let runs_at_once = spec.kind != JobKind::Array && spec.tasks > 1;
     runs_at_once && spec.spread && (spec.together || zones < 2)
 }
 
--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -48,6 +48,6 @@
 impl Controller {
     /// Returns the guard of every write of the leader: the epoch record is still the leader's own.
     fn epoch_guard(&self) -> Guard {
-        Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision() }
+        Guard { key: EPOCH_KEY.into(), revision: self.membership.epoch_revision() }
     }
 }
--- a/crates/core/src/api/status_queries.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -178,7 +178,7 @@
             read.remaining.remove(&job_index);
             match self.jobs.get(job_index) {
                 Some(job) => {
-                    guards.push(Guard { path: job_key(&job.id), revision });
+                    guards.push(Guard { key: job_key(&job.id), revision });
                     read.sent.insert(job_index, revision);
                 }
                 // The job has ended since the query was queued.
@@ -215,8 +215,8 @@
             return self.answer_queries_busy(read.into_requests(), reason);
         };
         self.note_store_answer();
-        for path in failed {
-            self.on_record_changed(&mut read, &path);
+        for key in failed {
+            self.on_record_changed(&mut read, &key);
         }
         if !read.remaining.is_empty() {
             return self.send_validated_read(read);
@@ -244,8 +244,8 @@
 
     /// Records that a job's record has changed. Unless this leader has written it in the meantime,
     /// memory is older than the record or a delayed write was applied, so the record is read again.
-    fn on_record_changed(&mut self, read: &mut ValidatedRead, path: &str) {
-        let found = path.strip_prefix(JOB_PREFIX).and_then(|id| self.jobs.find(id));
+    fn on_record_changed(&mut self, read: &mut ValidatedRead, key: &str) {
+        let found = key.strip_prefix(JOB_PREFIX).and_then(|id| self.jobs.find(id));
         let Some(job_index) = found else { return };
         read.changed.insert(job_index);
         let sent = read.sent.get(&job_index).copied();
--- a/crates/core/src/api/status_reads.rs
+++ b/crates/core/src/api/status_reads.rs
@@ -256,7 +256,7 @@
         let live_revisions = &self.status_reads.live_revisions;
         let guard = |queries: &JobQueries| {
             let revision = live_revisions.get(&queries.job).copied().unwrap_or(0);
-            Guard { path: job_key(&queries.job), revision }
+            Guard { key: job_key(&queries.job), revision }
         };
         let guards = queries.iter().map(guard).collect();
         let body = to_cbor(&Transaction { guards, apply: Vec::new() });
--- a/crates/core/src/api/submit.rs
+++ b/crates/core/src/api/submit.rs
@@ -208,7 +208,7 @@
             let key = job_key(&job_id);
             let value = encode(&record);
             apply.push(Change::Set { set: key.clone(), value, lease_id: None });
-            guards.push(Guard { path: key, revision: 0 });
+            guards.push(Guard { key, revision: 0 });
         }
         if let Some(placement) = placement {
             placement.add_to_transaction(&job_id, 0, &mut guards, &mut apply);
@@ -396,8 +396,8 @@
         }
         let job = spec.id.clone();
         let record = self.job_record(spec);
-        let mut guards = vec![Guard { path: job_key(&job), revision: 0 }];
-        guards.extend(absent_batch.map(|number| Guard { path: batch_key(number), revision: 0 }));
+        let mut guards = vec![Guard { key: job_key(&job), revision: 0 }];
+        guards.extend(absent_batch.map(|number| Guard { key: batch_key(number), revision: 0 }));
         let body = to_cbor(&Transaction {
             guards,
             apply: vec![
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -146,7 +146,7 @@
 
 /// Returns the approximate memory used by a heartbeat, in bytes.
 pub(crate) fn heartbeat_bytes(heartbeat: &Heartbeat) -> usize {
-    let strings = [&heartbeat.machine, &heartbeat.addr, &heartbeat.kind, &heartbeat.zone];
+    let strings = [&heartbeat.machine, &heartbeat.addr, &heartbeat.machine_type, &heartbeat.zone];
     let tasks = heartbeat.tasks.iter();
     std::mem::size_of::<Heartbeat>()
         + strings.iter().map(|string| string.len()).sum::<usize>()
--- a/crates/core/src/fleet/heartbeat_relay.rs
+++ b/crates/core/src/fleet/heartbeat_relay.rs
@@ -68,6 +68,6 @@
     pub(crate) fn redirect(&mut self, id: RequestId) {
         self.redirected_heartbeats += 1;
         let leader = self.live_leader_index().and(self.known_leader());
-        self.answer(id, Response::new(421, to_cbor(&Redirect { leader })));
+        self.answer(id, Response::new(421, to_cbor(&Redirect { controller: leader })));
     }
 }
--- a/crates/core/src/fleet/heartbeats.rs
+++ b/crates/core/src/fleet/heartbeats.rs
@@ -49,7 +49,7 @@
         }
         if let Some(node) = self.controller_in_zone_of(&heartbeat).filter(|_| relayed_by.is_none())
         {
-            let body = to_cbor(&Redirect { leader: Some(node) });
+            let body = to_cbor(&Redirect { controller: Some(node) });
             return self.answer(id, Response::new(421, body));
         }
         self.on_heartbeat_as_leader(id, heartbeat, relayed_by);
@@ -98,7 +98,8 @@
             // The worker no longer waits for an answer, and an answer must not renew its lease.
             Freshness::Duplicate => {
                 self.duplicates_dropped += 1;
-                return self.answer(id, Response::new(421, to_cbor(&Redirect { leader: None })));
+                return self
+                    .answer(id, Response::new(421, to_cbor(&Redirect { controller: None })));
             }
         }
         self.apply_heartbeat(index, heartbeat);
@@ -210,7 +211,7 @@
         machine.agent_epoch = heartbeat.agent_epoch;
         machine.acknowledged_token = heartbeat.fencing_token;
         machine.addr = heartbeat.addr.parse().ok();
-        machine.kind = heartbeat.kind;
+        machine.kind = heartbeat.machine_type;
         machine.zone = zone;
         machine.spot = heartbeat.spot;
         self.update_interruption_notice(index, heartbeat.interruption_notice_s);
@@ -299,7 +300,7 @@
     let valid_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
     valid_name(&heartbeat.machine)
         && heartbeat.addr.parse::<SocketAddr>().is_ok()
-        && valid_name(&heartbeat.kind)
+        && valid_name(&heartbeat.machine_type)
         && valid_name(&heartbeat.zone)
         && heartbeat.agent_epoch > 0
         && heartbeat
--- a/crates/core/src/fleet/provisioning/cloud_list.rs
+++ b/crates/core/src/fleet/provisioning/cloud_list.rs
@@ -115,12 +115,12 @@
     }
 
     fn on_listed_booting(&mut self, listed: ListedMachine) {
-        let deadline_ms = self.boot_deadline_ms(&listed.kind);
+        let deadline_ms = self.boot_deadline_ms(&listed.machine_type);
         let age_ms = (listed.age_s * 1000.0) as u64;
         let zone = self.zone_index(&listed.zone);
         let since_ms = self.context.now.steady_ms.saturating_sub(age_ms);
         self.provisioner.expected.entry(listed.name.clone()).or_insert(PendingProvision {
-            kind: listed.kind,
+            kind: listed.machine_type,
             zone,
             spot: listed.spot,
             since_ms,
@@ -144,7 +144,7 @@
             machine.addr = listed.addr.parse().ok();
         }
         if machine.kind.is_empty() {
-            machine.kind = listed.kind;
+            machine.kind = listed.machine_type;
             machine.zone = zone;
             machine.spot = listed.spot;
         }
--- a/crates/core/src/fleet/provisioning/demand.rs
+++ b/crates/core/src/fleet/provisioning/demand.rs
@@ -39,7 +39,7 @@
         let mut unmet = Vec::new();
         let mut claimed_cpus: Vec<f64> = vec![0.0; self.teams.len()];
         for job in self.live_jobs_by_priority() {
-            if job.spec.shape == JobKind::Gang {
+            if job.spec.kind == JobKind::Gang {
                 if !job.failing_everywhere() {
                     unmet.extend(self.unmet_gang(job, &mut pool));
                 }
--- a/crates/core/src/fleet/provisioning/scale_out.rs
+++ b/crates/core/src/fleet/provisioning/scale_out.rs
@@ -159,7 +159,7 @@
         );
         let body = to_cbor(&ProvisionRequest {
             provision_id: provision_id.clone(),
-            kind: offer.kind.clone(),
+            machine_type: offer.kind.clone(),
             zone,
             spot: offer.spot,
             count,
--- a/crates/core/src/fleet/reconciliation.rs
+++ b/crates/core/src/fleet/reconciliation.rs
@@ -151,7 +151,7 @@
         match reported.cause {
             Some(ExitCause::Done) => {
                 self.clear_machine_failures(index);
-                match self.jobs.get(key.job).map(|job| job.spec.shape) {
+                match self.jobs.get(key.job).map(|job| job.spec.kind) {
                     Some(JobKind::Gang) => self.mark_gang_done(key.job),
                     _ => self.mark_task_done(key),
                 }
@@ -232,7 +232,7 @@
     fn mark_steady_service_proven(&mut self, key: TaskKey, running_since_ms: u64) {
         let steady_ms = STEADY_AFTER_INTERVALS * self.context.config.heartbeat_interval_ms();
         let steady = self.context.now.steady_ms >= running_since_ms + steady_ms;
-        let service = self.jobs.get(key.job).is_some_and(|job| job.spec.shape == JobKind::Service);
+        let service = self.jobs.get(key.job).is_some_and(|job| job.spec.kind == JobKind::Service);
         if steady && service {
             self.set_job_health(key.job, JobHealth::RunsWell);
         }
--- a/crates/core/src/jobs/dependencies/walks.rs
+++ b/crates/core/src/jobs/dependencies/walks.rs
@@ -101,7 +101,7 @@
             Some(_) => false,
             None => {
                 let job = self.jobs.find(id).and_then(|index| self.jobs.get(index));
-                job.is_some_and(|job| job.revision > 0 && job.spec.shape != JobKind::Service)
+                job.is_some_and(|job| job.revision > 0 && job.spec.kind != JobKind::Service)
             }
         }
     }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -188,7 +188,7 @@
     /// job has this priority. The tasks of a gang are not preempted one by one, so they count only
     /// if the gang has the lowest priority.
     pub fn preemptible_fraction(&self, priority: Priority) -> f64 {
-        f64::from(u8::from(self.spec.shape != JobKind::Gang || priority == Priority::Low))
+        f64::from(u8::from(self.spec.kind != JobKind::Gang || priority == Priority::Low))
     }
 
     /// Returns the job's remaining work in seconds of machine time, according to the submitted
--- a/crates/core/src/lease_proxy/claim.rs
+++ b/crates/core/src/lease_proxy/claim.rs
@@ -90,7 +90,7 @@
         self.set_claim(ClaimState::Requested);
         let set =
             Change::Set { set: self.claim_key(), value: encode(&epoch), lease_id: Some(lease_id) };
-        let guards = vec![Guard { path: EPOCH_KEY.into(), revision }];
+        let guards = vec![Guard { key: EPOCH_KEY.into(), revision }];
         let body = to_cbor(&Transaction { guards, apply: vec![set] });
         let call = LeaseProxyCall::Claim { epoch, lease_id };
         self.lease_proxy.write_store(&mut self.context, body, call);
@@ -143,10 +143,10 @@
             return;
         }
         self.lease_proxy.claim.retry_ms = now + self.context.config.heartbeat_interval_ms();
-        let path = self.claim_key();
+        let key = self.claim_key();
         // The guard keeps a late deletion from removing a later claim.
-        let guards = vec![Guard { path: path.clone(), revision }];
-        let body = to_cbor(&Transaction { guards, apply: vec![Change::Delete { delete: path }] });
+        let guards = vec![Guard { key: key.clone(), revision }];
+        let body = to_cbor(&Transaction { guards, apply: vec![Change::Delete { delete: key }] });
         self.lease_proxy.write_store(&mut self.context, body, LeaseProxyCall::DeleteClaim);
     }
 }
--- a/crates/core/src/lease_proxy/mailbox/delivery.rs
+++ b/crates/core/src/lease_proxy/mailbox/delivery.rs
@@ -16,8 +16,8 @@
 impl Controller {
     /// Processes a mailbox record if it is addressed to this controller, belongs to the present
     /// epoch and is not outdated.
-    pub(crate) fn on_mailbox_record(&mut self, path: &str, value: &Value) {
-        let Some(peer) = self.mailbox_sender(path) else { return };
+    pub(crate) fn on_mailbox_record(&mut self, key: &str, value: &Value) {
+        let Some(peer) = self.mailbox_sender(key) else { return };
         let Some(record) = decode::<MailboxRecord>(value) else {
             let from = &self.context.config.platform.siblings[peer].node;
             tracing::error!(from, "cannot decode mailbox record; ignoring it");
@@ -35,8 +35,8 @@
 
     /// Returns the peer that wrote a record, or `None` if the record is not addressed to this
     /// controller.
-    fn mailbox_sender(&self, path: &str) -> Option<usize> {
-        let (to, from) = path.strip_prefix(MAILBOX_PREFIX)?.split_once('/')?;
+    fn mailbox_sender(&self, key: &str) -> Option<usize> {
+        let (to, from) = key.strip_prefix(MAILBOX_PREFIX)?.split_once('/')?;
         let platform = &self.context.config.platform;
         let peer = platform.siblings.iter().position(|sibling| sibling.node == from)?;
         (to == platform.node).then_some(peer)
--- a/crates/core/src/lease_proxy/mailbox/sending.rs
+++ b/crates/core/src/lease_proxy/mailbox/sending.rs
@@ -130,7 +130,7 @@
         let key = mailbox_key(&platform.siblings[peer].node, &platform.node);
         let lease_id = Some(conditions.lease_id);
         let body = to_cbor(&Transaction {
-            guards: vec![Guard { path: EPOCH_KEY.into(), revision: conditions.epoch_revision }],
+            guards: vec![Guard { key: EPOCH_KEY.into(), revision: conditions.epoch_revision }],
             apply: vec![Change::Set { set: key, value: encode(&record), lease_id }],
         });
         let pause_ms = BATCH_INTERVALS_PER_WRITE * self.context.config.write_batch_ms();
--- a/crates/core/src/membership/election.rs
+++ b/crates/core/src/membership/election.rs
@@ -151,8 +151,8 @@
         let epoch = candidacy.continued_epoch.unwrap_or(observed_epoch + 1);
         let apply = self.election_changes(lease_id, epoch, &candidacy);
         let guards = vec![
-            Guard { path: LEADER_KEY.into(), revision: candidacy.leader_revision },
-            Guard { path: EPOCH_KEY.into(), revision: epoch_revision },
+            Guard { key: LEADER_KEY.into(), revision: candidacy.leader_revision },
+            Guard { key: EPOCH_KEY.into(), revision: epoch_revision },
         ];
         self.record_writer.write_limiter.charge(now, apply.len() as f64);
         let renewal_ms = self.context.config.lease_renewal_ms();
@@ -196,7 +196,7 @@
         self.membership.epoch_watch.invalidate_until(now + config.lease_renewal_ms() / 2);
         self.record_writer.write_limiter.charge(now, 1.0);
         let body = to_cbor(&Transaction {
-            guards: vec![Guard { path: LEADER_KEY.into(), revision: leader_revision }],
+            guards: vec![Guard { key: LEADER_KEY.into(), revision: leader_revision }],
             apply: vec![Change::Delete { delete: LEADER_KEY.into() }],
         });
         self.membership.write_unconfirmed(&mut self.context, body);
--- a/crates/core/src/membership/epoch_watch.rs
+++ b/crates/core/src/membership/epoch_watch.rs
@@ -137,7 +137,7 @@
         let mut snapshot = ControlSnapshot::default();
         for pair in &list.pairs {
             let revision = pair.revision;
-            match pair.path.as_str() {
+            match pair.key.as_str() {
                 LEADER_KEY => {
                     let record = decode::<LeaderRecord>(&pair.value);
                     snapshot.leader = record.map(|record| Revisioned { record, revision });
@@ -151,8 +151,8 @@
                         return None;
                     }
                 },
-                path => {
-                    let node = path.strip_prefix(LEASE_PROXY_PREFIX);
+                key => {
+                    let node = key.strip_prefix(LEASE_PROXY_PREFIX);
                     let claim = node.map(|node| ProxyClaimKey { node: node.to_string(), revision });
                     snapshot.claims.extend(claim);
                 }
@@ -346,38 +346,33 @@
 
     fn observe_control_change(&mut self, change: ChangeEvent) {
         let now = self.context.now.steady_ms;
-        if let Some(path) = &change.set {
+        if let Some(key) = &change.set {
             let Some(value) = &change.value else { return };
-            self.observe_control_record(path, value, change.revision);
+            self.observe_control_record(key, value, change.revision);
             return;
         }
-        let Some(path) = &change.delete else { return };
-        if path == LEADER_KEY {
+        let Some(key) = &change.delete else { return };
+        if key == LEADER_KEY {
             self.membership.observe_leader(&mut self.context, None);
-        } else if let Some(node) = path.strip_prefix(LEASE_PROXY_PREFIX) {
+        } else if let Some(node) = key.strip_prefix(LEASE_PROXY_PREFIX) {
             self.membership.observe_proxy_claim(node, None, now);
         }
     }
 
-    fn observe_control_record(
-        &mut self,
-        path: &str,
-        value: &ciborium::value::Value,
-        revision: u64,
-    ) {
+    fn observe_control_record(&mut self, key: &str, value: &ciborium::value::Value, revision: u64) {
         let now = self.context.now.steady_ms;
-        if path == LEADER_KEY {
+        if key == LEADER_KEY {
             let record = decode::<LeaderRecord>(value);
             let leader = record.map(|record| Revisioned { record, revision });
             self.membership.observe_leader(&mut self.context, leader);
-        } else if path == EPOCH_KEY {
+        } else if key == EPOCH_KEY {
             if let Some(record) = decode::<EpochRecord>(value) {
                 self.observe_epoch(Some(Revisioned { record, revision }));
             }
-        } else if let Some(node) = path.strip_prefix(LEASE_PROXY_PREFIX) {
+        } else if let Some(node) = key.strip_prefix(LEASE_PROXY_PREFIX) {
             self.membership.observe_proxy_claim(node, Some(revision), now);
         } else {
-            self.on_mailbox_record(path, value);
+            self.on_mailbox_record(key, value);
         }
     }
 
--- a/crates/core/src/membership/handoff_watch.rs
+++ b/crates/core/src/membership/handoff_watch.rs
@@ -139,8 +139,8 @@
         let changes = self.membership.observe_handoff_changes(&mut self.context, sent_ms, outcome);
         let Some(changes) = changes else { return };
         for change in changes.log {
-            if let (Some(path), Some(value)) = (change.set, change.value) {
-                self.on_handoff_entry(&path, &value, change.revision);
+            if let (Some(key), Some(value)) = (change.set, change.value) {
+                self.on_handoff_entry(&key, &value, change.revision);
             }
         }
         self.watch_handoff_queue();
@@ -162,9 +162,9 @@
         };
         self.note_store_answer();
         let list_revision = list_revision.unwrap_or(list.store_revision);
-        let last_key = list.pairs.last().map(|pair| pair.path.clone()).filter(|_| list.more);
+        let last_key = list.pairs.last().map(|pair| pair.key.clone()).filter(|_| list.more);
         for pair in list.pairs {
-            self.on_handoff_entry(&pair.path, &pair.value, pair.revision);
+            self.on_handoff_entry(&pair.key, &pair.value, pair.revision);
         }
         if last_key.is_some() {
             let context = &mut self.context;
--- a/crates/core/src/placement/demand_ratios.rs
+++ b/crates/core/src/placement/demand_ratios.rs
@@ -232,7 +232,7 @@
         let mut services_by_priority: [Resources; 4] = Default::default();
         let Some(machine) = self.machines.get(machine_index) else { return services_by_priority };
         let jobs = machine.tasks.keys().filter_map(|key| self.jobs.get(key.job));
-        let is_service = |job: &&Job| job.spec.shape == JobKind::Service;
+        let is_service = |job: &&Job| job.spec.kind == JobKind::Service;
         for job in jobs.filter(is_service).filter(|job| job.state == JobState::Live) {
             services_by_priority[job.priority as usize].add(&job.resources(), 1.0);
         }
--- a/crates/core/src/placement/dispatch.rs
+++ b/crates/core/src/placement/dispatch.rs
@@ -85,7 +85,7 @@
             let Some(job) = self.jobs.get(key.job) else { continue };
             let Some(task) = job.task(key.task) else { continue };
             // The tasks of a gang start together or not at all: `tick_gangs` starts them.
-            let is_gang = job.spec.shape == JobKind::Gang;
+            let is_gang = job.spec.kind == JobKind::Gang;
             if is_gang || !self.startable(job, *key, task, machine_index) {
                 continue;
             }
--- a/crates/core/src/placement/gangs.rs
+++ b/crates/core/src/placement/gangs.rs
@@ -142,7 +142,7 @@
     /// priority first, then older first.
     fn gangs_by_priority(&self) -> Vec<(Priority, JobIndex)> {
         let is_ready =
-            |job: &Job| job.spec.shape == JobKind::Gang && job.state == JobState::Live && !job.busy;
+            |job: &Job| job.spec.kind == JobKind::Gang && job.state == JobState::Live && !job.busy;
         let ready = self.jobs.iter().filter(|(_, job)| is_ready(job));
         let mut gangs: Vec<(Reverse<Priority>, u64, JobIndex)> =
             ready.map(|(index, job)| (Reverse(job.priority), job.ready_ms, index)).collect();
--- a/crates/core/src/placement/placer.rs
+++ b/crates/core/src/placement/placer.rs
@@ -209,7 +209,7 @@
     /// Returns whether any task was placed.
     pub(crate) fn place_job(&mut self, job_index: JobIndex) -> bool {
         let Some(job) = self.jobs.get(job_index) else { return false };
-        if job.spec.shape == JobKind::Gang {
+        if job.spec.kind == JobKind::Gang {
             return false;
         }
         let (team, need, spec) = (job.team, job.resources(), job.spec.clone());
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -55,7 +55,7 @@
         };
         let mut jobs: Vec<(Priority, u64, JobIndex)> = Vec::new();
         for (job_index, job) in self.jobs.iter() {
-            let is_gang = job.spec.shape == JobKind::Gang;
+            let is_gang = job.spec.kind == JobKind::Gang;
             let never_preempts = job.waiting == 0 || job.failing_everywhere();
             if job.state != JobState::Live
                 || never_preempts
@@ -217,7 +217,7 @@
     /// `may_checkpoint` is set. A task of a gang stops with its whole gang, whatever is set.
     fn stop_task_with(&mut self, key: TaskKey, why: &str, may_checkpoint: bool) {
         let Some(job) = self.jobs.get(key.job) else { return };
-        if job.spec.shape == JobKind::Gang {
+        if job.spec.kind == JobKind::Gang {
             tracing::debug!(job = %job.id, why, "stopping the gang");
             return self.stop_gang(key.job);
         }
--- a/crates/core/src/placement/reprobe.rs
+++ b/crates/core/src/placement/reprobe.rs
@@ -37,7 +37,7 @@
     fn jobs_to_reprobe(&self) -> Vec<JobIndex> {
         let now_ms = self.context.now.steady_ms;
         let needs_check = |job: &Job| {
-            let is_gang = job.spec.shape == JobKind::Gang;
+            let is_gang = job.spec.kind == JobKind::Gang;
             job.state == JobState::Live && job.waiting > 0 && !is_gang && job.may_start_now(now_ms)
         };
         let mut jobs: Vec<(JobIndex, &Job)> =
--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -162,7 +162,7 @@
             }
         }
         self.recovery.start_revision.get_or_insert(list.store_revision);
-        let last_key = list.pairs.last().map(|pair| pair.path.clone());
+        let last_key = list.pairs.last().map(|pair| pair.key.clone());
         self.load_records(list.pairs);
         if list.more && last_key.is_some() {
             self.recovery.last_key = last_key;
@@ -207,7 +207,7 @@
     }
 
     fn load_batch(&mut self, pair: &KeyValue) {
-        let Some(number) = batch_number(&pair.path) else { return };
+        let Some(number) = batch_number(&pair.key) else { return };
         self.job_batches.restore(number, pair.revision);
         let Some(batch) = decode::<BatchRecord>(&pair.value) else {
             tracing::error!(number, "cannot decode batch record; its jobs will not run");
@@ -228,7 +228,7 @@
     }
 
     fn load_job(&mut self, pair: &KeyValue) {
-        let id = pair.path.trim_start_matches(JOB_PREFIX).to_string();
+        let id = pair.key.trim_start_matches(JOB_PREFIX).to_string();
         let Some(mut record) = decode::<JobRecord>(&pair.value) else {
             tracing::error!(job = %id, "cannot decode job record; the job will not run");
             self.recovery.unreadable.insert(id);
@@ -315,19 +315,19 @@
     fn load_placements(&mut self, pairs: Vec<KeyValue>) {
         let mut placements = std::mem::take(&mut self.recovery.partial_placements);
         for pair in pairs {
-            let Some((id, chunk)) = parse_placement_key(&pair.path) else { continue };
+            let Some((id, chunk)) = parse_placement_key(&pair.key) else { continue };
             if self.recovery.unreadable.contains(id) {
                 continue;
             }
             let Some(ix) = self.job_of_placement(id) else {
                 // The job has ended, so the record only takes up space in the store.
-                self.record_writer.schedule_deletion(pair.path);
+                self.record_writer.schedule_deletion(pair.key);
                 continue;
             };
-            let piece = read_placement(&pair.path, &pair.value, pair.revision);
+            let piece = read_placement(&pair.key, &pair.value, pair.revision);
             let job_placements = placements.entry(ix);
             if !piece.is_some_and(|piece| job_placements.or_default().add(chunk, piece)) {
-                self.on_unreadable_placement(ix, &pair.path);
+                self.on_unreadable_placement(ix, &pair.key);
             }
         }
         for (ix, job_placements) in placements {
@@ -353,7 +353,7 @@
     /// the jobs' records cover it. The watch reports later entries.
     fn load_handoff(&mut self, pair: KeyValue) {
         if self.recovery.start_revision.is_some_and(|revision| pair.revision <= revision) {
-            self.record_writer.schedule_deletion_at(pair.path, pair.revision);
+            self.record_writer.schedule_deletion_at(pair.key, pair.revision);
         }
     }
 
--- a/crates/core/src/recovery/recorded_jobs.rs
+++ b/crates/core/src/recovery/recorded_jobs.rs
@@ -87,10 +87,10 @@
         self.note_store_answer();
         let mut placements = PartialPlacements::default();
         for pair in list.pairs {
-            let Some((_, chunk)) = parse_placement_key(&pair.path) else { continue };
-            let piece = read_placement(&pair.path, &pair.value, pair.revision);
+            let Some((_, chunk)) = parse_placement_key(&pair.key) else { continue };
+            let piece = read_placement(&pair.key, &pair.value, pair.revision);
             if !piece.is_some_and(|piece| placements.add(chunk, piece)) {
-                return self.on_unreadable_placement(ix, &pair.path);
+                return self.on_unreadable_placement(ix, &pair.key);
             }
         }
         let (complete, partial) = placements.split_complete();
--- a/crates/core/src/storage/feature_state.rs
+++ b/crates/core/src/storage/feature_state.rs
@@ -88,14 +88,14 @@
 /// Returns the node and the capabilities of a capability record; `None` for a record that can't be
 /// decoded, which is treated as if it were absent.
 fn stored_capabilities(pair: &KeyValue) -> Option<(String, StoredCapabilities)> {
-    let node = pair.path.strip_prefix(FORMAT_NODE_PREFIX)?;
+    let node = pair.key.strip_prefix(FORMAT_NODE_PREFIX)?;
     let record = decode::<CapabilityRecord>(&pair.value)?;
     Some((node.to_string(), StoredCapabilities { record, revision: pair.revision }))
 }
 
 /// Returns the node and the revision of a membership key.
 fn membership_revision(pair: &KeyValue) -> Option<(String, u64)> {
-    Some((pair.path.strip_prefix(MEMBER_PREFIX)?.to_string(), pair.revision))
+    Some((pair.key.strip_prefix(MEMBER_PREFIX)?.to_string(), pair.revision))
 }
 
 impl Controller {
@@ -211,7 +211,7 @@
     /// Updates the activation status from a list of the format keys.
     pub(crate) fn update_activation_status(&mut self, pairs: &[KeyValue]) {
         let gates = &self.feature_state.gates;
-        let (status, revision) = match pairs.iter().find(|pair| pair.path == FORMAT_KEY) {
+        let (status, revision) = match pairs.iter().find(|pair| pair.key == FORMAT_KEY) {
             Some(pair) => (gates.interpret(decode(&pair.value)), pair.revision),
             None => (gates.interpret(Some(ActivationRecord::initial())), 0),
         };
@@ -227,7 +227,7 @@
         };
         let set = Change::Set { set: capability_key(node), value: encode(&record), lease_id: None };
         // A late write of an earlier process run must not replace the capabilities of this run.
-        let guards = vec![Guard { path: member_key(node), revision: membership_revision }];
+        let guards = vec![Guard { key: member_key(node), revision: membership_revision }];
         // The next read shows whether the capabilities were written; if not, they are published
         // again.
         self.write_format_keys(
@@ -277,15 +277,15 @@
     /// Writes the activation of a step, guarded by everything that the decision depends on.
     fn activate(&mut self, planned: PlannedActivation) {
         let mut guards = vec![
-            Guard { path: FORMAT_KEY.into(), revision: self.feature_state.gates.revision() },
-            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision() },
+            Guard { key: FORMAT_KEY.into(), revision: self.feature_state.gates.revision() },
+            Guard { key: EPOCH_KEY.into(), revision: self.membership.epoch_revision() },
         ];
         guards.extend(planned.guards.into_iter().map(|guard| match guard {
             ActivationGuard::Membership { node, revision } => {
-                Guard { path: member_key(&node), revision }
+                Guard { key: member_key(&node), revision }
             }
             ActivationGuard::Capabilities { node, revision } => {
-                Guard { path: capability_key(&node), revision }
+                Guard { key: capability_key(&node), revision }
             }
         }));
         let value = encode(&planned.record);
--- a/crates/core/src/storage/job_batches/batch_lookup.rs
+++ b/crates/core/src/storage/job_batches/batch_lookup.rs
@@ -217,8 +217,8 @@
     fn verify_absence(&mut self, mut lookup: BatchLookup) {
         lookup.last_batch = self.job_batches.last_number;
         let guards = vec![
-            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision() },
-            Guard { path: job_key(&lookup.job_id), revision: 0 },
+            Guard { key: EPOCH_KEY.into(), revision: self.membership.epoch_revision() },
+            Guard { key: job_key(&lookup.job_id), revision: 0 },
         ];
         let body = to_cbor(&Transaction { guards, apply: Vec::new() });
         self.charge_read(ReadPurpose::AbsenceCheck);
@@ -239,7 +239,7 @@
         let is_outdated = epoch != self.epoch() || self.jobs.find(&lookup.job_id).is_some();
         match (status, answer) {
             (200, Some(_)) if !is_outdated => self.report_absence(lookup),
-            (409, Some(answer)) if answer.failed.iter().any(|path| path == EPOCH_KEY) => {
+            (409, Some(answer)) if answer.failed.iter().any(|key| key == EPOCH_KEY) => {
                 if epoch == self.epoch() {
                     self.step_down();
                 }
@@ -298,7 +298,7 @@
             return self.fail_scan(scan);
         };
         index.add_listed(&list);
-        let last_key = list.pairs.last().map(|pair| pair.path.clone());
+        let last_key = list.pairs.last().map(|pair| pair.key.clone());
         if list.more && last_key.is_some() {
             scan.listed_to = last_key;
             scan.new_index = Some(index);
@@ -378,7 +378,7 @@
     /// Verifies with one transaction that jobs found in batch records have not got records of their
     /// own in the meantime.
     fn verify_own_keys_absent(&mut self, lookups: Vec<BatchLookup>) {
-        let guard = |lookup: &BatchLookup| Guard { path: job_key(&lookup.job_id), revision: 0 };
+        let guard = |lookup: &BatchLookup| Guard { key: job_key(&lookup.job_id), revision: 0 };
         let guards = lookups.iter().map(guard).collect();
         let body = to_cbor(&Transaction { guards, apply: Vec::new() });
         self.charge_read(ReadPurpose::AbsenceCheck);
@@ -434,7 +434,7 @@
     /// own record guards the write by the absence of that record.
     fn report_batched_record(&mut self, job_id: &str, record: &JobRecord, report_as: InFlight) {
         let pair =
-            KeyValue { path: job_key(job_id), value: encode(record), revision: 0, lease_id: None };
+            KeyValue { key: job_key(job_id), value: encode(record), revision: 0, lease_id: None };
         self.on_outcome(report_as, Outcome::Answer(Response::new(200, to_cbor(&pair))));
     }
 
--- a/crates/core/src/storage/job_batches/batch_writer.rs
+++ b/crates/core/src/storage/job_batches/batch_writer.rs
@@ -66,16 +66,16 @@
         if contents.members.is_empty() && is_new && !batch.write_indeterminate {
             return self.discard_new_batch(number);
         }
-        let path = batch_key(number);
+        let key = batch_key(number);
         let mut guards = vec![
-            Guard { path: EPOCH_KEY.into(), revision: self.membership.epoch_revision() },
-            Guard { path: path.clone(), revision },
+            Guard { key: EPOCH_KEY.into(), revision: self.membership.epoch_revision() },
+            Guard { key: key.clone(), revision },
         ];
         if is_new {
             guards.extend(self.guards_against_own_records(&contents.members));
         }
         let value = encode(&contents.record);
-        let apply = vec![Change::Set { set: path, value, lease_id: None }];
+        let apply = vec![Change::Set { set: key, value, lease_id: None }];
         for member in &contents.members {
             self.on_placement_sent(*member, 0, RecordLocation::default());
             self.record_writer.clear_dirty_chunk(*member, 0);
@@ -92,7 +92,7 @@
     /// Returns guards against any of the jobs having a record of its own.
     fn guards_against_own_records(&self, members: &[JobIndex]) -> Vec<Guard> {
         let jobs = members.iter().filter_map(|member| self.jobs.get(*member));
-        jobs.map(|job| Guard { path: job_key(&job.id), revision: 0 }).collect()
+        jobs.map(|job| Guard { key: job_key(&job.id), revision: 0 }).collect()
     }
 
     /// Returns the contents of a batch record to be written. If the members no longer fit in one
@@ -184,7 +184,7 @@
 
     /// Handles a write whose guards did not hold: the revisions of these keys differ in the store.
     fn on_batch_conflict(&mut self, number: u64, failed: &[String]) {
-        if failed.iter().any(|path| path == EPOCH_KEY) {
+        if failed.iter().any(|key| key == EPOCH_KEY) {
             self.step_down();
         } else if failed.contains(&batch_key(number)) {
             self.read_batch(number);
--- a/crates/core/src/storage/job_batches/index.rs
+++ b/crates/core/src/storage/job_batches/index.rs
@@ -71,7 +71,7 @@
             self.store_revision = list.store_revision;
         }
         for pair in &list.pairs {
-            self.insert(&pair.path, &pair.value, pair.revision);
+            self.insert(&pair.key, &pair.value, pair.revision);
         }
     }
 
--- a/crates/core/src/storage/job_batches/intake.rs
+++ b/crates/core/src/storage/job_batches/intake.rs
@@ -80,7 +80,7 @@
 /// Returns whether a job of this kind may share a record at all. A job of high priority does not
 /// wait for others.
 fn may_be_batched(spec: &JobSpec) -> bool {
-    spec.priority < Priority::High && spec.shape == JobKind::Array && spec.dependencies.is_empty()
+    spec.priority < Priority::High && spec.kind == JobKind::Array && spec.dependencies.is_empty()
 }
 
 impl Controller {
--- a/crates/core/src/storage/placement_records.rs
+++ b/crates/core/src/storage/placement_records.rs
@@ -70,12 +70,12 @@
     ) {
         let (new_pieces, recorded_pieces) = (self.location.pieces, self.recorded_pieces);
         if let Some(own) = self.own_record {
-            guards.push(Guard { path: job_key(id), revision: own.revision });
+            guards.push(Guard { key: job_key(id), revision: own.revision });
             apply.push(Change::Set { set: job_key(id), value: own.value, lease_id: None });
         }
         for piece in 0..new_pieces.max(recorded_pieces) {
             let revision = if piece < recorded_pieces { self.recorded_revision } else { 0 };
-            guards.push(Guard { path: piece_key(id, chunk, piece), revision });
+            guards.push(Guard { key: piece_key(id, chunk, piece), revision });
         }
         for (piece, value) in (0..).zip(self.values) {
             apply.push(Change::Set { set: piece_key(id, chunk, piece), value, lease_id: None });
@@ -238,9 +238,9 @@
         let Some(job) = self.jobs.get(job_index) else { return };
         for number in chunks {
             let recorded = &job.chunks[number];
-            for path in piece_keys(&job.id, *number, recorded.pieces) {
-                transaction.guards.push(Guard { path: path.clone(), revision: recorded.revision });
-                transaction.apply.push(Change::Delete { delete: path });
+            for key in piece_keys(&job.id, *number, recorded.pieces) {
+                transaction.guards.push(Guard { key: key.clone(), revision: recorded.revision });
+                transaction.apply.push(Change::Delete { delete: key });
             }
         }
     }
--- a/crates/core/src/storage/record_writer.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -60,7 +60,7 @@
     Fold { job: JobIndex, chunks: Vec<u32> },
     /// Deletion of an unused key. A revision other than 0 restricts the deletion to that version of
     /// the key.
-    Deletion { path: String, revision: u64 },
+    Deletion { key: String, revision: u64 },
 }
 
 /// Purpose of changes to the store, by which the metrics count them.
@@ -200,14 +200,14 @@
     }
 
     /// Schedules the deletion of a key that no controller writes any more.
-    pub fn schedule_deletion(&mut self, path: String) {
-        self.deletions.insert(path, 0);
+    pub fn schedule_deletion(&mut self, key: String) {
+        self.deletions.insert(key, 0);
     }
 
     /// Schedules the deletion of a key at the revision at which it was read. A newer value under
     /// the key is kept.
-    pub fn schedule_deletion_at(&mut self, path: String, revision: u64) {
-        let newest = self.deletions.entry(path).or_default();
+    pub fn schedule_deletion_at(&mut self, key: String, revision: u64) {
+        let newest = self.deletions.entry(key).or_default();
         *newest = revision.max(*newest);
     }
 
--- a/crates/core/src/storage/record_writer/flush.rs
+++ b/crates/core/src/storage/record_writer/flush.rs
@@ -32,7 +32,7 @@
     /// Creates an empty transaction that takes effect only while the epoch record has this
     /// revision.
     fn new(epoch_revision: u64) -> Self {
-        let epoch_guard = Guard { path: EPOCH_KEY.into(), revision: epoch_revision };
+        let epoch_guard = Guard { key: EPOCH_KEY.into(), revision: epoch_revision };
         let transaction = Transaction { guards: vec![epoch_guard], ..Transaction::default() };
         Draft { transaction, items: Vec::new(), bytes: 0 }
     }
@@ -138,7 +138,7 @@
         let now = self.context.now.steady_ms;
         let deletions: Vec<(String, u64)> =
             self.record_writer.deletions.iter().map(|(p, r)| (p.clone(), *r)).collect();
-        for (path, revision) in deletions {
+        for (key, revision) in deletions {
             let spare = self.record_writer.write_limiter.available(now, CLEANUP_RESERVE) as usize;
             if self.record_writer.must_send_alone(draft)
                 || draft.changes() >= limits.available.min(spare)
@@ -146,12 +146,12 @@
                 break;
             }
             if revision > 0 {
-                draft.transaction.guards.push(Guard { path: path.clone(), revision });
+                draft.transaction.guards.push(Guard { key: key.clone(), revision });
             }
-            draft.transaction.apply.push(Change::Delete { delete: path.clone() });
+            draft.transaction.apply.push(Change::Delete { delete: key.clone() });
             self.record_writer.count_changes(WritePurpose::Cleanup, 1);
-            self.record_writer.deletions.remove(&path);
-            draft.items.push(FlushItem::Deletion { path, revision });
+            self.record_writer.deletions.remove(&key);
+            draft.items.push(FlushItem::Deletion { key, revision });
         }
     }
 
--- a/crates/core/src/storage/record_writer/outcomes.rs
+++ b/crates/core/src/storage/record_writer/outcomes.rs
@@ -23,7 +23,7 @@
             }
             (409, Some(answer)) => {
                 self.note_store_answer();
-                if answer.failed.iter().any(|path| path == EPOCH_KEY) {
+                if answer.failed.iter().any(|key| key == EPOCH_KEY) {
                     tracing::info!("superseded: a write was refused because of a later epoch");
                     return self.step_down();
                 }
@@ -75,12 +75,12 @@
         let (deletions, records): (Vec<_>, Vec<_>) =
             items.into_iter().partition(|item| matches!(item, FlushItem::Deletion { .. }));
         for deletion in deletions {
-            let FlushItem::Deletion { path, .. } = &deletion else { continue };
-            if !failed.contains(path) {
+            let FlushItem::Deletion { key, .. } = &deletion else { continue };
+            if !failed.contains(key) {
                 self.requeue_write(deletion);
             }
         }
-        let record_changed = failed.iter().any(|path| !path.starts_with(HANDOFF_PREFIX));
+        let record_changed = failed.iter().any(|key| !key.starts_with(HANDOFF_PREFIX));
         if record_changed {
             tracing::info!(?failed, "a write conflicted with a changed record; reading it again");
         }
@@ -157,11 +157,11 @@
     pub(super) fn remove_leftover_placements(&mut self, job_index: JobIndex) {
         let Some(job) = self.jobs.get(job_index) else { return };
         let recorded = job.chunks.iter().filter(|(_, chunk)| chunk.revision > 0);
-        let paths: Vec<String> = recorded
+        let keys: Vec<String> = recorded
             .flat_map(|(number, chunk)| piece_keys(&job.id, *number, chunk.pieces))
             .collect();
-        for path in paths {
-            self.record_writer.schedule_deletion(path);
+        for key in keys {
+            self.record_writer.schedule_deletion(key);
         }
         self.drop_job(job_index);
     }
@@ -187,8 +187,8 @@
                 }
                 self.record_writer.mark_job_dirty(job_index);
             }
-            FlushItem::Deletion { path, revision } => {
-                self.record_writer.schedule_deletion_at(path, revision)
+            FlushItem::Deletion { key, revision } => {
+                self.record_writer.schedule_deletion_at(key, revision)
             }
         }
     }
--- a/crates/core/src/storage/record_writer/rereads.rs
+++ b/crates/core/src/storage/record_writer/rereads.rs
@@ -21,8 +21,8 @@
     /// Rereads the record of an item whose revision is uncertain.
     pub(crate) fn reread_record(&mut self, item: FlushItem) {
         match &item {
-            FlushItem::Deletion { path, revision } => {
-                return self.record_writer.schedule_deletion_at(path.clone(), *revision)
+            FlushItem::Deletion { key, revision } => {
+                return self.record_writer.schedule_deletion_at(key.clone(), *revision)
             }
             // The placements that the write deletes may or may not exist any more.
             FlushItem::Terminal { job, chunks } | FlushItem::Fold { job, chunks } => {
@@ -92,7 +92,7 @@
     /// written together, so that the first piece tells how many there are.
     fn on_placement_reread(&mut self, job_index: JobIndex, chunk: u32, pair: Option<KeyValue>) {
         let (revision, pieces) = match pair {
-            Some(pair) => match read_placement(&pair.path, &pair.value, pair.revision) {
+            Some(pair) => match read_placement(&pair.key, &pair.value, pair.revision) {
                 Some(placement) => (placement.revision, placement.piece_count),
                 None => return self.mark_unreadable(job_index),
             },
--- a/crates/core/src/storage/record_writer/terminal_states.rs
+++ b/crates/core/src/storage/record_writer/terminal_states.rs
@@ -167,7 +167,7 @@
         let chunks = chunks_within_key_limit(recorded, max_keys);
         let record = self.terminal_record(job, status);
         let key = job_key(&job.id);
-        draft.transaction.guards.push(Guard { path: key.clone(), revision: job.revision });
+        draft.transaction.guards.push(Guard { key: key.clone(), revision: job.revision });
         draft.transaction.apply.push(Change::Set {
             set: key,
             value: encode(&record),
@@ -197,7 +197,7 @@
             spec: None,
             at_ms: job.submitted_ms,
             done_chunks: Vec::new(),
-            service: job.spec.shape == JobKind::Service && self.is_active(Feature::ServiceMark),
+            service: job.spec.kind == JobKind::Service && self.is_active(Feature::ServiceMark),
             placement: None,
         }
     }
@@ -222,7 +222,7 @@
         let record = self.folded_record(job, &chunks);
         let key = job_key(&job.id);
         let changes_before = draft.changes();
-        draft.transaction.guards.push(Guard { path: key.clone(), revision: job.revision });
+        draft.transaction.guards.push(Guard { key: key.clone(), revision: job.revision });
         draft.transaction.apply.push(Change::Set {
             set: key,
             value: encode(&record),
--- a/crates/core/src/storage/records/job.rs
+++ b/crates/core/src/storage/records/job.rs
@@ -45,7 +45,7 @@
 impl JobRecord {
     /// Returns whether the job is or was a service.
     pub fn is_service(&self) -> bool {
-        self.service || self.spec.as_ref().is_some_and(|s| s.shape == JobKind::Service)
+        self.service || self.spec.as_ref().is_some_and(|s| s.kind == JobKind::Service)
     }
 
     /// Shrinks the record of an ending job if it exceeds `max_bytes`. The description is retained
--- a/crates/core/tests/golden/jobs.rs
+++ b/crates/core/tests/golden/jobs.rs
@@ -3,10 +3,10 @@
 use crate::cbor::{raw, set_field, Value};
 
 /// Returns a submission of a job with this many tasks and all mandatory fields.
-pub fn job(id: &str, shape: &str, tasks: u32) -> Value {
-    let rank = if shape == "service" { "production" } else { "normal" };
+pub fn job(id: &str, kind: &str, tasks: u32) -> Value {
+    let rank = if kind == "service" { "production" } else { "normal" };
     raw!({
-        "ref" => id, "job_class" => "train", "owner" => "research", "shape" => shape,
+        "ref" => id, "job_class" => "train", "owner" => "research", "shape" => kind,
         "rank" => rank, "pieces" => tasks, "vcpus" => 2.0, "gpus" => 0.0, "ram_gb" => 1.5,
         "bundle" => "img-07", "image_gb" => 6.2, "together" => false, "spread" => false,
         "loaners" => true, "expected_s" => 4.0, "snapshot_every_s" => 0.0,
--- a/crates/core/tests/simulation/cluster.rs
+++ b/crates/core/tests/simulation/cluster.rs
@@ -303,13 +303,13 @@
 }
 
 /// Returns the spec of a job whose tasks each need half of a machine's CPUs.
-pub fn job(id: &str, shape: JobKind, tasks: u32) -> JobSpec {
+pub fn job(id: &str, kind: JobKind, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.into(),
         class: "c".into(),
         team: "t".into(),
-        shape,
-        priority: if shape == JobKind::Service { Priority::Production } else { Priority::Normal },
+        kind,
+        priority: if kind == JobKind::Service { Priority::Production } else { Priority::Normal },
         tasks,
         cpus: 4.0,
         gpus: 0.0,
--- a/crates/core/tests/simulation/cluster/cloud.rs
+++ b/crates/core/tests/simulation/cluster/cloud.rs
@@ -51,7 +51,7 @@
             .map(|(name, worker)| ListedMachine {
                 name: name.clone(),
                 addr: addr_of(name),
-                kind: worker.kind.clone(),
+                machine_type: worker.kind.clone(),
                 zone: worker.zone.clone(),
                 spot: worker.spot,
                 status: CloudStatus::Running,
--- a/crates/core/tests/simulation/cluster/faults.rs
+++ b/crates/core/tests/simulation/cluster/faults.rs
@@ -84,12 +84,12 @@
 
     /// Returns how to apply a transaction if a fault withholds its answer, and counts that fault.
     pub(super) fn take_write_fault(&mut self, txn: &Transaction) -> Option<UnansweredWrite> {
-        let path = |change: &Change| match change {
+        let key = |change: &Change| match change {
             Change::Set { set, .. } => set.clone(),
             Change::Delete { delete } => delete.clone(),
         };
-        let paths: Vec<String> = txn.apply.iter().map(path).collect();
-        let touches_prefix = |prefix: &str| paths.iter().any(|path| path.starts_with(prefix));
+        let keys: Vec<String> = txn.apply.iter().map(key).collect();
+        let touches_prefix = |prefix: &str| keys.iter().any(|key| key.starts_with(prefix));
         let mut faults = self.state.write_faults.iter_mut();
         if let Some(fault) = faults.find(|f| f.remaining > 0 && touches_prefix(f.key_prefix)) {
             fault.remaining -= 1;
--- a/crates/core/tests/simulation/cluster/invariants.rs
+++ b/crates/core/tests/simulation/cluster/invariants.rs
@@ -412,7 +412,7 @@
             true => free_slots.values().max().copied().unwrap_or(0),
             false => free_slots.values().sum(),
         };
-        let needed = if spec.shape == JobKind::Gang { unplaced } else { 1 };
+        let needed = if spec.kind == JobKind::Gang { unplaced } else { 1 };
         free_slots >= needed && self.is_within_quota(spec, needed)
     }
 
--- a/crates/core/tests/simulation/cluster/state_service.rs
+++ b/crates/core/tests/simulation/cluster/state_service.rs
@@ -198,7 +198,7 @@
             .filter(|(key, _)| found(key))
             .take(max_keys)
             .map(|(key, stored)| KeyValue {
-                path: key.clone(),
+                key: key.clone(),
                 value: stored.value.clone(),
                 revision: stored.revision,
                 lease_id: None,
@@ -211,7 +211,7 @@
     fn read_key(&self, key: &str) -> Response {
         let Some(stored) = self.state.keys.get(key) else { return Response::new(404, Vec::new()) };
         let pair = KeyValue {
-            path: key.into(),
+            key: key.into(),
             value: stored.value.clone(),
             revision: stored.revision,
             lease_id: stored.lease,
@@ -399,8 +399,8 @@
     /// Returns the keys whose revisions differ from those that a transaction expects.
     fn failed_conditions(&self, txn: &Transaction) -> Vec<String> {
         let revision_of = |key: &String| self.state.keys.get(key).map_or(0, |s| s.revision);
-        let failed = txn.guards.iter().filter(|guard| revision_of(&guard.path) != guard.revision);
-        failed.map(|guard| guard.path.clone()).collect()
+        let failed = txn.guards.iter().filter(|guard| revision_of(&guard.key) != guard.revision);
+        failed.map(|guard| guard.key.clone()).collect()
     }
 
     /// Returns the status code with which the limits refuse a transaction, if they do.
@@ -408,7 +408,7 @@
         let limits = self.state.limits.unwrap_or(StateLimits::NONE);
         let refused_key_substring = self.state.refused_key_substring.as_ref();
         let is_malformed =
-            |key: &String| refused_key_substring.is_some_and(|part| key.contains(part));
+            |key: &String| refused_key_substring.is_some_and(|substring| key.contains(substring));
         let size = |value: &Value| serde_json::to_string(value).unwrap().len();
         let is_refused = |change: &Change| match change {
             Change::Set { set, value, .. } => {
--- a/crates/core/tests/simulation/cluster/users.rs
+++ b/crates/core/tests/simulation/cluster/users.rs
@@ -212,7 +212,7 @@
     /// Returns whether an accepted job is done or, for a service, runs with all its replicas.
     pub fn is_done_or_running(&self, id: &str) -> bool {
         let spec = &self.jobs[id];
-        match spec.shape {
+        match spec.kind {
             JobKind::Service => self.live_tasks(id).len() as u32 == spec.tasks,
             _ => self.observed_status[id] == JobStatus::Done,
         }
--- a/crates/core/tests/simulation/cluster/workers.rs
+++ b/crates/core/tests/simulation/cluster/workers.rs
@@ -233,7 +233,7 @@
         Some(Heartbeat {
             machine: name.into(),
             addr: addr_of(name),
-            kind: worker.kind.clone(),
+            machine_type: worker.kind.clone(),
             zone: worker.zone.clone(),
             spot: worker.spot,
             agent_epoch: worker.agent_epoch,
@@ -355,10 +355,11 @@
 
     fn follow_redirect(&mut self, name: &str, body: &[u8]) {
         self.redirects += 1;
-        let leader = from_cbor::<Redirect>(body).ok().and_then(|redirect| redirect.leader);
-        let leader = leader.and_then(|node| node.trim_start_matches('n').parse::<usize>().ok());
+        let controller = from_cbor::<Redirect>(body).ok().and_then(|redirect| redirect.controller);
+        let controller =
+            controller.and_then(|node| node.trim_start_matches('n').parse::<usize>().ok());
         let worker = self.workers.get_mut(name).unwrap();
-        match leader {
+        match controller {
             Some(node) if node != worker.controller => {
                 worker.controller = node;
                 self.schedule_after(100, SimulationEvent::HeartbeatDue { machine: name.into() });
@@ -482,7 +483,7 @@
             (TaskStatus::Exited, Some(ExitCause::Error))
         } else if worker.start_fetch_if_missing(&spec, images_are_fetched) {
             (TaskStatus::Fetching, None)
-        } else if spec.shape == JobKind::Gang {
+        } else if spec.kind == JobKind::Gang {
             (TaskStatus::Waiting, None)
         } else {
             (TaskStatus::Running, None)
@@ -500,7 +501,7 @@
         let index = task.rsplit_once('/').and_then(|(_, n)| n.parse::<u32>().ok());
         let completed = self.completed_tasks.get(&spec.id);
         let is_completed = index.is_some_and(|n| completed.is_some_and(|all| all.contains(&n)));
-        match (is_completed, spec.shape) {
+        match (is_completed, spec.kind) {
             (true, _) => 0,
             (_, JobKind::Service) => u64::MAX / 2,
             _ => self.full_duration_ms(task),
@@ -570,14 +571,14 @@
         let spec = self.jobs[job_of(task)].clone();
         self.check_not_aborted(name, task, &held);
         let mut next = held.clone();
-        if spec.shape == JobKind::Gang && held.is_live() {
+        if spec.kind == JobKind::Gang && held.is_live() {
             let is_complete = self.responsive_gang_tasks(&spec, held.attempt) == spec.tasks;
             if held.status == TaskStatus::Waiting && is_complete {
                 next.status = TaskStatus::Running;
                 next.ends_ms = now + self.full_duration_ms(task);
             } else if held.status == TaskStatus::Running && !is_complete {
                 next.status = TaskStatus::Exited;
-                next.cause = Some(ExitCause::Peers);
+                next.cause = Some(ExitCause::GangMemberExited);
             }
         }
         if next.status == TaskStatus::Running && now >= next.ends_ms {
@@ -609,7 +610,7 @@
     fn complete_task(&mut self, spec: &JobSpec, task: &str) {
         let index: u32 = task.rsplit_once('/').unwrap().1.parse().unwrap();
         self.completed_tasks.entry(spec.id.clone()).or_default().insert(index);
-        if spec.shape == JobKind::Gang {
+        if spec.kind == JobKind::Gang {
             self.completed_tasks.insert(spec.id.clone(), (0..spec.tasks).collect());
         }
         if self.completed_tasks[&spec.id].len() == spec.tasks as usize {
@@ -658,7 +659,7 @@
     fn start_after_fetch(&mut self, name: &str, task: &str) {
         let spec = &self.jobs[job_of(task)];
         let ends_ms = self.now + self.remaining_ms(spec, task);
-        let status = match spec.shape {
+        let status = match spec.kind {
             JobKind::Gang => TaskStatus::Waiting,
             _ => TaskStatus::Running,
         };
--- a/crates/core/tests/simulation/dependencies.rs
+++ b/crates/core/tests/simulation/dependencies.rs
@@ -525,8 +525,8 @@
                 .filter(|id| cluster.observed_status.contains_key(*id) && rng.random_bool(0.4))
                 .map(String::as_str)
                 .collect();
-            let shape = if n % 5 == 3 { JobKind::Gang } else { JobKind::Array };
-            let spec = with_dependencies(job(&id, shape, rng.random_range(1..5)), &accepted);
+            let kind = if n % 5 == 3 { JobKind::Gang } else { JobKind::Array };
+            let spec = with_dependencies(job(&id, kind, rng.random_range(1..5)), &accepted);
             cluster.submit(rng.random_range(0..3), &spec);
             ids.push(id);
             let node = inject_random_control_plane_fault(&mut cluster, &mut rng);
--- a/crates/core/tests/simulation/fault_search.rs
+++ b/crates/core/tests/simulation/fault_search.rs
@@ -369,12 +369,12 @@
     /// job with a dependency.
     fn draw_job(&mut self, n: u32) {
         let id = job_id(n);
-        let shape = match n {
+        let kind = match n {
             0 | 5 => JobKind::Service,
             3 => JobKind::Gang,
             _ => JobKind::Array,
         };
-        let mut spec = job(&id, shape, if n.is_multiple_of(4) { 2 } else { 1 + n % 3 });
+        let mut spec = job(&id, kind, if n.is_multiple_of(4) { 2 } else { 1 + n % 3 });
         spec.spread = n == 0;
         if n == 9 {
             spec = with_dependencies(spec, &[&job_id(6)]);
--- a/crates/core/tests/simulation/input_validation.rs
+++ b/crates/core/tests/simulation/input_validation.rs
@@ -253,16 +253,16 @@
         ("an unknown machine type", |s| s.types = Some(vec!["g8".into()])),
         ("an empty list of machine types", |s| s.types = Some(Vec::new())),
         ("an unknown zone", |s| s.zone = Some("c".into())),
-        ("a gang that exceeds the quota", |s| (s.shape, s.tasks) = (JobKind::Gang, 5)),
-        ("a service that exceeds the quota", |s| (s.shape, s.tasks) = (JobKind::Service, 5)),
+        ("a gang that exceeds the quota", |s| (s.kind, s.tasks) = (JobKind::Gang, 5)),
+        ("a service that exceeds the quota", |s| (s.kind, s.tasks) = (JobKind::Service, 5)),
         ("a service spread over zones but bound to one zone", |s| {
-            (s.shape, s.tasks, s.spread, s.zone) = (JobKind::Service, 3, true, Some("a".into()))
+            (s.kind, s.tasks, s.spread, s.zone) = (JobKind::Service, 3, true, Some("a".into()))
         }),
         ("a gang spread over zones but bound to one zone", |s| {
-            (s.shape, s.tasks, s.spread, s.zone) = (JobKind::Gang, 2, true, Some("b".into()))
+            (s.kind, s.tasks, s.spread, s.zone) = (JobKind::Gang, 2, true, Some("b".into()))
         }),
         ("a gang that is both together and spread", |s| {
-            (s.shape, s.tasks, s.spread, s.together) = (JobKind::Gang, 2, true, true)
+            (s.kind, s.tasks, s.spread, s.together) = (JobKind::Gang, 2, true, true)
         }),
     ];
     let runnable: [(&str, Change); 5] = [
@@ -276,7 +276,7 @@
         ("one task, spread over zones but bound to one zone", |s| {
             (s.spread, s.zone) = (true, Some("a".into()))
         }),
-        ("a gang that is spread", |s| (s.shape, s.tasks, s.spread) = (JobKind::Gang, 4, true)),
+        ("a gang that is spread", |s| (s.kind, s.tasks, s.spread) = (JobKind::Gang, 4, true)),
     ];
     let mut cluster = Cluster::activated(4, 16.0, 15_200, 1_000);
     for (description, change) in unrunnable {
--- a/crates/core/tests/simulation/large_jobs.rs
+++ b/crates/core/tests/simulation/large_jobs.rs
@@ -40,7 +40,7 @@
             cluster.now < submitted_at_ms + 240_000,
             "{} of {:?} has not started",
             large.id,
-            large.shape
+            large.kind
         );
         cluster.submit(n as usize % 3, &whole_machine_job(n, small_job_kind, 1));
         cluster.run_for_ms(interval_ms);
--- a/crates/core/tests/simulation/random_faults.rs
+++ b/crates/core/tests/simulation/random_faults.rs
@@ -78,13 +78,13 @@
         cluster.crash_all_for_ms(1_000);
         cluster.run_for_ms(2_000);
         for (id, spec) in &jobs {
-            if spec.shape == JobKind::Service {
+            if spec.kind == JobKind::Service {
                 cluster.submit_until_accepted(spec);
                 cluster.abort_until_confirmed(id);
             }
         }
         for (id, spec) in &jobs {
-            if spec.shape != JobKind::Service {
+            if spec.kind != JobKind::Service {
                 cluster.submit_until_accepted(spec);
                 if cluster.observed_status.get(id) != Some(&JobStatus::Aborted) {
                     cluster.run_until_done(id, 300_000);
--- a/crates/loadtest/src/simulation/cloud.rs
+++ b/crates/loadtest/src/simulation/cloud.rs
@@ -57,7 +57,7 @@
     ListedMachine {
         name: identity.machine.clone(),
         addr: identity.addr.clone(),
-        kind: identity.kind.clone(),
+        machine_type: identity.machine_type.clone(),
         zone: identity.zone.clone(),
         spot: identity.spot,
         status: CloudStatus::Running,
--- a/crates/loadtest/src/simulation/job_source.rs
+++ b/crates/loadtest/src/simulation/job_source.rs
@@ -40,7 +40,7 @@
         JobSpec {
             class: "web".into(),
             team: "web".into(),
-            shape: JobKind::Service,
+            kind: JobKind::Service,
             priority: Priority::Production,
             tasks: SERVICE_TASKS,
             spread: true,
@@ -63,7 +63,7 @@
             id,
             class: "batch".into(),
             team: "night".into(),
-            shape: JobKind::Array,
+            kind: JobKind::Array,
             priority: if high_priority { Priority::High } else { Priority::Normal },
             tasks: tasks.clamp(1, options.tasks * MAX_TASKS_FACTOR),
             cpus: 4.0,
--- a/crates/loadtest/src/simulation/worker.rs
+++ b/crates/loadtest/src/simulation/worker.rs
@@ -54,7 +54,7 @@
         let heartbeat = Heartbeat {
             machine: format!("vm-{index:06}"),
             addr: address(index),
-            kind: MACHINE_TYPE.into(),
+            machine_type: MACHINE_TYPE.into(),
             zone: ZONES[index as usize % ZONES.len()].into(),
             spot: index % SPOT_INTERVAL == SPOT_INTERVAL - 1,
             agent_epoch: 1,
@@ -210,7 +210,7 @@
 
 /// Returns the time at which a task that starts now completes; a service never completes.
 fn completion_ms(job: &JobSpec, now_ms: u64) -> u64 {
-    match job.shape {
+    match job.kind {
         JobKind::Service => u64::MAX,
         _ => now_ms + (job.estimate_s * 1000.0) as u64,
     }
--- a/crates/soak/src/cloud.rs
+++ b/crates/soak/src/cloud.rs
@@ -71,7 +71,7 @@
     ListedMachine {
         name: machine.name.clone(),
         addr: if is_up { machine.addr.to_string() } else { String::new() },
-        kind: MACHINE_TYPE.into(),
+        machine_type: MACHINE_TYPE.into(),
         zone: machine.zone.clone(),
         spot: machine.spot,
         status: if is_up { CloudStatus::Running } else { CloudStatus::Booting },
--- a/crates/soak/src/machine.rs
+++ b/crates/soak/src/machine.rs
@@ -108,7 +108,7 @@
         Heartbeat {
             machine: self.name.clone(),
             addr: self.addr.to_string(),
-            kind: MACHINE_TYPE.into(),
+            machine_type: MACHINE_TYPE.into(),
             zone: self.zone.clone(),
             spot: self.spot,
             agent_epoch: self.agent_epoch,
@@ -194,7 +194,7 @@
         let Some(machine) = self.machines.get_mut(name) else { return };
         let refused = match machine.tasks.get(&task) {
             Some(held) if held.attempt == attempt => return,
-            Some(held) if held.is_live() => Some(ExitCause::Busy),
+            Some(held) if held.is_live() => Some(ExitCause::AlreadyRunning),
             _ if machine.free_cpus() < spec.cpus => Some(ExitCause::InsufficientResources),
             _ => None,
         };
@@ -210,7 +210,7 @@
             machine.tasks.insert(task, exited_task(attempt, spec.cpus, ExitCause::Done));
             return;
         }
-        let end_ms = match spec.shape {
+        let end_ms = match spec.kind {
             JobKind::Service => u64::MAX,
             _ => now_ms + (spec.estimate_s * 1e3) as u64,
         };
--- a/crates/soak/src/users.rs
+++ b/crates/soak/src/users.rs
@@ -65,7 +65,7 @@
 
 fn draw_job(world: &mut World, number: u32) -> JobSpec {
     let rng = &mut world.rng;
-    let shape = match rng.random_bool(SERVICE_SHARE) {
+    let kind = match rng.random_bool(SERVICE_SHARE) {
         true => JobKind::Service,
         false => JobKind::Array,
     };
@@ -73,7 +73,7 @@
         id: format!("wk-{number:06}"),
         class: "soak".into(),
         team: TEAM.into(),
-        shape,
+        kind,
         priority: if rng.random_bool(0.3) { Priority::High } else { Priority::Normal },
         tasks: rng.random_range(1..=4),
         cpus: f64::from(rng.random_range(1..=3u8)) * 2.0,
@@ -86,7 +86,7 @@
         together: false,
         spread: false,
         spot: true,
-        estimate_s: if shape == JobKind::Service { 0.0 } else { rng.random_range(1.0..MAX_RUN_S) },
+        estimate_s: if kind == JobKind::Service { 0.0 } else { rng.random_range(1.0..MAX_RUN_S) },
         checkpoint_interval_s: 0.0,
         checkpoint_cost_s: 0.0,
         deadline_s: None,
@@ -102,7 +102,7 @@
         let rng = &mut world.borrow_mut().rng;
         let (resubmits, cancels) =
             (rng.random_bool(RESUBMITTED_SHARE), rng.random_bool(CANCELLED_SHARE));
-        (resubmits, cancels || spec.shape == JobKind::Service, rng.random_range(FOLLOW_UP_DELAY_MS))
+        (resubmits, cancels || spec.kind == JobKind::Service, rng.random_range(FOLLOW_UP_DELAY_MS))
     };
     sleep(Duration::from_millis(delay_ms)).await;
     if resubmits {
--- a/crates/soak/src/workers.rs
+++ b/crates/soak/src/workers.rs
@@ -283,10 +283,10 @@
         }
         Some(response) if response.status == 421 => {
             let redirect = from_cbor::<Redirect>(&response.body).ok();
-            let leader_name = redirect.and_then(|redirect| redirect.leader);
-            let leader =
-                leader_name.and_then(|name| (0..nodes).find(|node| node_name(*node) == name));
-            match leader.filter(|node| *node != sent.controller) {
+            let controller_name = redirect.and_then(|redirect| redirect.controller);
+            let controller =
+                controller_name.and_then(|name| (0..nodes).find(|node| node_name(*node) == name));
+            match controller.filter(|node| *node != sent.controller) {
                 Some(node) => {
                     machine.controller = node;
                     now_ms
--- a/crates/soak/tests/unit/checks.rs
+++ b/crates/soak/tests/unit/checks.rs
@@ -14,7 +14,7 @@
         id: id.into(),
         class: "soak".into(),
         team: TEAM.into(),
-        shape: JobKind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: 1,
         cpus,
--- a/crates/stand-ins/src/state_service.rs
+++ b/crates/stand-ins/src/state_service.rs
@@ -193,7 +193,7 @@
             .guards
             .iter()
             .filter(|guard| !self.holds(guard))
-            .map(|guard| guard.path.clone())
+            .map(|guard| guard.key.clone())
             .collect();
         if !failed.is_empty() {
             let body = to_cbor(&TransactionAnswer { store_revision: self.revision, failed });
@@ -209,7 +209,7 @@
 
     /// Returns whether a key has the revision in a guard; revision 0 means that the key is absent.
     fn holds(&self, guard: &Guard) -> bool {
-        self.entries.get(&guard.path).map_or(0, |stored| stored.revision) == guard.revision
+        self.entries.get(&guard.key).map_or(0, |stored| stored.revision) == guard.revision
     }
 
     fn references_unknown_lease(&self, change: &Change) -> bool {
@@ -255,7 +255,7 @@
 
 fn key_value(key: &str, stored: &StoredValue) -> KeyValue {
     KeyValue {
-        path: key.to_string(),
+        key: key.to_string(),
         value: stored.value.clone(),
         revision: stored.revision,
         lease_id: stored.lease_id,
--- a/crates/wire/src/msg/cloud.rs
+++ b/crates/wire/src/msg/cloud.rs
@@ -54,7 +54,7 @@
     pub provision_id: String,
     /// Machine type to provision.
     #[serde(rename = "host_type")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone in which to provision the machines.
     #[serde(rename = "hall")]
     pub zone: String,
@@ -100,7 +100,7 @@
     pub addr: String,
     /// Type of the machine.
     #[serde(rename = "host_type")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone in which the machine runs.
     #[serde(rename = "hall")]
     pub zone: String,
--- a/crates/wire/src/msg/jobs.rs
+++ b/crates/wire/src/msg/jobs.rs
@@ -47,7 +47,7 @@
     pub team: String,
     /// How the tasks relate to one another.
     #[serde(rename = "shape")]
-    pub shape: JobKind,
+    pub kind: JobKind,
     /// Priority, set by the user.
     #[serde(rename = "rank")]
     pub priority: Priority,
--- a/crates/wire/src/msg/store.rs
+++ b/crates/wire/src/msg/store.rs
@@ -7,7 +7,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyValue {
     /// Key of the entry.
-    pub path: String,
+    #[serde(rename = "path")]
+    pub key: String,
     /// Value under the key.
     pub value: Value,
     /// Revision of the store at which the key was last written.
@@ -35,7 +36,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Guard {
     /// Key that the condition applies to.
-    pub path: String,
+    #[serde(rename = "path")]
+    pub key: String,
     /// Revision at which the key was last written; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub revision: u64,
--- a/crates/wire/src/msg/workers.rs
+++ b/crates/wire/src/msg/workers.rs
@@ -36,10 +36,10 @@
     Stopped,
     /// The task is a gang member, and another member exited.
     #[serde(rename = "peers")]
-    Peers,
+    GangMemberExited,
     /// The task is a gang member, and the other members were not ready in time.
     #[serde(rename = "incomplete")]
-    Alone,
+    GangIncomplete,
     /// The task failed.
     #[serde(rename = "error")]
     Error,
@@ -48,7 +48,7 @@
     InsufficientResources,
     /// Another attempt of the same task is already on the machine.
     #[serde(rename = "in_use")]
-    Busy,
+    AlreadyRunning,
     /// The worker does not know the job.
     #[serde(rename = "no_such")]
     Unknown,
@@ -84,7 +84,7 @@
     pub addr: String,
     /// Type of the machine.
     #[serde(rename = "host_type")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone of the machine.
     #[serde(rename = "hall")]
     pub zone: String,
@@ -163,7 +163,7 @@
 pub struct Redirect {
     /// Name of the controller to which the worker is to send its heartbeats; absent if none is known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none", default)]
-    pub leader: Option<String>,
+    pub controller: Option<String>,
 }
 
 /// Commands to a worker, which executes them only if the fencing token and the agent epoch match.
--- a/crates/wire/tests/hostile.rs
+++ b/crates/wire/tests/hostile.rs
@@ -129,7 +129,7 @@
 fn jobs_with_an_invalid_field_are_refused() {
     use ciborium::value::Value as V;
     let V::Map(valid) = job_value() else { unreachable!() };
-    assert_eq!(parse_job(&job_value()).unwrap().shape, JobKind::Array);
+    assert_eq!(parse_job(&job_value()).unwrap().kind, JobKind::Array);
     let nullable = ["host_types", "due_s", "not_of_ours"];
     for at in 0..valid.len() {
         let name = valid[at].0.as_text().unwrap().to_string();
@@ -203,7 +203,7 @@
     let machine = ListedMachine {
         name: text.clone(),
         addr: text.clone(),
-        kind: text.clone(),
+        machine_type: text.clone(),
         zone: text,
         spot: true,
         status: CloudStatus::Running,
