--- a/crates/core/src/api/status.rs
+++ b/crates/core/src/api/status.rs
@@ -129,5 +129,5 @@
 }
 
 pub(super) fn log_unreadable_record(job: &str) {
-    tracing::error!(job = %job, "cannot decode job record; it is left unchanged");
+    tracing::error!(job = %job, "the job's record can't be decoded; it stays as it is");
 }
--- a/crates/core/src/api/submit.rs
+++ b/crates/core/src/api/submit.rs
@@ -144,7 +144,7 @@
             Ok(None) => match (self.terminal_jobs.get(&job), rejection) {
                 (Some(status), _) => self.answer_terminal(id, &job, status),
                 (None, Some(Rejection { status, reason })) => {
-                    tracing::info!(job = %job, reason, "submission rejected");
+                    tracing::info!(job = %job, why = reason, "submission rejected");
                     self.answer_error(id, status, &reason)
                 }
                 (None, None) => self.answer_unavailable(id, RefusalReason::AdmissibilityUnknown),
--- a/crates/core/src/fleet/heartbeats.rs
+++ b/crates/core/src/fleet/heartbeats.rs
@@ -238,7 +238,7 @@
         let Some(machine) = self.machines.get_mut(index) else { return };
         if let Some(notice_s) = notice_s {
             if machine.interruption_at_ms.is_none() {
-                tracing::info!(machine = %machine.name, notice_s, "spot interruption notice");
+                tracing::info!(machine = %machine.name, in_s = notice_s, "spot interruption notice");
                 self.drain_due = true;
             }
             machine.interruption_at_ms = Some(now_ms + (notice_s.max(0.0) * 1000.0) as u64);
@@ -261,7 +261,7 @@
         } else {
             tracing::info!(
                 machine = %machine.name,
-                "machine one-way unreachable: heartbeats arrive, but commands don't reach it"
+                "machine one-way unreachable: its heartbeats arrive, commands to it don't"
             );
             self.requeue_probes(index);
         }
--- a/crates/core/src/fleet/machine_states.rs
+++ b/crates/core/src/fleet/machine_states.rs
@@ -48,7 +48,7 @@
         let lost = machine.clear_tasks(epoch, now_ms);
         tracing::info!(
             machine = %machine.name, state = ?machine.state, tasks = lost.placed.len(),
-            "machine lost: requeueing its tasks"
+            "machine lost: its tasks return to the queue"
         );
         for key in lost.placed {
             self.return_to_queue(key);
--- a/crates/core/src/fleet/provisioning/scale_out.rs
+++ b/crates/core/src/fleet/provisioning/scale_out.rs
@@ -189,7 +189,7 @@
             // If a request without an answer was executed, its machines appear in the cloud's list.
             tracing::info!(
                 provision = %provision_id, kind = %offer.kind, spot = offer.spot,
-                "provisioning request refused or unanswered"
+                "provisioning refused"
             );
             return self.pause_offer(offer);
         };
--- a/crates/core/src/fleet/relayed_orders.rs
+++ b/crates/core/src/fleet/relayed_orders.rs
@@ -18,7 +18,7 @@
         let job = parse_task(task).map(|(job, _)| job);
         let ended = job.is_some_and(|job| self.terminal_jobs.get(job).is_some());
         if ended {
-            tracing::info!(task = %task, "start order dropped: its job has ended");
+            tracing::info!(task = %task, "start not passed on: its job has ended");
         }
         ended
     }
--- a/crates/core/src/fleet/silent_machines.rs
+++ b/crates/core/src/fleet/silent_machines.rs
@@ -67,7 +67,7 @@
         let one_way_unreachable = machine.reachability.is_one_way_unreachable();
         tracing::info!(
             machine = %machine.name, unlisted, one_way_unreachable,
-            "releasing a silent or unreachable machine"
+            "releasing a silent machine"
         );
         self.begin_release(index);
     }
--- a/crates/core/src/jobs/dependencies/mod.rs
+++ b/crates/core/src/jobs/dependencies/mod.rs
@@ -272,7 +272,7 @@
         let delayed_ms = self.context.now.steady_ms + self.context.config.lease_ms();
         if let Some(requested_ms) = self.dependency_graph.unknown.get_mut(id) {
             *requested_ms = delayed_ms;
-            tracing::error!(job = %id, "cannot decode job record of a dependency, or it is missing; the jobs that depend on it wait");
+            tracing::error!(job = %id, "a dependency's record is missing or can't be decoded; the jobs that depend on it wait");
         }
     }
 }
--- a/crates/core/src/jobs/dependencies/walks.rs
+++ b/crates/core/src/jobs/dependencies/walks.rs
@@ -204,7 +204,7 @@
         let Ok(found) = read else { return self.refuse_undecided(request) };
         let Some(pair) = found else { return self.on_walk_record_missing(request, &id) };
         let Some(record) = decode::<JobRecord>(&pair.value) else {
-            tracing::error!(job = %id, "cannot decode job record; it is left unchanged");
+            tracing::error!(job = %id, "the job's record can't be decoded; it is left unchanged");
             return self.refuse_undecided(request);
         };
         if admits_dependent && record.is_service() {
--- a/crates/core/src/membership/election.rs
+++ b/crates/core/src/membership/election.rs
@@ -189,7 +189,7 @@
     /// after the other controllers have had time to do so.
     fn yield_leadership(&mut self, leader_revision: u64) {
         let now = self.context.now.steady_ms;
-        tracing::info!("leadership retaken too often after restarts; deleting the leader key");
+        tracing::info!("leadership retaken too often after crashes: yielding it");
         let config = &self.context.config;
         self.membership.epoch_watch.clear_leader();
         self.membership.election.due_ms = now + config.controller_lease_ttl_ms() / 2;
--- a/crates/core/src/membership/epoch_watch.rs
+++ b/crates/core/src/membership/epoch_watch.rs
@@ -145,9 +145,7 @@
                 EPOCH_KEY => match decode::<EpochRecord>(&pair.value) {
                     Some(record) => snapshot.epoch = Some(Revisioned { record, revision }),
                     None => {
-                        tracing::error!(
-                            "cannot decode epoch record; not campaigning for leadership"
-                        );
+                        tracing::error!("epoch record unreadable; not leading");
                         return None;
                     }
                 },
--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -210,7 +210,7 @@
         let Some(number) = batch_number(&pair.key) else { return };
         self.job_batches.restore(number, pair.revision);
         let Some(batch) = decode::<BatchRecord>(&pair.value) else {
-            tracing::error!(number, "cannot decode batch record; its jobs will not run");
+            tracing::error!(number, "a batch record can't be decoded; its jobs are not run");
             return self.job_batches.mark_read_only(number, None);
         };
         for id in batch.ids() {
@@ -220,7 +220,7 @@
                     self.recovery.batched_jobs.insert(id.clone(), job);
                 }
                 None => {
-                    tracing::error!(job = %id, number, "cannot decode job in batch record; the job will not run");
+                    tracing::error!(job = %id, number, "a job can't be decoded from its batch record; it is not run");
                     self.job_batches.mark_read_only(number, Some(id.clone()));
                 }
             }
@@ -230,7 +230,7 @@
     fn load_job(&mut self, pair: &KeyValue) {
         let id = pair.key.trim_start_matches(JOB_PREFIX).to_string();
         let Some(mut record) = decode::<JobRecord>(&pair.value) else {
-            tracing::error!(job = %id, "cannot decode job record; the job will not run");
+            tracing::error!(job = %id, "the job's record can't be decoded; it is not run");
             self.recovery.unreadable.insert(id);
             return;
         };
@@ -377,7 +377,7 @@
     fn insert_recorded(&mut self, record: JobRecord, revision: u64) -> Option<JobIndex> {
         let spec = record.spec?;
         let Some(team) = self.context.config.team(&spec.team) else {
-            tracing::error!(job = %spec.id, team = %spec.team, "team of recorded job is no longer in the settings; the job waits");
+            tracing::error!(job = %spec.id, team = %spec.team, "its team is no longer in the settings; it waits");
             return None;
         };
         let mut job = self.new_job(spec, team, JobState::Live, revision, record.at_ms);
--- a/crates/core/src/recovery/placements.rs
+++ b/crates/core/src/recovery/placements.rs
@@ -73,7 +73,7 @@
 
     /// Stops a job, and no other, because a placement of it cannot be decoded or lacks a piece.
     pub(super) fn on_unreadable_placement(&mut self, ix: JobIndex, key: &str) {
-        tracing::error!(key, "cannot decode placement record; its job is stopped");
+        tracing::error!(key, "a placement record can't be decoded; its job stops");
         self.set_job_state(ix, JobState::Unreadable);
     }
 
--- a/crates/core/src/recovery/recorded_jobs.rs
+++ b/crates/core/src/recovery/recorded_jobs.rs
@@ -55,7 +55,7 @@
         }
         let inline_placement = record.placement.take();
         let ix = self.insert_recorded(record, revision)?;
-        tracing::info!(job = %id, "added recorded job to memory");
+        tracing::info!(job = %id, "a recorded job is added to memory");
         if let Some(job) = self.jobs.get_mut(ix) {
             (job.state, job.busy) = (JobState::Recording, true);
         }
@@ -116,7 +116,7 @@
         match decode::<JobRecord>(&pair.value) {
             Some(record) => drop(self.add_recorded_job(&job, record, pair.revision)),
             None => {
-                tracing::error!(job = %job, "cannot decode job record; the job will not run")
+                tracing::error!(job = %job, "the job's record can't be decoded; it is not run")
             }
         }
     }
--- a/crates/core/src/storage/feature_state.rs
+++ b/crates/core/src/storage/feature_state.rs
@@ -62,11 +62,11 @@
             ActivationStatus::Active(record) => {
                 let features = record.features.iter().cloned().collect::<Vec<_>>().join(" ");
                 let (version, complete) = (record.version, self.gates.is_complete());
-                tracing::info!(version, features, complete, "active formats and features");
+                tracing::info!(version, features, complete, "formats in use");
             }
             ActivationStatus::Unsupported(unsupported) => tracing::error!(
                 %unsupported,
-                "an unsupported format or feature is active; this node neither leads nor serves"
+                "a format or feature is active that this version does not support; it neither leads nor serves"
             ),
             ActivationStatus::Unknown => {}
         }
--- a/crates/core/src/storage/job_batches/batch_writer.rs
+++ b/crates/core/src/storage/job_batches/batch_writer.rs
@@ -396,7 +396,7 @@
         if !recorded.is_some_and(|record| record.ids().all(is_known)) {
             tracing::error!(
                 number,
-                "cannot decode batch record, or it holds unexpected jobs; it is left unchanged"
+                "a batch record holds unexpected jobs or can't be decoded; it is left as it is"
             );
             self.job_batches.mark_read_only(number, None);
         }
--- a/crates/core/src/storage/job_batches/index.rs
+++ b/crates/core/src/storage/job_batches/index.rs
@@ -125,7 +125,7 @@
         }
         let record: Option<BatchRecord> = decode(value);
         if record.is_none() {
-            tracing::error!(number, "cannot decode batch record; lookups of its jobs fail");
+            tracing::error!(number, "a batch record can't be decoded; lookups of its jobs fail");
         }
         let job_ids = record.map(|record| record.ids().cloned().collect());
         self.batches.insert(number, IndexedBatch { revision, job_ids, value: to_cbor(value) });
--- a/crates/core/src/storage/record_writer.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -289,7 +289,7 @@
             if let Some(machine) = self.machines.get(machine_index) {
                 tracing::info!(
                     machine = %machine.name,
-                    "releasing a machine that can't be told to stop a task of an aborted job"
+                    "holds a cancelled task and can't be told"
                 );
             }
             self.begin_release(machine_index);
--- a/crates/core/src/storage/record_writer/rereads.rs
+++ b/crates/core/src/storage/record_writer/rereads.rs
@@ -178,7 +178,7 @@
     /// overwritten.
     fn mark_unreadable(&mut self, job_index: JobIndex) {
         if let Some(job) = self.jobs.get(job_index) {
-            tracing::error!(job = %job.id, "cannot decode a record of the job; the job stops and its records are left unchanged");
+            tracing::error!(job = %job.id, "a record of this job can't be decoded; the job stops and its records stay as they are");
         }
         self.set_job_state(job_index, JobState::Unreadable);
     }
--- a/crates/core/tests/simulation/cluster/workers.rs
+++ b/crates/core/tests/simulation/cluster/workers.rs
@@ -578,7 +578,7 @@
                 next.ends_ms = now + self.full_duration_ms(task);
             } else if held.status == TaskStatus::Running && !is_complete {
                 next.status = TaskStatus::Exited;
-                next.cause = Some(ExitCause::GangMemberExited);
+                next.cause = Some(ExitCause::Peers);
             }
         }
         if next.status == TaskStatus::Running && now >= next.ends_ms {
--- a/crates/soak/src/machine.rs
+++ b/crates/soak/src/machine.rs
@@ -194,7 +194,7 @@
         let Some(machine) = self.machines.get_mut(name) else { return };
         let refused = match machine.tasks.get(&task) {
             Some(held) if held.attempt == attempt => return,
-            Some(held) if held.is_live() => Some(ExitCause::AlreadyRunning),
+            Some(held) if held.is_live() => Some(ExitCause::Busy),
             _ if machine.free_cpus() < spec.cpus => Some(ExitCause::InsufficientResources),
             _ => None,
         };
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -188,10 +188,10 @@
 
     /// Prints the plan to standard error; called before the run begins.
     fn print(&self) {
-        let heading =
+        let head =
             format!("seed {}: {} controllers, {} workers", self.seed, self.nodes, self.workers);
         let faults: Vec<String> = self.faults.iter().map(|fault| format!("\n  {fault}")).collect();
-        eprintln!("{heading}{}", faults.concat());
+        eprintln!("{head}{}", faults.concat());
     }
 }
 
--- a/crates/wire/src/msg/workers.rs
+++ b/crates/wire/src/msg/workers.rs
@@ -36,10 +36,10 @@
     Stopped,
     /// The task is a gang member, and another member exited.
     #[serde(rename = "peers")]
-    GangMemberExited,
+    Peers,
     /// The task is a gang member, and the other members were not ready in time.
     #[serde(rename = "incomplete")]
-    GangIncomplete,
+    Alone,
     /// The task failed.
     #[serde(rename = "error")]
     Error,
@@ -48,7 +48,7 @@
     InsufficientResources,
     /// Another attempt of the same task is already on the machine.
     #[serde(rename = "in_use")]
-    AlreadyRunning,
+    Busy,
     /// The worker does not know the job.
     #[serde(rename = "no_such")]
     Unknown,
