--- a/crates/core/src/jobs/dependencies/walks.rs
+++ b/crates/core/src/jobs/dependencies/walks.rs
@@ -101,7 +101,7 @@
             Some(_) => false,
             None => {
                 let job = self.jobs.find(id).and_then(|index| self.jobs.get(index));
-                job.is_some_and(|job| job.revision > 0 && job.spec.shape != JobKind::Service)
+                job.is_some_and(|job| job.revision > 0 && job.spec.kind != JobKind::Service)
             }
         }
     }
@@ -204,7 +204,7 @@
         let Ok(found) = read else { return self.refuse_undecided(request) };
         let Some(pair) = found else { return self.on_walk_record_missing(request, &id) };
         let Some(record) = decode::<JobRecord>(&pair.value) else {
-            tracing::error!(job = %id, "cannot decode job record; it is left unchanged");
+            tracing::error!(job = %id, "the job's record can't be decoded; it is left unchanged");
             return self.refuse_undecided(request);
         };
         if admits_dependent && record.is_service() {
--- a/crates/core/src/storage/job_batches/index.rs
+++ b/crates/core/src/storage/job_batches/index.rs
@@ -71,7 +71,7 @@
             self.store_revision = list.store_revision;
         }
         for pair in &list.pairs {
-            self.insert(&pair.path, &pair.value, pair.revision);
+            self.insert(&pair.key, &pair.value, pair.revision);
         }
     }
 
@@ -125,7 +125,7 @@
         }
         let record: Option<BatchRecord> = decode(value);
         if record.is_none() {
-            tracing::error!(number, "cannot decode batch record; lookups of its jobs fail");
+            tracing::error!(number, "a batch record can't be decoded; lookups of its jobs fail");
         }
         let job_ids = record.map(|record| record.ids().cloned().collect());
         self.batches.insert(number, IndexedBatch { revision, job_ids, value: to_cbor(value) });
--- a/crates/soak/src/machine.rs
+++ b/crates/soak/src/machine.rs
@@ -108,7 +108,7 @@
         Heartbeat {
             machine: self.name.clone(),
             addr: self.addr.to_string(),
-            kind: MACHINE_TYPE.into(),
+            machine_type: MACHINE_TYPE.into(),
             zone: self.zone.clone(),
             spot: self.spot,
             agent_epoch: self.agent_epoch,
@@ -210,7 +210,7 @@
             machine.tasks.insert(task, exited_task(attempt, spec.cpus, ExitCause::Done));
             return;
         }
-        let end_ms = match spec.shape {
+        let end_ms = match spec.kind {
             JobKind::Service => u64::MAX,
             _ => now_ms + (spec.estimate_s * 1e3) as u64,
         };
