--- a/crates/core/src/api/abort.rs
+++ b/crates/core/src/api/abort.rs
@@ -109,7 +109,7 @@
         // the job is started or resumed.
         let reason =
             if is_conflict { RefusalReason::RecordChanged } else { RefusalReason::StoreFailed };
-        self.answer_abort_busy(request, reason);
+        self.refuse_abort(request, reason);
         if !is_conflict {
             self.set_job_state(job_index, JobState::AbortIndeterminate);
         }
@@ -129,7 +129,7 @@
     ) {
         self.note_store_answer();
         let Some(job) = self.jobs.get_mut(job_index) else {
-            return self.answer_abort_busy(request, RefusalReason::RecordChanged);
+            return self.refuse_abort(request, RefusalReason::RecordChanged);
         };
         job.busy = false;
         job.revision = answer.store_revision;
@@ -164,10 +164,10 @@
         if location.sets_own_record {
             self.requeue_write(FlushItem::Chunk { job: job_index, chunk: 0, location });
         }
-        self.answer_abort_busy(request, RefusalReason::StoreFailed);
+        self.refuse_abort(request, RefusalReason::StoreFailed);
     }
 
-    fn answer_abort_busy(&mut self, request: Option<RequestId>, reason: RefusalReason) {
+    fn refuse_abort(&mut self, request: Option<RequestId>, reason: RefusalReason) {
         if let Some(id) = request {
             self.answer_unavailable(id, reason)
         }
--- a/crates/core/src/api/handoff.rs
+++ b/crates/core/src/api/handoff.rs
@@ -20,7 +20,7 @@
             // The abort was recorded in the transaction that wrote this entry.
             self.on_abort_recorded(job);
         } else if self.jobs.find(job).is_none() {
-            let call = InFlight::HandoffJobRead { job: job.to_string(), epoch: self.epoch() };
+            let call = InFlight::RecordedJobRead { job: job.to_string(), epoch: self.epoch() };
             self.call_store("GET", format!("/keys/{}", job_key(job)), Vec::new(), call);
         }
     }
--- a/crates/core/src/api/status_queries.rs
+++ b/crates/core/src/api/status_queries.rs
@@ -164,7 +164,7 @@
             return;
         }
         if !self.may_read(ReadPurpose::Request) && !self.may_read(ReadPurpose::StatusQuery) {
-            return self.answer_queries_busy(read.into_requests(), RefusalReason::ReadLimit);
+            return self.refuse_requests(read.into_requests(), RefusalReason::ReadLimit);
         }
         let max_guards = self.max_guards();
         let next: Vec<(JobIndex, u64)> = read
@@ -190,7 +190,7 @@
         self.call_store("POST", "/multi".into(), body, call);
     }
 
-    fn answer_queries_busy(
+    fn refuse_requests(
         &mut self,
         requests: impl Iterator<Item = RequestId>,
         reason: RefusalReason,
@@ -212,7 +212,7 @@
         };
         // Job indexes of an earlier epoch are not valid in the memory of the current one.
         let Some(failed) = failed.filter(|_| epoch == self.epoch()) else {
-            return self.answer_queries_busy(read.into_requests(), reason);
+            return self.refuse_requests(read.into_requests(), reason);
         };
         self.note_store_answer();
         for key in failed {
@@ -282,7 +282,7 @@
     pub(crate) fn drop_status_queries(&mut self) {
         let dropped = std::mem::take(&mut self.status_queries);
         let requests = dropped.waiting.into_values().flatten();
-        self.answer_queries_busy(requests, RefusalReason::EpochChanged);
+        self.refuse_requests(requests, RefusalReason::EpochChanged);
     }
 }
 
--- a/crates/core/src/api/submit.rs
+++ b/crates/core/src/api/submit.rs
@@ -166,11 +166,16 @@
         }
     }
 
-    /// Records the submission of a job whose dependencies were all accepted. `cancelled` means that
-    /// a dependency was aborted, which aborts the job as well.
-    pub(crate) fn submit_admitted(&mut self, id: RequestId, spec: JobSpec, cancelled: bool) {
+    /// Records the submission of a job whose dependencies were all accepted. `dependency_aborted`
+    /// means that a dependency was aborted, which aborts the job as well.
+    pub(crate) fn submit_admitted(
+        &mut self,
+        id: RequestId,
+        spec: JobSpec,
+        dependency_aborted: bool,
+    ) {
         if !self.leads() {
-            return self.submit_without_leader(id, spec, cancelled);
+            return self.submit_without_leader(id, spec, dependency_aborted);
         }
         if self.answer_if_submitted(id, &spec.id) {
             return;
@@ -178,7 +183,7 @@
         let Some(team) = self.context.config.team(&spec.team) else {
             return self.answer_unavailable(id, RefusalReason::AdmissibilityUnknown);
         };
-        if !cancelled && self.belongs_in_batch(&spec) {
+        if !dependency_aborted && self.belongs_in_batch(&spec) {
             if !self.add_to_intake(id, spec, team) {
                 self.reject_overloaded(id);
             }
@@ -346,9 +351,9 @@
 
     /// Records a submission without the leader, after looking up whether a batch record holds the
     /// job.
-    fn submit_without_leader(&mut self, id: RequestId, spec: JobSpec, cancelled: bool) {
+    fn submit_without_leader(&mut self, id: RequestId, spec: JobSpec, dependency_aborted: bool) {
         if !self.is_active(Feature::BatchRecords) {
-            return self.record_without_leader(id, spec, cancelled, None);
+            return self.record_without_leader(id, spec, dependency_aborted, None);
         }
         // The lookup would be wasted if the rate limit did not allow the job to be recorded.
         let now_ms = self.context.now.steady_ms;
@@ -356,8 +361,11 @@
             return self.answer_unavailable(id, RefusalReason::WriteLimit);
         }
         let job = spec.id.clone();
-        let call =
-            InFlight::LookupBeforeSubmission { request: id, spec: Box::new(spec), cancelled };
+        let call = InFlight::LookupBeforeSubmission {
+            request: id,
+            spec: Box::new(spec),
+            dependency_aborted,
+        };
         self.look_up_in_batches(&job, call);
     }
 
@@ -366,7 +374,7 @@
         &mut self,
         id: RequestId,
         spec: JobSpec,
-        cancelled: bool,
+        dependency_aborted: bool,
         outcome: Outcome,
     ) {
         match self.read_outcome(outcome) {
@@ -374,7 +382,7 @@
                 // No batch up to the last one checked holds the job. The write is guarded by the
                 // absence of the next batch, so that it fails if one has been recorded since.
                 let next_batch = self.job_batches.last_batch_checked() + 1;
-                self.record_without_leader(id, spec, cancelled, Some(next_batch))
+                self.record_without_leader(id, spec, dependency_aborted, Some(next_batch))
             }
             Ok(Some(pair)) => self.answer_record(id, &spec.id, pair),
             Err(()) => self.answer_unavailable(id, RefusalReason::StoreFailed),
@@ -387,7 +395,7 @@
         &mut self,
         id: RequestId,
         spec: JobSpec,
-        cancelled: bool,
+        dependency_aborted: bool,
         absent_batch: Option<u64>,
     ) {
         let now_ms = self.context.now.steady_ms;
@@ -405,7 +413,7 @@
                 Change::Set { set: handoff_key(&job), value: encode(&false), lease_id: None },
             ],
         });
-        let call = InFlight::AcceptWithoutLeader { request: id, id: job, cancelled };
+        let call = InFlight::AcceptWithoutLeader { request: id, id: job, dependency_aborted };
         self.call_store("POST", "/multi".into(), body, call);
     }
 
@@ -414,13 +422,13 @@
         &mut self,
         id: RequestId,
         job: String,
-        cancelled: bool,
+        dependency_aborted: bool,
         outcome: Outcome,
     ) {
         match outcome {
             Outcome::Answer(answer) if answer.status == 200 => {
                 self.note_store_answer();
-                self.on_accepted_without_leader(id, job, cancelled);
+                self.on_accepted_without_leader(id, job, dependency_aborted);
             }
             Outcome::Answer(answer) if answer.status == 409 => {
                 self.note_store_answer();
@@ -442,12 +450,12 @@
         }
     }
 
-    fn on_accepted_without_leader(&mut self, id: RequestId, job: String, cancelled: bool) {
+    fn on_accepted_without_leader(&mut self, id: RequestId, job: String, dependency_aborted: bool) {
         tracing::info!(job = %job, "accepted without the leader");
-        if cancelled {
+        if dependency_aborted {
             self.learn_terminal_state(&job, RecordedStatus::Aborted);
         }
-        let status = if cancelled { JobStatus::Aborted } else { JobStatus::Queued };
+        let status = if dependency_aborted { JobStatus::Aborted } else { JobStatus::Queued };
         let answer = answer_without_counts(&job, status);
         self.answer(id, Response::new(201, to_cbor(&answer)));
     }
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -79,8 +79,8 @@
         self.max_fleet()
     }
 
-    /// Returns how many heartbeats, and how many replies to commands, may wait to be mailed to one
-    /// sibling.
+    /// Returns how many heartbeats, and how many replies to orders, may wait to be mailed to one
+    /// other controller.
     pub fn max_outbox_entries(&self) -> usize {
         self.max_fleet()
     }
@@ -106,8 +106,8 @@
         (changes as usize).min(self.max_held_bytes()).max(MIN_RESPONSE_LIMIT_BYTES)
     }
 
-    /// Returns how many submissions with an unknown outcome may be tracked. Each took a write of
-    /// its own and is looked for no longer than the lease bound, so the write rate limits their
+    /// Returns how many submissions with an indeterminate write may be tracked. Each took a write
+    /// of its own and is looked for no longer than the lease bound, so the write rate limits their
     /// number.
     pub fn max_indeterminate_submissions(&self) -> usize {
         let state = &self.platform.params.state;
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -68,7 +68,7 @@
             }
             Err(SettingsError {
                 field: field.into(),
-                problem: format!("must be from {low} to {high}"),
+                requirement: format!("must be from {low} to {high}"),
             })
         };
         check_range("probes", self.probes as f64, 1.0, 16.0)?;
@@ -81,7 +81,7 @@
         check_range("share_pages_below", self.share_pages_below, 0.0, 1.0)?;
         GATES.check_step_names(&self.withhold).map_err(|unknown| SettingsError {
             field: "withhold".into(),
-            problem: unknown.to_string(),
+            requirement: unknown.to_string(),
         })
     }
 
--- a/crates/core/src/controller.rs
+++ b/crates/core/src/controller.rs
@@ -43,7 +43,7 @@
     /// Resources of placed tasks that are not proven to have ended; compared with the quota.
     pub reserved: Resources,
     /// Resources of tasks on machines.
-    pub placed: Resources,
+    pub bound: Resources,
     /// Resources of tasks that may still be on machines because they are not proven to be gone.
     pub unproven: Resources,
 }
@@ -51,8 +51,8 @@
 /// A controller: routes each event to the modules that own the affected state, and collects their
 /// actions.
 ///
-/// Every controller uses the fields up to `machine_types_requested_ms`; the fields after it serve
-/// the leader. The leader's in-memory state is rebuilt from the records when it is elected and
+/// Every controller uses the fields up to `machine_types_requested_ms`; most fields after it serve
+/// only the leader. The leader's in-memory state is rebuilt from the records when it is elected and
 /// cleared when it steps down.
 pub struct Controller {
     pub(crate) context: Context,
@@ -76,7 +76,7 @@
     pub(crate) machine_types: Vec<MachineType>,
     pub(crate) machine_types_at_ms: Option<u64>,
     pub(crate) machine_types_requested_ms: u64,
-    // Fields that serve the leader.
+    // Fields most of which serve only the leader.
     pub(crate) jobs: Jobs,
     pub(crate) machines: Machines,
     pub(crate) teams: Vec<TeamUsage>,
@@ -86,8 +86,8 @@
     pub(crate) ratios: DemandRatios,
     pub(crate) search_budget: SearchBudget,
     pub(crate) load: LoadState,
-    /// Metrics of requests that had to wait, reported by the event loop.
-    pub(crate) request_queue_metrics: Vec<(String, f64)>,
+    /// Metrics of sockets and of received requests, reported by the event loop.
+    pub(crate) event_loop_metrics: Vec<(String, f64)>,
     pub(crate) admission: AdmissionControl,
     pub(crate) epoch_began_ms: u64,
     pub(crate) attempts: u64,
@@ -160,7 +160,7 @@
             ratios: DemandRatios::default(),
             search_budget,
             load: LoadState::Normal,
-            request_queue_metrics: Vec::new(),
+            event_loop_metrics: Vec::new(),
             admission,
             epoch_began_ms: 0,
             attempts: 0,
@@ -197,7 +197,7 @@
             Event::Mesh { id, request } => self.on_mesh(id, request),
             Event::Load { state, metrics } => {
                 self.search_budget.adapt_to_load(state);
-                (self.load, self.request_queue_metrics) = (state, metrics);
+                (self.load, self.event_loop_metrics) = (state, metrics);
             }
             Event::Outcome { call, outcome } => {
                 if let Some(pending) = self.calls.take(call) {
@@ -239,7 +239,7 @@
         if now >= self.next_second_ms {
             self.next_second_ms = now + 1000.min(self.context.config.heartbeat_interval_ms());
             self.expire_silent_leases();
-            self.inspect_silent_machines();
+            self.query_silent_machines();
             self.release_silent_machines();
             self.fence_aborted_tasks();
             self.read_live_records();
@@ -305,8 +305,8 @@
             InFlight::ProxiedJobRead { job, sent_ms } => {
                 self.on_proxied_job_read(job, sent_ms, outcome)
             }
-            InFlight::AcceptWithoutLeader { request, id, cancelled } => {
-                self.on_accept_without_leader(request, id, cancelled, outcome)
+            InFlight::AcceptWithoutLeader { request, id, dependency_aborted } => {
+                self.on_accept_without_leader(request, id, dependency_aborted, outcome)
             }
             InFlight::AbortRead { request, id } => self.on_abort_read(request, id, outcome),
             InFlight::AbortWithoutLeader { request, id } => {
@@ -323,8 +323,8 @@
             InFlight::LiveJobComparison(comparison) => {
                 self.on_live_jobs_compared(comparison, outcome)
             }
-            InFlight::LookupBeforeSubmission { request, spec, cancelled } => {
-                self.on_lookup_before_submission(request, *spec, cancelled, outcome)
+            InFlight::LookupBeforeSubmission { request, spec, dependency_aborted } => {
+                self.on_lookup_before_submission(request, *spec, dependency_aborted, outcome)
             }
             InFlight::Batch(call) => self.on_batch_call(call, outcome),
             InFlight::Forward { request, sibling, user_request } => {
@@ -347,10 +347,10 @@
             }
             // These outcomes concern the leader's in-memory state, which no longer exists if the
             // epoch has changed.
-            InFlight::HandoffJobRead { epoch, .. } | InFlight::DependencyRead { epoch, .. }
+            InFlight::RecordedJobRead { epoch, .. } | InFlight::DependencyRead { epoch, .. }
                 if epoch != current_epoch => {}
             InFlight::DependencyRead { job, .. } => self.on_dependency_read(job, outcome),
-            InFlight::HandoffJobRead { job, .. } => self.on_handoff_job_read(job, outcome),
+            InFlight::RecordedJobRead { job, .. } => self.on_recorded_job_read(job, outcome),
         }
     }
 
--- a/crates/core/src/fleet/commands.rs
+++ b/crates/core/src/fleet/commands.rs
@@ -40,8 +40,8 @@
 }
 
 impl Machine {
-    /// Returns whether no command may be sent, because one is in flight or because the machine has
-    /// expired, is being released or is terminated.
+    /// Returns whether no command may be sent: one is in flight, the machine's lease has expired,
+    /// or the machine is being released or is terminated.
     fn refuses_commands(&self) -> bool {
         self.command_in_flight
             || matches!(
--- a/crates/core/src/fleet/fault_attribution.rs
+++ b/crates/core/src/fleet/fault_attribution.rs
@@ -33,10 +33,10 @@
 const QUARANTINE_MIN_FAILING_JOBS: usize = 2;
 /// Heartbeat intervals from a machine's quarantine until it is drained.
 const EVICT_AFTER_INTERVALS: u64 = 2;
-/// Maximum pause between trials of a job that fails everywhere, as a power of two of heartbeat
-/// intervals.
+/// Binary logarithm of the maximum pause between trials of a job that fails everywhere, in
+/// heartbeat intervals.
 const MAX_TRIAL_PAUSE_EXPONENT: u32 = 5;
-/// Maximum backoff of a failed task, as a power of two of quarter heartbeat intervals.
+/// Binary logarithm of the maximum backoff of a failed task, in quarters of a heartbeat interval.
 const MAX_BACK_OFF_EXPONENT: u32 = 6;
 
 impl Job {
@@ -160,7 +160,7 @@
         machine.evict_from_ms = self.context.now.steady_ms + EVICT_AFTER_INTERVALS * interval_ms;
         if faulty {
             tracing::info!(machine = %machine.name, failing_jobs, "machine quarantined");
-            self.requeue_probes(index);
+            self.clear_probe_queue(index);
         } else {
             tracing::info!(machine = %machine.name, "machine no longer quarantined");
             self.machines_to_dispatch.insert(index);
--- a/crates/core/src/fleet/heartbeat_relay.rs
+++ b/crates/core/src/fleet/heartbeat_relay.rs
@@ -42,8 +42,9 @@
         true
     }
 
-    /// Handles the outcome of a relayed heartbeat. Without an answer from the leader, this
-    /// controller serves the heartbeat as a lease proxy or redirects the worker.
+    /// Handles the outcome of a relayed heartbeat. If the leader answers with a status other than
+    /// 200, the worker is redirected. Without an answer from the leader, this controller serves the
+    /// heartbeat as a lease proxy or redirects the worker.
     pub(crate) fn on_heartbeat_relayed(
         &mut self,
         id: RequestId,
--- a/crates/core/src/fleet/heartbeats.rs
+++ b/crates/core/src/fleet/heartbeats.rs
@@ -263,7 +263,7 @@
                 machine = %machine.name,
                 "machine one-way unreachable: heartbeats arrive, but commands don't reach it"
             );
-            self.requeue_probes(index);
+            self.clear_probe_queue(index);
         }
     }
 
@@ -286,11 +286,14 @@
 }
 
 /// Logs the number of tasks that a machine lost when it began a new agent epoch, which means that
-/// its lease had expired.
+/// its lease had expired or its agent had restarted.
 fn log_lost_tasks(machine: &Machine, new_agent_epoch: bool) {
     let lost = machine.tasks.len() + machine.unproven.len();
     if new_agent_epoch && machine.agent_epoch > 0 && lost > 0 {
-        tracing::info!(machine = %machine.name, lost, "worker lease expired: new agent epoch");
+        tracing::info!(
+            machine = %machine.name, lost,
+            "new agent epoch: tasks of the previous epoch are lost"
+        );
     }
 }
 
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -24,17 +24,18 @@
     /// The machine has acknowledged a fencing token of this epoch, so its heartbeats prove which
     /// tasks run on it.
     Ready,
-    /// The machine has been silent for longer than its lease, so its tasks have stopped.
+    /// The machine's lease has expired, or the cloud lists the machine as failed: its tasks have
+    /// stopped.
     LeaseExpired,
     /// The machine is being released to the cloud, which has not confirmed the release yet.
     Releasing,
-    /// The machine has been released, has failed or was interrupted: nothing can run on it.
+    /// The cloud has confirmed the machine's release: nothing can run on it.
     Terminated,
 }
 
 /// Tasks that a machine may have run when it was lost.
 pub(super) struct LostTasks {
-    /// Tasks that were placed on the machine.
+    /// Tasks that were bound to the machine.
     pub placed: Vec<TaskKey>,
     /// Tasks that an earlier leader may have started on the machine.
     pub unproven: Vec<TaskKey>,
@@ -75,11 +76,11 @@
     pub(super) known_since_ms: u64,
     /// When the cloud will interrupt the machine; `None` without an interruption notice.
     pub interruption_at_ms: Option<u64>,
-    /// Tasks placed on the machine, with their attempt numbers.
+    /// Tasks bound to the machine, with their attempt numbers.
     pub tasks: BTreeMap<TaskKey, u64>,
     /// Tasks that have a probe in the machine's queue.
     pub probe_queue: Vec<TaskKey>,
-    /// Expected wait in the queue (E\[W\]) in seconds, estimated anew each heartbeat interval.
+    /// Expected wait in the queue (E\[W\]) in seconds, computed once per heartbeat interval.
     pub wait_s: f64,
     /// Tasks that an earlier leader may have started on the machine.
     pub unproven: Vec<TaskKey>,
@@ -217,7 +218,7 @@
         self.last_heard_ms > 0
     }
 
-    /// Returns whether tasks are placed on the machine, or an earlier leader may have started some.
+    /// Returns whether tasks are bound to the machine, or an earlier leader may have started some.
     pub(super) fn may_hold_tasks(&self) -> bool {
         !self.tasks.is_empty() || !self.unproven.is_empty()
     }
--- a/crates/core/src/fleet/machine_states.rs
+++ b/crates/core/src/fleet/machine_states.rs
@@ -1,7 +1,7 @@
 //! Changes of a machine's state, and their effects on its tasks.
 //!
 //! Invariant: a task returns to the queue only when it is proven that it runs nowhere. The expiry
-//! of a machine's lease, or its termination, proves this for all tasks placed on the machine.
+//! of a machine's lease, or its termination, proves this for all tasks bound to the machine.
 
 use super::machine::{Machine, MachineState};
 use crate::controller::Controller;
@@ -54,12 +54,12 @@
             self.return_to_queue(key);
         }
         self.record_not_running(index, lost.unproven);
-        self.requeue_probes(index);
+        self.clear_probe_queue(index);
         self.supply_changed = true;
     }
 
-    /// Records that these tasks can't run on the machine any more. An unproven task that can't run
-    /// on any other machine either returns to the queue.
+    /// Records that these tasks can't run on the machine any more. An unproven task returns to the
+    /// queue once it is proven that it runs on no other machine.
     pub(super) fn record_not_running(&mut self, index: MachineIndex, keys: Vec<TaskKey>) {
         for key in keys {
             let Some(task) = self.jobs.task_mut(key) else { continue };
@@ -74,7 +74,7 @@
     }
 
     /// Clears the queue of a machine that takes no more work. The tasks in it need new probes.
-    pub(super) fn requeue_probes(&mut self, index: MachineIndex) {
+    pub(super) fn clear_probe_queue(&mut self, index: MachineIndex) {
         let Some(machine) = self.machines.get_mut(index) else { return };
         let queue = std::mem::take(&mut machine.probe_queue);
         if !queue.is_empty() {
--- a/crates/core/src/fleet/provisioning/capacity_pool.rs
+++ b/crates/core/src/fleet/provisioning/capacity_pool.rs
@@ -7,7 +7,7 @@
 
 use crate::fleet::resources::Resources;
 
-/// Machines of the same type and zone, all spot or all regular, with the same free resources.
+/// Machines of the same type and zone, all spot or all on-demand, with the same free resources.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MachineGroup {
     /// Name of the machine type.
--- a/crates/core/src/fleet/provisioning/cloud_list.rs
+++ b/crates/core/src/fleet/provisioning/cloud_list.rs
@@ -19,7 +19,7 @@
 const LIST_EVERY_INTERVALS: u64 = 2;
 /// Minimum interval between status queries to a listed machine that has not sent any message, in
 /// heartbeat intervals.
-const INSPECT_EVERY_INTERVALS: u64 = 2;
+const STATUS_QUERY_EVERY_INTERVALS: u64 = 2;
 
 impl Controller {
     /// Begins to read the list if that is due.
@@ -152,7 +152,7 @@
             self.provisioner.expected.remove(&listed.name);
             return;
         }
-        let pause_ms = INSPECT_EVERY_INTERVALS * self.context.config.heartbeat_interval_ms();
+        let pause_ms = STATUS_QUERY_EVERY_INTERVALS * self.context.config.heartbeat_interval_ms();
         if self.context.now.steady_ms >= machine.worker_status_queried_ms + pause_ms {
             self.query_worker_status(index);
         }
@@ -161,7 +161,7 @@
     /// Returns whether the machine no longer exists in the cloud: the last complete list doesn't
     /// contain the machine, although it reflects a time at which the machine had been created. As
     /// the list lags, this holds if the list contains a later name (names are in order of
-    /// creation), or if the machine had been known for longer than the maximum lag when the list
+    /// creation), or if the machine had been known for at least twice the maximum lag when the list
     /// was requested. Any other machine may be running tasks without being listed.
     pub(in crate::fleet) fn unlisted(&self, machine: &Machine) -> bool {
         let Some(list) = &self.provisioner.complete_list else { return false };
--- a/crates/core/src/fleet/provisioning/demand.rs
+++ b/crates/core/src/fleet/provisioning/demand.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Returns how many more tasks of a job its team's limit allows.
+    /// Returns how many more tasks of a job its team's CPU limit allows.
     fn tasks_within_limit(&self, job: &Job, claimed_cpus: f64) -> u32 {
         let max_cpus = self.context.config.platform.params.teams[job.team].cpus_max;
         if max_cpus <= 0.0 {
@@ -136,7 +136,7 @@
         let zones = &self.context.config.platform.params.zones;
         let need = job.resources();
         let max_per_zone = job.spec.tasks.div_ceil(2);
-        let mut tasks_in_zone = placed_tasks_by_zone(job, zones.len());
+        let mut tasks_in_zone = bound_tasks_by_zone(job, zones.len());
         let mut unmet_in_zone = vec![0u32; zones.len()];
         for _ in 0..wanted {
             if let Some(group) = self.least_used_zone_group(job, &tasks_in_zone, pool) {
@@ -179,7 +179,7 @@
     }
 
     /// Returns the unmet demand of a gang: the tasks without capacity if all tasks start together,
-    /// in a single zone if the job requires that. A gang with a placed task has no demand.
+    /// in a single zone if the job requires that. A gang with a bound task has no demand.
     fn unmet_gang(&self, job: &Job, pool: &mut CapacityPool) -> Option<UnmetDemand> {
         if job.confirmed_tasks > 0
             || job.tasks().any(|(_, task)| task.state.machine_and_attempt().is_some())
@@ -221,7 +221,7 @@
         (tasks > 0).then(|| UnmetDemand { spec: largest.spec.clone(), tasks })
     }
 
-    /// Returns the number of tasks on regular machines that production tasks may preempt.
+    /// Returns the number of tasks on on-demand machines that production tasks may preempt.
     fn preemptible_by_production(&self) -> u32 {
         let below_production = |key: &&crate::ids::TaskKey| {
             self.jobs.get(key.job).is_some_and(|job| job.priority < Priority::Production)
@@ -268,7 +268,7 @@
     job.spec.tasks.saturating_sub(placed + in_done_chunks)
 }
 
-fn placed_tasks_by_zone(job: &Job, zones: usize) -> Vec<u32> {
+fn bound_tasks_by_zone(job: &Job, zones: usize) -> Vec<u32> {
     let mut tasks_in_zone = vec![0u32; zones];
     for (_, task) in job.tasks().filter(|(_, task)| task.state.machine_and_attempt().is_some()) {
         if let Some(zone) = task.zone {
--- a/crates/core/src/fleet/provisioning/mod.rs
+++ b/crates/core/src/fleet/provisioning/mod.rs
@@ -25,7 +25,7 @@
 const CLOUD_RATE_SHARE: f64 = 0.8;
 /// Timeout of requests to provision or release machines, in milliseconds.
 const CLOUD_CHANGE_TIMEOUT_MS: u64 = 3000;
-/// Minimum time for which the cloud charges a machine, in seconds (PROTOCOL).
+/// The protocol's minimum charge: the cloud charges a machine for at least this time, in seconds.
 const MIN_CHARGE_S: f64 = 60.0;
 /// A machine is released if it has not sent a heartbeat after this many boot times of its type and
 /// a lease.
@@ -33,8 +33,8 @@
 /// Boot time of a machine type that the cloud doesn't list, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// A machine type in one zone, as regular or spot instance, that the cloud offers. The order of the
-/// fields determines the order in which requests are made.
+/// A machine type that the cloud offers in one zone, as on-demand or spot instance. The order of
+/// the fields determines the order in which requests are made.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Offer {
     /// Name of the machine type.
--- a/crates/core/src/fleet/provisioning/scale_in.rs
+++ b/crates/core/src/fleet/provisioning/scale_in.rs
@@ -123,7 +123,8 @@
     }
 
     /// Returns how long a machine may be idle before it is released, in milliseconds. A spot
-    /// instance may be idle for longer by the ratio of its type's regular price to the spot price.
+    /// instance may be idle for longer by the ratio of its type's on-demand price to its spot
+    /// price.
     fn max_idle_ms(&self, kind: &str, spot: bool) -> f64 {
         let min_stay_ms = (self.boot_ms(kind) as f64).max(MIN_CHARGE_S * 1000.0);
         let spot_type = self.machine_types.iter().find(|machine_type| {
--- a/crates/core/src/fleet/reconciliation.rs
+++ b/crates/core/src/fleet/reconciliation.rs
@@ -1,9 +1,10 @@
 //! Reconciliation of the leader's task states with a machine's newest heartbeat.
 //!
 //! A task that the heartbeat lists as alive runs on the machine. A task that the heartbeat doesn't
-//! list no longer runs there, provided that no command of this leader is in flight and that the
-//! machine has acknowledged this leader's fencing token. The exit cause of an exited task
-//! determines how its state changes.
+//! list no longer runs there. If the leader has ordered the task's start but no heartbeat has
+//! confirmed it, this holds only once the start order can't arrive any more: no command is in
+//! flight and the machine has acknowledged its newest fencing token, or a new agent epoch has
+//! begun. The exit cause of an exited task determines how its state changes.
 
 use quartzgate_wire::msg::{ExitCause, HeartbeatTask, JobKind, TaskStatus};
 
@@ -13,7 +14,8 @@
 use crate::ids::{parse_task, scoped_to_epoch, MachineIndex, TaskKey};
 use crate::jobs::TaskState;
 
-/// Heartbeat intervals for which a service's task must run before its job counts as proven.
+/// Heartbeat intervals for which a service's task must run before its job is considered to run
+/// well.
 const STEADY_AFTER_INTERVALS: u64 = 4;
 
 impl Controller {
@@ -68,7 +70,7 @@
         alive
     }
 
-    /// Requeues the tasks placed on the machine that its heartbeat doesn't list. A task in state
+    /// Requeues the tasks bound to the machine that its heartbeat doesn't list. A task in state
     /// `Starting` is requeued only if `starts_resolved`, because its start order may otherwise
     /// still arrive.
     fn requeue_missing_tasks(
@@ -105,7 +107,7 @@
             listed.into_iter().partition(|key| machine.tasks.contains_key(key));
         machine.unproven = placed_elsewhere;
         self.record_not_running(index, not_running);
-        // The heartbeat confirms the tasks placed on this machine: their probes on it are resolved.
+        // The heartbeat confirms the tasks bound to this machine: their probes on it are resolved.
         for key in placed_here {
             let Some(task) = self.jobs.task_mut(key) else { continue };
             for probe in task.probes.iter_mut().filter(|probe| probe.machine == index) {
@@ -213,7 +215,7 @@
             {
                 let since_ms = if old_status == status { since_ms } else { now_ms };
                 if status == TaskStatus::Running {
-                    self.mark_steady_service_proven(key, since_ms);
+                    self.mark_steady_service_healthy(key, since_ms);
                 }
                 self.set_task_state(key, running_since(since_ms));
             }
@@ -226,10 +228,10 @@
         }
     }
 
-    /// Marks a service's job as proven once one of its tasks has run for
+    /// Marks a service's job as running well once one of its tasks has run for
     /// [`STEADY_AFTER_INTERVALS`]. Tasks of services never complete, so completion can't prove
     /// that the job runs well.
-    fn mark_steady_service_proven(&mut self, key: TaskKey, running_since_ms: u64) {
+    fn mark_steady_service_healthy(&mut self, key: TaskKey, running_since_ms: u64) {
         let steady_ms = STEADY_AFTER_INTERVALS * self.context.config.heartbeat_interval_ms();
         let steady = self.context.now.steady_ms >= running_since_ms + steady_ms;
         let service = self.jobs.get(key.job).is_some_and(|job| job.spec.kind == JobKind::Service);
--- a/crates/core/src/fleet/silent_machines.rs
+++ b/crates/core/src/fleet/silent_machines.rs
@@ -22,7 +22,8 @@
     Responsive,
     /// The machine's heartbeats arrive, but commands don't reach it.
     OneWayUnreachable,
-    /// The machine has been silent for too long or is permanently unreachable.
+    /// The machine has been silent for too long, is permanently unreachable, or is one-way
+    /// unreachable and no longer listed by the cloud.
     Lost(LostContact),
 }
 
@@ -37,8 +38,8 @@
 impl Controller {
     /// Releases machines that are silent or unreachable while most others are not: the cloud's
     /// confirmation of the release frees a machine's tasks before its lease expires. If many
-    /// machines are silent, a network fault is the likelier cause, and only machines that the
-    /// cloud no longer lists are released.
+    /// machines are silent or unreachable, or if a controller holds a lease proxy claim, a network
+    /// fault is the likelier cause, and only machines that the cloud no longer lists are released.
     pub(crate) fn release_silent_machines(&mut self) {
         let mut lost = Vec::new();
         let (mut responsive, mut one_way_unreachable) = (0, 0);
@@ -133,7 +134,7 @@
 
     /// Queries the status of machines that have been silent for a while: such a machine may send
     /// its heartbeats to a controller that this one has no contact with.
-    pub(crate) fn inspect_silent_machines(&mut self) {
+    pub(crate) fn query_silent_machines(&mut self) {
         let now_ms = self.context.now.steady_ms;
         let pause_ms = self.context.config.heartbeat_interval_ms() * 3 / 2;
         let is_due = |machine: &Machine| {
@@ -191,7 +192,8 @@
                 let last_contact_ms = last_answered_ms.max(machine.last_heard_ms);
                 unproxied_until_ms >= last_contact_ms + expiry_ms
             }
-            // An earlier leader may have renewed the lease until its own lease bound.
+            // An earlier leader may have renewed the machine's lease until its own lease bound had
+            // elapsed.
             _ => {
                 let inherited_expiry_ms = config.inherited_lease_expiry_ms();
                 unproxied_until_ms >= self.epoch_began_ms + inherited_expiry_ms
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Keys of the in-memory tables, fencing tokens and attempt numbers.
+//! Keys of the in-memory tables, fencing tokens, attempt numbers and task names.
 
 /// Key of a job in memory, ordered by when the jobs were added on this controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/crates/core/src/in_flight.rs
+++ b/crates/core/src/in_flight.rs
@@ -14,18 +14,18 @@
 use crate::storage::placement_records::RecordLocation;
 use crate::RequestId;
 
-/// Purpose of a call made by a module that has no [`crate::context::CallTable`] of its own yet.
+/// Purpose of a call made by a module that has no [`crate::context::CallTable`] of its own.
 #[derive(Debug)]
 pub(crate) enum InFlight {
     /// A lease proxy's read of a job whose task a worker runs.
     ProxiedJobRead { job: String, sent_ms: u64 },
-    /// A read of a job that was recorded without the leader, or whose submission received no
-    /// answer.
-    HandoffJobRead { job: String, epoch: u64 },
+    /// A read of a job that was recorded without the leader, or whose accepting write is
+    /// indeterminate.
+    RecordedJobRead { job: String, epoch: u64 },
     /// The write that accepts a job.
     AcceptWrite { request: RequestId, job: JobIndex, location: RecordLocation, epoch: u64 },
     /// The write that accepts a job in the store without the leader.
-    AcceptWithoutLeader { request: RequestId, id: String, cancelled: bool },
+    AcceptWithoutLeader { request: RequestId, id: String, dependency_aborted: bool },
     /// The write that aborts a job.
     AbortWrite { request: Option<RequestId>, job: JobIndex, location: RecordLocation, epoch: u64 },
     /// A read of a job that is to be aborted in the store without the leader.
@@ -43,7 +43,7 @@
     /// A comparison that answers status queries of live jobs.
     LiveJobComparison(LiveComparison),
     /// A read of a job that is to be accepted in the store without the leader.
-    LookupBeforeSubmission { request: RequestId, spec: Box<JobSpec>, cancelled: bool },
+    LookupBeforeSubmission { request: RequestId, spec: Box<JobSpec>, dependency_aborted: bool },
     /// Reads and writes of job batches.
     Batch(BatchCall),
     /// A read that validates status answers given from memory.
--- a/crates/core/src/jobs/dependencies/propagation.rs
+++ b/crates/core/src/jobs/dependencies/propagation.rs
@@ -26,12 +26,7 @@
     /// Returns the deadline with which the job itself was submitted, if any.
     pub fn own_deadline(&self) -> Option<Deadline> {
         let (class, submitted_ms) = (self.spec.class.clone(), self.submitted_ms);
-        self.spec.deadline_s.map(|due_s| Deadline {
-            class,
-            due_ms: submitted_ms,
-            due_s,
-            tail_s: 0.0,
-        })
+        self.spec.deadline_s.map(|due_s| Deadline { class, submitted_ms, due_s, tail_s: 0.0 })
     }
 
     /// Returns the job's own priority and deadline, without those inherited from its dependents.
@@ -47,7 +42,7 @@
     /// Class of the deadline's owner; the operator sets objectives by class.
     pub class: String,
     /// Wall-clock time at which the owner was submitted.
-    pub due_ms: u64,
+    pub submitted_ms: u64,
     /// Seconds from the submission of the owner until the owner is due.
     pub due_s: f64,
     /// Expected seconds between the end of the job with this effective deadline and the end of the
@@ -59,7 +54,7 @@
     /// Returns the wall-clock time in milliseconds by which the job with this effective deadline
     /// should be done.
     pub fn latest_ms(&self) -> f64 {
-        self.due_ms as f64 + (self.due_s - self.tail_s) * 1000.0
+        self.submitted_ms as f64 + (self.due_s - self.tail_s) * 1000.0
     }
 }
 
--- a/crates/core/src/jobs/dependencies/walks.rs
+++ b/crates/core/src/jobs/dependencies/walks.rs
@@ -137,8 +137,8 @@
             let Some(id) = walk.unread.pop() else { break };
             match self.terminal_jobs.get(&id) {
                 Some(RecordedStatus::Done) => continue,
-                // An abort does not show whether a direct dependency was a service, so that
-                // dependency's record is read.
+                // An abort does not show whether a direct dependency was a service, so the record
+                // of that dependency is read.
                 Some(_) if !walk.admits_dependent_of(&id) => {
                     walk.found_aborted = true;
                     if let WalkPurpose::Status(_) = walk.purpose {
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -75,7 +75,7 @@
     /// [`crate::jobs::dependencies`].
     pub deadline: Option<Deadline>,
     /// Whether the job has an inherited priority and must start now for its effective deadline to
-    /// be met; updated in each heartbeat round.
+    /// be met; updated once per heartbeat interval.
     pub deadline_at_risk: bool,
     /// Chunks that are in memory, by number.
     pub chunks: BTreeMap<u32, Chunk>,
@@ -105,7 +105,8 @@
     pub placement_from_ms: u64,
     /// Machines on which a task of the job has failed.
     pub failed_on: Vec<MachineIndex>,
-    /// Whether the job's failures are attributed to the job itself.
+    /// Whether the job is known to run successfully or to fail on every machine; only
+    /// `Controller::set_job_health` changes it.
     pub health: JobHealth,
     /// Number of trial starts since the job's failures were attributed to it.
     pub trials: u32,
@@ -119,13 +120,13 @@
     /// Monotonic time before which the job's record is not written, because the store refused it.
     pub deferred_until_ms: u64,
     /// Monotonic time at which the job's record was last reread; at first, the time at which the
-    /// job was loaded into memory. Restarted when the job's last dependency is done.
+    /// job was loaded into memory. Also set when the job's last dependency is done.
     pub record_read_ms: u64,
-    /// Number of deadline objectives that the job can no longer meet; updated in each heartbeat
-    /// round.
+    /// Number of deadline objectives that the job can no longer meet; updated once per heartbeat
+    /// interval.
     pub missed_objectives: u8,
-    /// Highest ratio of demand to supply among the job's constraints; updated in each heartbeat
-    /// round.
+    /// Highest ratio of demand to supply among the job's constraints; updated once per heartbeat
+    /// interval.
     pub ratio: f64,
 }
 
--- a/crates/core/src/jobs/transitions.rs
+++ b/crates/core/src/jobs/transitions.rs
@@ -52,10 +52,10 @@
         }
         if old.machine_and_attempt() != new.machine_and_attempt() {
             if old.machine_and_attempt().is_some() {
-                usage.placed.add(&resources, -1.0);
+                usage.bound.add(&resources, -1.0);
             }
             if new.machine_and_attempt().is_some() {
-                usage.placed.add(&resources, 1.0);
+                usage.bound.add(&resources, 1.0);
             }
         }
     }
--- a/crates/core/src/lease_proxy/mailbox/outbox.rs
+++ b/crates/core/src/lease_proxy/mailbox/outbox.rs
@@ -111,8 +111,9 @@
         next.or(self.heartbeats.first_key_value())
     }
 
-    /// Drops the contents that are too large for any record, so that they do not block later
-    /// entries. Oversize orders stay in the queue; their identifiers are returned.
+    /// Drops heartbeats, and the heartbeats in replies, that are too large for any record, so that
+    /// they do not block later entries. Oversize orders stay in the queue, and the caller has to
+    /// remove them; their identifiers are returned.
     pub fn drop_oversize(&mut self, max_bytes: usize) -> Vec<u64> {
         for reply in self.replies.iter_mut().filter(|reply| serialized_size(*reply) > max_bytes) {
             tracing::debug!(
@@ -144,7 +145,8 @@
     (heartbeat.agent_epoch, heartbeat.seq) > (other.agent_epoch, other.seq)
 }
 
-/// Returns the size of an entry in a record, including the comma after it.
+/// Returns the size limit's measure of an entry in a record: its size as JSON, including the comma
+/// after it.
 fn serialized_size<Entry: Serialize>(entry: &Entry) -> usize {
     checked_size(entry) + 1
 }
--- a/crates/core/src/lease_proxy/mailbox/records.rs
+++ b/crates/core/src/lease_proxy/mailbox/records.rs
@@ -14,7 +14,8 @@
     pub orders: OrdersRequest,
 }
 
-/// Result of orders: the worker's heartbeat, or `None` if the outcome is indeterminate.
+/// Result of orders: the worker's heartbeat, or `None` if the outcome is indeterminate or the
+/// heartbeat was too large for a record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Reply {
     pub id: u64,
--- a/crates/core/src/lease_proxy/mailbox/sending.rs
+++ b/crates/core/src/lease_proxy/mailbox/sending.rs
@@ -14,7 +14,8 @@
 
 /// Fraction of the largest allowed value that a mailbox record may fill.
 const RECORD_FILL_FRACTION: f64 = 0.9;
-/// Interval between two writes, in write batches, so that several messages gather in each record.
+/// Interval between two writes, as a multiple of the write batch interval, so that several messages
+/// are collected in each record.
 const BATCH_INTERVALS_PER_WRITE: u64 = 3;
 
 /// Lease and epoch under which a mailbox record is written.
--- a/crates/core/src/lease_proxy/serve.rs
+++ b/crates/core/src/lease_proxy/serve.rs
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Retries the parked heartbeats; redirects the workers whose deadline has passed.
+    /// Retries the parked heartbeats; redirects the workers whose heartbeats are refused or have
+    /// reached their deadline.
     pub(super) fn retry_parked_heartbeats(&mut self) {
         let now = self.context.now.steady_ms;
         for parked in self.lease_proxy.parked.take() {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -66,7 +66,7 @@
         /// The request as received.
         request: Request,
     },
-    /// Load state of this process, and its metrics of requests that had to wait.
+    /// Load state of this process, and its metrics of sockets and of received requests.
     Load {
         /// Load state that applies from now on.
         state: LoadState,
--- a/crates/core/src/membership/election.rs
+++ b/crates/core/src/membership/election.rs
@@ -1,9 +1,9 @@
 //! Elections: how this controller campaigns for the leadership of an epoch.
 //!
-//! A single transaction sets the leader key, attached to this controller's lease, and the epoch
-//! record. Both writes are guarded by the revisions last seen, so at most one of several candidates
-//! wins and epochs only increase. While the outcome is indeterminate, this controller decides
-//! nothing and reads the control keys again.
+//! A single transaction sets the leader key, attached to this controller's lease, and, for a new
+//! epoch, the epoch record. It is guarded by the revisions of both keys last seen, so at most one
+//! of several candidates wins and epochs only increase. While the outcome of a campaign for a new
+//! epoch is indeterminate, this controller decides nothing and reads the control keys again.
 
 use quartzgate_feature_gates::Feature;
 use quartzgate_wire::msg::{Change, Guard, Transaction, TransactionAnswer};
@@ -156,7 +156,8 @@
         ];
         self.record_writer.write_limiter.charge(now, apply.len() as f64);
         let renewal_ms = self.context.config.lease_renewal_ms();
-        // Do not campaign again before the outcome of this campaign is known.
+        // A follower that finds no leader key campaigns again a renewal interval from now at the
+        // earliest.
         self.membership.election.due_ms = now + renewal_ms;
         if candidacy.continued_epoch.is_none() {
             self.set_role(Role::Candidate { epoch });
@@ -202,7 +203,8 @@
         self.membership.write_unconfirmed(&mut self.context, body);
     }
 
-    /// Handles the outcome of a campaign for `epoch`.
+    /// Handles the outcome of a campaign for the new epoch `epoch`. The outcome of a campaign that
+    /// continues an epoch is ignored here: the control keys, which are read again, show it.
     pub(super) fn on_election_outcome(&mut self, epoch: u64, outcome: Outcome) {
         if self.membership.role() != (Role::Candidate { epoch }) {
             return;
@@ -221,8 +223,8 @@
                 }
                 self.set_role(Role::Follower)
             }
-            // The outcome is indeterminate, so the control keys are read again. If they name this
-            // controller as leader, it starts a new epoch after the one that it may have won.
+            // The outcome may be indeterminate, so the control keys are read again. If they name
+            // this controller as leader, it starts a new epoch after the one that it may have won.
             Outcome::NotSent | Outcome::Lost => self.set_role(Role::Follower),
         }
     }
--- a/crates/core/src/membership/epoch_watch.rs
+++ b/crates/core/src/membership/epoch_watch.rs
@@ -22,9 +22,9 @@
 };
 use crate::Outcome;
 
-/// Divisor of a controller lease's time to live that gives the stagger between two controllers'
-/// elections.
-const ELECTION_STAGGER: u64 = 50;
+/// The controllers' campaigns are staggered by a controller lease's time to live divided by this
+/// number.
+const ELECTION_STAGGER_DIVISOR: u64 = 50;
 
 /// Progress of the watch, and the control records seen so far.
 #[derive(Debug, Default)]
@@ -106,8 +106,8 @@
         self.leader = None;
     }
 
-    /// Records that changes up to `revision` have been applied; the watch can continue from there
-    /// without delay.
+    /// Records that changes up to `revision` have been received, for the caller to apply; the watch
+    /// can continue from there without delay.
     fn advance(&mut self, revision: u64, sent_ms: u64) {
         self.revision = revision;
         self.known_until_ms = self.known_until_ms.max(sent_ms);
@@ -205,7 +205,7 @@
         outcome: Outcome,
     ) -> Option<ControlSnapshot> {
         let now = context.now.steady_ms;
-        // The watch was restarted after a stall since this read was sent.
+        // After this read was sent, the process stalled and the watch was restarted.
         if self.epoch_watch.sent_ms != sent_ms {
             return None;
         }
@@ -319,7 +319,7 @@
     let platform = &context.config.platform;
     let preceding = platform.siblings.iter().filter(|sibling| sibling.node < platform.node);
     let position = preceding.count() as u64;
-    let step_ms = context.config.controller_lease_ttl_ms() / ELECTION_STAGGER;
+    let step_ms = context.config.controller_lease_ttl_ms() / ELECTION_STAGGER_DIVISOR;
     position * step_ms + context.rng.random_range(0..step_ms.max(1))
 }
 
--- a/crates/core/src/membership/handoff_watch.rs
+++ b/crates/core/src/membership/handoff_watch.rs
@@ -56,15 +56,15 @@
 }
 
 impl Membership {
-    /// Restarts the watch after a failure.
+    /// Starts the watch if it is due: after a failure, or after the queue has been listed.
     pub(super) fn tick_handoff_watch(&mut self, context: &mut Context) {
         if self.is_leader() && self.handoff_watch.is_due(context.now.steady_ms) {
             self.watch_handoff_queue(context);
         }
     }
 
-    /// Records that the queue has been read up to `revision`; the watch starts there at the next
-    /// tick.
+    /// Records that the queue has been read up to `revision`. The next watch starts from there and
+    /// may start at once.
     pub fn watch_handoff_from(&mut self, revision: u64) {
         self.handoff_watch.resume_from(revision);
         self.handoff_watch.due_ms = 0;
@@ -147,7 +147,8 @@
     }
 
     /// Applies one page of the queue. The watch continues from the revision of the first page,
-    /// because later pages may lack entries that were added before their own revision.
+    /// because an entry that is added while the pages are listed may sort before the page that is
+    /// read next, and is then in none of them.
     pub(super) fn on_handoff_queue_listed(&mut self, list_revision: Option<u64>, outcome: Outcome) {
         let list = match outcome {
             Outcome::Answer(response) if response.status == 200 => {
--- a/crates/core/src/membership/held_heartbeats.rs
+++ b/crates/core/src/membership/held_heartbeats.rs
@@ -79,7 +79,8 @@
 
     /// Redirects the workers whose heartbeats have reached their deadline, while their leases still
     /// have time left, and retries the other held heartbeats. During a recovery, heartbeats are
-    /// instead retried as the recovery proceeds.
+    /// instead retried as the recovery proceeds; while the leadership is unverified after a stall,
+    /// they are retried once it is verified.
     pub(crate) fn tick_held_heartbeats(&mut self) {
         let now = self.context.now.steady_ms;
         for request in self.membership.held_heartbeats.take_expired(now) {
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -149,13 +149,13 @@
 }
 
 impl Controller {
-    /// Handles the answer to a lease grant.
+    /// Handles the outcome of a request for a lease.
     pub(super) fn on_lease_granted(&mut self, sent_ms: u64, outcome: Outcome) {
         let change = self.membership.observe_grant(&self.context, sent_ms, outcome);
         self.on_lease_change(change);
     }
 
-    /// Handles the answer to a lease renewal.
+    /// Handles the outcome of a lease renewal.
     pub(super) fn on_lease_renewed(&mut self, sent_ms: u64, outcome: Outcome) {
         let change = self.membership.observe_renewal(&self.context, sent_ms, outcome);
         self.on_lease_change(change);
--- a/crates/core/src/membership/mesh.rs
+++ b/crates/core/src/membership/mesh.rs
@@ -20,7 +20,8 @@
 const ORDERS_PATH: &str = "/orders";
 
 impl Controller {
-    /// Handles a request from another controller.
+    /// Handles a request received on the address for other controllers, which also serves the
+    /// metrics for operators.
     pub(crate) fn on_mesh(&mut self, id: RequestId, request: Request) {
         let path = request.target.split('?').next().unwrap_or("");
         match (request.method.as_str(), path) {
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -287,7 +287,8 @@
         Some(heard_ms.max(self.stall.resumed_ms()))
     }
 
-    /// Returns whether the leader has missed a heartbeat.
+    /// Returns whether a peer holds the leader key and nothing was heard from it for 5/4 of a
+    /// heartbeat interval.
     pub(crate) fn leader_missed_heartbeat(&self) -> bool {
         let limit_ms = heartbeat_interval_ms(&self.context.config) * 5 / 4;
         self.leader_heard_ms()
@@ -313,8 +314,9 @@
         self.membership.store_reachable(&self.context)
     }
 
-    /// Returns whether users should be routed to this controller: it can decide requests itself or
-    /// forward them, or no other controller is known to be able to either.
+    /// Returns whether users should be routed to this controller: it supports the formats, the
+    /// store has answered it at least once, and it can either reach the store or forward requests
+    /// to a live peer.
     pub(crate) fn ready(&self) -> bool {
         if self.membership.store_answered_ms.is_none() || self.has_unsupported_format() {
             return false;
@@ -323,8 +325,8 @@
     }
 
     /// Returns the latest time up to which provably no lease proxy renewed a worker's lease, or 0
-    /// while a claim exists. Once a lease's expiry time has elapsed since then, no lease renewed by
-    /// a proxy is left.
+    /// while this cannot be proven, because a claim exists or claims have changed recently. Once a
+    /// lease's expiry time has elapsed since then, no lease renewed by a proxy is left.
     pub(crate) fn unproxied_until_ms(&self) -> u64 {
         let watch = &self.membership.epoch_watch;
         watch.claims().unproxied_until_ms(watch.known_until_ms(), &self.context.config)
--- a/crates/core/src/membership/proxy_claims.rs
+++ b/crates/core/src/membership/proxy_claims.rs
@@ -36,8 +36,8 @@
         self.revisions.keys().cloned().collect()
     }
 
-    /// Treats a full read as if a claim had just disappeared, because claims may have appeared and
-    /// disappeared unseen before the read.
+    /// Records a full read of the control keys. It counts as a change of the claims, because claims
+    /// may have appeared and disappeared unseen before the read.
     pub fn on_reread(&mut self, now_ms: u64) {
         self.changed_ms = now_ms;
     }
--- a/crates/core/src/membership/stall.rs
+++ b/crates/core/src/membership/stall.rs
@@ -2,10 +2,10 @@
 //!
 //! After a stall, all that this controller knows may be out of date: its lease may have expired,
 //! another controller may lead, and the silence that it seems to observe in others may be its own.
-//! A leader is therefore unverified after a stall until the store has answered a request sent after
-//! the stall. An unverified leader commands no worker and answers no heartbeat. If the store
-//! answers nothing at all, the leader continues like any leader that is partitioned from the store:
-//! within the lease bound, on which all safety rests.
+//! A leader is therefore unverified after a stall until the store has answered a read or watch of
+//! the control keys that was sent after the stall. An unverified leader commands no worker and
+//! answers no heartbeat. If the store answers nothing at all, the leader continues like any leader
+//! that is partitioned from the store: until the lease bound has elapsed, on which safety depends.
 
 use crate::context::Context;
 use crate::controller::Controller;
@@ -85,8 +85,9 @@
         self.stall.is_unverified()
     }
 
-    /// Marks the leadership as verified once the store has answered a request sent after the stall,
-    /// or once it has answered nothing for longer than an answer takes.
+    /// Marks the leadership as verified once the control keys are known as of the end of the stall
+    /// or later, once the store has answered nothing since the stall for longer than an answer
+    /// takes, or if this controller no longer holds the leadership.
     pub(crate) fn verify_leadership(&mut self) {
         let resumed_ms = self.stall.resumed_ms;
         let overdue = self.context.now.steady_ms >= self.stall.answer_due_ms(&self.context);
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -1,6 +1,6 @@
-//! Metrics for operators, served as `GET /metrics` on the address for other controllers and written
-//! to the debug log once a second. The metric names are part of the service's interface and never
-//! change.
+//! Metrics for operators, served as `GET /metrics` on the address for other controllers. The leader
+//! also writes them to the debug log once a second. The metric names are part of the service's
+//! interface and never change.
 
 use std::collections::BTreeMap;
 
@@ -196,6 +196,6 @@
         metrics.values.extend(self.context.latencies.metrics());
         metrics.values.extend(self.context.refusals.metrics());
         metrics.values.extend(self.forward_failures.metrics());
-        metrics.values.extend(self.request_queue_metrics.iter().cloned());
+        metrics.values.extend(self.event_loop_metrics.iter().cloned());
     }
 }
--- a/crates/core/src/placement/candidates.rs
+++ b/crates/core/src/placement/candidates.rs
@@ -3,8 +3,7 @@
 //! Scanning all machines dominates the cost of placement, and this cost grows with the fleet. One
 //! scan therefore serves many tasks of a job: the machines are kept in one heap per zone, ordered
 //! by score, and a chosen machine is pushed back with its new score. The rate of machine scans is
-//! bounded ([`super::search_budget`]), so that placement never takes the processor time that
-//! running work needs.
+//! bounded ([`super::search_budget`]), so that placement leaves processor time for heartbeats.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -289,7 +288,7 @@
         let (free, spare) =
             self.free_and_spare(index, machine, capacity, &job.resources(), Some(job));
         let has_image = machine.images.contains(&job.image);
-        let are_gpus_scarce = self.ratios.are_gpus_scarce() && job.spec.gpus <= 0.0;
+        let should_avoid_gpus = self.ratios.are_gpus_scarce() && job.spec.gpus <= 0.0;
         Candidate {
             index,
             zone: machine.zone,
@@ -299,7 +298,7 @@
             has_image,
             slow_fetch: !has_image && allowed_type.slow_fetch,
             spot: machine.spot,
-            wastes_gpus: capacity.gpus > 0.0 && are_gpus_scarce,
+            wastes_gpus: capacity.gpus > 0.0 && should_avoid_gpus,
             used_fraction: machine.used.cpus / capacity.cpus.max(1e-9),
             queued: machine.probe_queue.len(),
             expected_tasks: 0.0,
--- a/crates/core/src/placement/demand_ratios.rs
+++ b/crates/core/src/placement/demand_ratios.rs
@@ -1,4 +1,4 @@
-//! Ratios of demand to supply, and values updated with them in each heartbeat round: expected
+//! Ratios of demand to supply, and values updated with them once per heartbeat interval: expected
 //! waits, missed objectives, and whether GPUs are scarce.
 
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 use crate::jobs::{Job, JobState, Task, TaskState};
 use crate::placement::wait::expected_wait;
 
-/// Ratio of demand to supply for every constraint, computed in each heartbeat round.
+/// Ratio of demand to supply for every constraint, computed once per heartbeat interval.
 #[derive(Default)]
 pub(crate) struct DemandRatios {
     by_constraint: BTreeMap<Constraint, f64>,
@@ -180,7 +180,8 @@
     }
 
     /// Returns the resources reserved on a machine, while GPUs are scarce, for the GPU tasks that
-    /// its free GPUs can serve. Tasks without GPUs below production priority don't get them.
+    /// its free GPUs can serve. Tasks that need no GPUs and are below production priority don't get
+    /// them.
     pub(crate) fn reserved_for_gpu_tasks(&self, free: &Resources) -> Resources {
         let mut reserved = Resources::default();
         if let Some(task) = self.ratios.largest_gpu_task {
@@ -194,7 +195,7 @@
     /// estimated.
     fn missed_objectives(&self, job: &Job) -> u8 {
         let Some(deadline) = &job.deadline else { return 0 };
-        let age_s = self.context.now.wall_ms.saturating_sub(deadline.due_ms) as f64 / 1000.0;
+        let age_s = self.context.now.wall_ms.saturating_sub(deadline.submitted_ms) as f64 / 1000.0;
         let objectives = self.context.config.platform.params.objectives.iter();
         let of_class = objectives.filter(|objective| {
             objective.kind == "deadline" && objective.class.as_deref() == Some(&deadline.class)
--- a/crates/core/src/placement/dispatch.rs
+++ b/crates/core/src/placement/dispatch.rs
@@ -17,9 +17,10 @@
 struct QueueChoice {
     /// The task to bind, if any may be bound.
     chosen: Option<TaskKey>,
-    /// Tasks of the same queue class that arrived earlier than the chosen one and were passed over.
+    /// Tasks of the same queue class (priority and quota guarantee) that arrived earlier than the
+    /// chosen one and were passed over.
     passed: Vec<TaskKey>,
-    /// Other machines that are left to bind tasks of this queue, because they have the image.
+    /// Other machines that should bind tasks of this queue instead, because they have the image.
     better_machines: Vec<MachineIndex>,
 }
 
@@ -117,10 +118,10 @@
 
     fn queued_probe(&self, job: &Job, task: &Task) -> QueuedProbe {
         let team = &self.context.config.platform.params.teams[job.team];
-        let placed = &self.teams[job.team].placed;
+        let bound = &self.teams[job.team].bound;
         QueuedProbe {
             priority: job.priority,
-            guaranteed: team.cpus > 0.0 && placed.cpus + job.spec.cpus <= team.cpus + 1e-6,
+            guaranteed: team.cpus > 0.0 && bound.cpus + job.spec.cpus <= team.cpus + 1e-6,
             missed_objectives: job.missed_objectives,
             // The estimate of a failed task is doubtful: each failure, up to 8, adds it once more.
             remaining_s: match job.failing_everywhere() {
--- a/crates/core/src/placement/free_capacity.rs
+++ b/crates/core/src/placement/free_capacity.rs
@@ -85,8 +85,8 @@
         let Some(job) = self.jobs.get(job_index) else { return Vec::new() };
         let need = job.resources();
         let (mut examined, mut found) = (free_capacity.groups.len(), Vec::new());
-        // Resources reserved for GPU tasks are not available to jobs without GPUs below production
-        // priority.
+        // Resources reserved for GPU tasks are not available to jobs that need no GPUs and are
+        // below production priority.
         let respects_gpu_reserve = need.gpus <= 0.0 && job.priority < Priority::Production;
         for (group, members) in &free_capacity.groups {
             let is_allowed = self.allows(&job.spec, &group.kind, group.zone, group.spot);
--- a/crates/core/src/placement/preemption.rs
+++ b/crates/core/src/placement/preemption.rs
@@ -11,7 +11,7 @@
 use crate::ids::{JobIndex, MachineIndex, TaskKey};
 use crate::jobs::{Job, JobState, Task, TaskState};
 
-/// Number of waiting tasks from which on no further jobs are searched for preemptors in one pass.
+/// Once a pass has found this many preemptors, it searches no further jobs for them.
 const MAX_PREEMPTORS: usize = 1_024;
 
 /// Cost of preempting a running task, by its priority, in CPU seconds; added to the cost of the
--- a/crates/core/src/placement/quota.rs
+++ b/crates/core/src/placement/quota.rs
@@ -37,7 +37,7 @@
     /// records can hold more reservations than the limit allows, so this is checked again before
     /// every start.
     pub(crate) fn may_start_within_quota(&self, team: usize, need: &Resources) -> bool {
-        let mut possibly_running = self.teams[team].placed;
+        let mut possibly_running = self.teams[team].bound;
         possibly_running.add(&self.teams[team].unproven, 1.0);
         self.within_limit(team, possibly_running, need)
     }
--- a/crates/core/src/placement/reprobe.rs
+++ b/crates/core/src/placement/reprobe.rs
@@ -19,8 +19,9 @@
 
 impl Controller {
     /// Gives new probes to waiting tasks whose probed machines are gone or full, if other machines
-    /// have free capacity. Re-probing costs a write, so this runs only once per heartbeat round or
-    /// when the supply of machines changes.
+    /// have free capacity. Re-probing costs a write, so this runs only once per heartbeat interval,
+    /// when the supply of machines changes, when a machine's queue has been cleared, when a waiting
+    /// task has no usable probed machine, or when the limits of the last pass did not suffice.
     pub(crate) fn reprobe(&mut self) {
         self.reprobe_due = false;
         let jobs = self.jobs_to_reprobe();
--- a/crates/core/src/recovery/mod.rs
+++ b/crates/core/src/recovery/mod.rs
@@ -6,8 +6,8 @@
 //! later (`recorded_jobs.rs`).
 //!
 //! Invariants: no task is started before the role changes to leader; a record that cannot be
-//! decoded stops only its own job and is never overwritten; a task may be on every machine that its
-//! placement names, unless this leader wrote the placement itself.
+//! decoded stops only the jobs that it contains and is never overwritten; a task may be on any of
+//! the machines that its placement names, unless this leader wrote the placement itself.
 
 mod calls;
 mod placements;
@@ -184,7 +184,9 @@
             Phase::JobBatches => pairs.iter().for_each(|pair| self.load_batch(pair)),
             Phase::Jobs => pairs.iter().for_each(|pair| self.load_job(pair)),
             Phase::Placements => self.load_placements(pairs),
-            Phase::HandoffQueue => pairs.into_iter().for_each(|pair| self.load_handoff(pair)),
+            Phase::HandoffQueue => {
+                pairs.into_iter().for_each(|pair| self.discard_covered_handoff(pair))
+            }
         }
     }
 
@@ -320,7 +322,8 @@
                 continue;
             }
             let Some(ix) = self.job_of_placement(id) else {
-                // The job has ended, so the record only takes up space in the store.
+                // The job has ended, or its record could not be added to memory because, for
+                // example, its team is no longer in the settings.
                 self.record_writer.schedule_deletion(pair.key);
                 continue;
             };
@@ -339,7 +342,8 @@
         }
     }
 
-    /// Completes the placements phase: pieces that are still missing do not exist.
+    /// Completes the placements phase: pieces that are still missing do not exist, so the jobs of
+    /// these placements are stopped.
     fn complete_placements(&mut self) {
         for (ix, placements) in std::mem::take(&mut self.recovery.partial_placements) {
             for chunk in placements.into_chunks() {
@@ -351,7 +355,7 @@
 
     /// Schedules the deletion of a handoff entry that already existed when recovery began, because
     /// the jobs' records cover it. The watch reports later entries.
-    fn load_handoff(&mut self, pair: KeyValue) {
+    fn discard_covered_handoff(&mut self, pair: KeyValue) {
         if self.recovery.start_revision.is_some_and(|revision| pair.revision <= revision) {
             self.record_writer.schedule_deletion_at(pair.key, pair.revision);
         }
@@ -372,8 +376,8 @@
         Some(ix)
     }
 
-    /// Adds a live job to memory. Returns `None` if its record has no spec or if its team is no
-    /// longer in the settings.
+    /// Adds a recorded job to memory in the live state; callers change the state of other jobs.
+    /// Returns `None` if its record has no spec or if its team is no longer in the settings.
     fn insert_recorded(&mut self, record: JobRecord, revision: u64) -> Option<JobIndex> {
         let spec = record.spec?;
         let Some(team) = self.context.config.team(&spec.team) else {
--- a/crates/core/src/recovery/placements.rs
+++ b/crates/core/src/recovery/placements.rs
@@ -77,8 +77,8 @@
         self.set_job_state(ix, JobState::Unreadable);
     }
 
-    /// Loads a chunk. A task may be on every machine that the placement names for it, unless this
-    /// leader wrote the placement in its own epoch and so knows what it has started.
+    /// Loads a chunk. A task may be on any of the machines that the placement names for it, unless
+    /// this leader wrote the placement in its own epoch and so knows what it has started.
     fn load_chunk(&mut self, ix: JobIndex, number: u32, placement: AssembledPlacement) {
         let Some(job) = self.jobs.get(ix) else { return };
         if number >= job.chunk_count() || job.chunks.contains_key(&number) {
--- a/crates/core/src/recovery/recorded_jobs.rs
+++ b/crates/core/src/recovery/recorded_jobs.rs
@@ -108,7 +108,7 @@
     }
 
     /// Handles the read of a job that may have been accepted without the leader's knowledge.
-    pub(crate) fn on_handoff_job_read(&mut self, job: String, outcome: Outcome) {
+    pub(crate) fn on_recorded_job_read(&mut self, job: String, outcome: Outcome) {
         let Ok(pair) = self.read_outcome(outcome) else {
             return self.recorded_job_reads.to_retry.push(job);
         };
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Reads the records of indeterminate submissions as far as the rate limit allows.
+    /// Reads the records of indeterminate submissions as far as the read budget allows.
     fn read_indeterminate_submissions(&mut self) {
         let now = self.context.now.steady_ms;
         let (jobs, terminal_jobs) = (&self.jobs, &self.terminal_jobs);
@@ -158,7 +158,7 @@
 
     fn read_recorded_job(&mut self, job: String) {
         let target = format!("/keys/{}", job_key(&job));
-        let pending = InFlight::HandoffJobRead { job, epoch: self.epoch() };
+        let pending = InFlight::RecordedJobRead { job, epoch: self.epoch() };
         self.call_store("GET", target, Vec::new(), pending);
     }
 }
--- a/crates/core/src/start_latency.rs
+++ b/crates/core/src/start_latency.rs
@@ -1,4 +1,4 @@
-//! Measures how long jobs wait from when they become runnable until one of their tasks is on a
+//! Measures how long it takes from when a job becomes runnable until each of its tasks is on a
 //! machine.
 
 use crate::controller::Controller;
--- a/crates/core/src/storage/calls.rs
+++ b/crates/core/src/storage/calls.rs
@@ -8,7 +8,7 @@
 use crate::Outcome;
 
 /// Purpose of a call. Calls that concern the leader's memory carry its epoch, and their outcomes
-/// are handled only in that epoch.
+/// change that memory only in the same epoch.
 #[derive(Debug)]
 pub(crate) enum StorageCall {
     /// Transaction of the record writer.
--- a/crates/core/src/storage/feature_state.rs
+++ b/crates/core/src/storage/feature_state.rs
@@ -115,8 +115,9 @@
         matches!(self.feature_state.gates.status(), ActivationStatus::Active(_))
     }
 
-    /// Returns the store's limits to observe. Because the limits change without notice, these are
-    /// the lowest announced ones as soon as all controllers observe them.
+    /// Returns the store's limits that this controller observes. Because announced limits take
+    /// effect without notice, these are the lower of the present and the announced limits once
+    /// [`Feature::AnnouncedLimits`] is active; before, they are the present limits.
     pub(crate) fn store_limits(&self) -> &StateLimits {
         match self.is_active(Feature::AnnouncedLimits) {
             true => &self.context.config.lowest,
@@ -177,9 +178,10 @@
         }
     }
 
-    /// Handles the outcome of reading the membership keys. Publishes this controller's
-    /// capabilities, or writes its membership key again if that write was refused or lost. The
-    /// leader activates the next step if possible.
+    /// Handles the outcome of reading the membership keys. Publishes this controller's capabilities
+    /// if necessary. If this controller's membership key is missing, because the write of the key
+    /// was refused or lost, writes the key again. The leader also activates the next step if
+    /// possible.
     pub(super) fn on_members_read(&mut self, outcome: Outcome) {
         self.feature_state.call_in_flight = false;
         let Some(list) = self.list_outcome(outcome) else { return };
@@ -218,8 +220,8 @@
         self.set_activation_status(status, revision);
     }
 
-    /// Publishes permanently what this controller supports, and the process run to which that
-    /// applies.
+    /// Publishes what this controller supports, and the process run to which that applies, under a
+    /// key without a lease, which outlives the process.
     fn publish_capabilities(&mut self, node: &str, membership_revision: u64) {
         let record = CapabilityRecord {
             membership_revision: Some(membership_revision),
--- a/crates/core/src/storage/job_batches/batch_lookup.rs
+++ b/crates/core/src/storage/job_batches/batch_lookup.rs
@@ -2,11 +2,11 @@
 //!
 //! A lookup first reads the job's own key. If there is no such record, the job may be in a batch:
 //!
-//! - The leader has every batch in memory. It only verifies that it still leads and that the job
-//!   has no record of its own.
-//! - Any other controller updates its [`BatchIndex`] and searches it. Then it verifies that the job
-//!   has not got a record of its own in the meantime. One transaction that only compares does this
-//!   for many jobs at once.
+//! - The leader normally has every batch in memory. It then only verifies that it still leads and
+//!   that the job has no record of its own.
+//! - Any other controller, and a leader whose memory may lack jobs of a batch record, updates its
+//!   [`BatchIndex`] and searches it. Then it verifies that the job has not got a record of its own
+//!   in the meantime. One transaction that only compares does this for many jobs at once.
 //!
 //! At most one scan of the batch records is in progress. It serves all lookups that arrived before
 //! it began; later lookups share the next scan. The data behind an answer is therefore never older
@@ -211,9 +211,9 @@
         Some(JobRecord { at_ms: job.submitted_ms, ..self.job_record(job.spec.clone()) })
     }
 
-    /// Verifies that a job is recorded nowhere. The leader has all batches in memory and none of
-    /// them holds the job, which is true as long as it leads: the transaction verifies that, and
-    /// that the job has no record of its own.
+    /// Verifies that a job is recorded nowhere. The leader has all batches in memory, and none of
+    /// them holds the job. This knowledge is valid as long as the controller leads. The transaction
+    /// verifies that it still leads, and that the job has no record of its own.
     fn verify_absence(&mut self, mut lookup: BatchLookup) {
         lookup.last_batch = self.job_batches.last_number;
         let guards = vec![
@@ -357,8 +357,8 @@
         self.scan_batches();
     }
 
-    /// Searches the up-to-date index for a job. Returns the lookup if the job is found, and answers
-    /// it otherwise.
+    /// Searches the up-to-date index for a job. Returns the lookup if the job is found. Otherwise
+    /// reports that the job is absent or can't be looked up, or rereads the job's own record.
     fn look_up_in_index(&mut self, mut lookup: BatchLookup) -> Option<BatchLookup> {
         let index = &self.job_batches.lookups.index;
         lookup.last_batch = index.last_number();
--- a/crates/core/src/storage/job_batches/batch_writer.rs
+++ b/crates/core/src/storage/job_batches/batch_writer.rs
@@ -153,10 +153,10 @@
         let (rejected, others): (Vec<BatchSubmission>, Vec<BatchSubmission>) =
             submissions.into_iter().partition(|submission| submission.job == job);
         batch.submissions = others;
-        self.answer_submissions_busy(rejected);
+        self.refuse_submissions(rejected);
     }
 
-    fn answer_submissions_busy(&mut self, submissions: Vec<BatchSubmission>) {
+    fn refuse_submissions(&mut self, submissions: Vec<BatchSubmission>) {
         for submission in submissions {
             self.answer_unavailable(submission.request, RefusalReason::StoreFailed);
         }
@@ -303,7 +303,7 @@
         for member in batch.members {
             self.drop_job(member);
         }
-        self.answer_submissions_busy(batch.submissions);
+        self.refuse_submissions(batch.submissions);
     }
 
     /// Dissolves a new batch that was certainly not written because too few writes were available.
@@ -323,9 +323,9 @@
         self.job_batches.intake.requeue(batch.submissions, now_ms);
     }
 
-    /// Handles a batch record that was certainly not replaced and is still older than memory. After
-    /// a malformed write, the placements wait for the duration of a lease before they are written
-    /// again.
+    /// Marks the placements of a batch as dirty again, because its record was not replaced or may
+    /// be older than memory. After a malformed write, the placements wait for the duration of a
+    /// lease before they are written again.
     fn on_batch_not_written(&mut self, number: u64, is_malformed: bool) {
         let retry_at_ms = self.context.now.steady_ms + self.context.config.lease_ms();
         for member in self.job_batches.members_of(number) {
@@ -346,7 +346,7 @@
             batch.write_indeterminate |= batch.is_new();
         }
         let submissions = self.job_batches.take_submissions(number);
-        self.answer_submissions_busy(submissions);
+        self.refuse_submissions(submissions);
         let call = BatchCall::Read { number, epoch: self.epoch() };
         let target = format!("/keys/{}", batch_key(number));
         self.call_store("GET", target, Vec::new(), InFlight::Batch(call));
--- a/crates/core/src/storage/job_batches/index.rs
+++ b/crates/core/src/storage/job_batches/index.rs
@@ -1,5 +1,5 @@
-//! Index of the contents of all batch records at one revision of the key-value store, for a
-//! controller that does not write them.
+//! Index of the contents of all batch records at one revision of the key-value store, for lookups
+//! of a controller whose memory does not contain all of them.
 //!
 //! The index is built by listing all batch records once, and is then updated from the store's
 //! change log. The cost of a lookup is therefore proportional to the changes since the previous
--- a/crates/core/src/storage/job_batches/mod.rs
+++ b/crates/core/src/storage/job_batches/mod.rs
@@ -6,17 +6,20 @@
 //! - Only the leader writes a batch record, guarded by the revision of its epoch record. The record
 //!   holds live jobs only. **A job's own record takes precedence over its batch record**: a job
 //!   leaves its batch by getting a record of its own (when it ends, is aborted by any controller,
-//!   or outgrows the batch), after which its entry in the batch record is void. A write of one job
-//!   therefore never blocks writes of other jobs of the batch, and a follower can abort a job
-//!   without writing its batch record.
+//!   or outgrows the batch), after which its entry in the batch record is void, except for the
+//!   placement of an aborted job whose own record has none. A write of one job therefore never
+//!   blocks writes of other jobs of the batch, and a follower can abort a job without writing its
+//!   batch record.
 //! - Batches are numbered consecutively without gaps, no job is added to a batch later, and the
 //!   newest batch record is never deleted. A submission that is recorded without the leader is
 //!   guarded by the absence of a batch after the newest one that was checked, so that no job is
 //!   accepted twice.
-//! - The leader has all batches in memory. One compare-and-swap verifies that it still leads and
-//!   that a job has no record of its own. Any other controller that finds no own record of a job
-//!   searches all batch records ([`index`]), and then verifies that the job still has no record of
-//!   its own. Lookups that arrive during a scan of the batch records share the next scan.
+//! - The leader has all batches in memory. One transaction that only compares verifies that it
+//!   still leads and that a job has no record of its own. Any other controller, and a leader whose
+//!   memory may lack jobs of a batch record (because the record is read-only or its creation is
+//!   indeterminate), searches all batch records ([`index`]) if it finds no own record of a job,
+//!   and then verifies that the job still has no record of its own. Lookups that arrive during a
+//!   scan of the batch records share the next scan.
 //!
 //! [`intake`] gathers submissions and opens batches, [`batch_writer`] writes and deletes the
 //! leader's batch records, and [`batch_lookup`] finds a job's record under its own key or in a
@@ -68,7 +71,8 @@
     Recorded,
     /// A write is in flight. For a new batch, this write creates the record.
     Writing,
-    /// The outcome of a write is indeterminate, and the record is being read.
+    /// The outcome of a write is indeterminate. The record is being read, or the read is to be
+    /// retried.
     Reading,
 }
 
@@ -85,7 +89,8 @@
     state: BatchState,
     /// Revision of the record; 0 until the record is known to be stored.
     revision: u64,
-    /// Jobs that have no record of their own yet.
+    /// Jobs that still need the record: jobs without a record of their own, and aborted jobs, whose
+    /// own records may lack the placement.
     members: BTreeSet<JobIndex>,
     /// Submissions to be answered when the batch is recorded.
     submissions: Vec<BatchSubmission>,
@@ -127,7 +132,8 @@
     last_number: u64,
     /// Jobs whose entries in batch records can't be decoded.
     unreadable_jobs: BTreeSet<String>,
-    /// Batches whose records could not be read; the reads are to be retried.
+    /// Batches whose records are to be read because an earlier read failed, or because a write was
+    /// refused while an earlier write is still indeterminate.
     reads_to_retry: Vec<u64>,
     intake: BatchIntake,
     lookups: BatchLookups,
@@ -139,7 +145,7 @@
         self.batches.len()
     }
 
-    /// Returns the number of jobs in batches that have no record of their own yet.
+    /// Returns the number of jobs that still need the record of their batch.
     pub fn member_count(&self) -> usize {
         self.batches.values().map(|batch| batch.members.len()).sum()
     }
@@ -206,8 +212,7 @@
         self.batches.get(&number).is_some_and(|batch| batch.read_only)
     }
 
-    /// Returns the jobs of a batch that have no record of their own; none if there is no such
-    /// batch.
+    /// Returns the jobs of a batch that still need its record; none if there is no such batch.
     fn members_of(&self, number: u64) -> BTreeSet<JobIndex> {
         self.batches.get(&number).map(|batch| batch.members.clone()).unwrap_or_default()
     }
--- a/crates/core/src/storage/record_writer.rs
+++ b/crates/core/src/storage/record_writer.rs
@@ -8,7 +8,8 @@
 //! 1. terminal states of jobs, and completed chunks that are folded into their job's record
 //!    (`terminal_states.rs`);
 //! 2. placements, most urgent first (`placements.rs`);
-//! 3. terminal states of best-effort jobs, those of lowest priority of teams without a quota;
+//! 3. terminal states of best-effort jobs, which are the jobs of lowest priority of teams without a
+//!    guaranteed quota;
 //! 4. deletions of unused keys.
 //!
 //! `outcomes.rs` handles the outcome of the transaction. `rereads.rs` rereads records whose
@@ -116,12 +117,12 @@
     /// state.
     expedited: bool,
     /// The last flush left out terminal states because the rate limit allowed too few changes.
-    completions_left: bool,
+    terminal_states_left: bool,
     /// Whether terminal states get the larger half of an odd number of changes while placements
     /// wait too. Alternates.
-    odd_change_to_completions: bool,
+    odd_change_to_terminal_states: bool,
     /// Orders terminal states fairly between teams and classes.
-    completion_queue: FairQueue,
+    terminal_state_queue: FairQueue,
     /// Orders placements fairly between teams and classes.
     placement_queue: FairQueue,
     /// Number of upcoming transactions that take a single record each, to find the record that the
@@ -154,9 +155,9 @@
             batch_started_ms: None,
             last_check_ms: 0,
             expedited: false,
-            completions_left: false,
-            odd_change_to_completions: false,
-            completion_queue: FairQueue::default(),
+            terminal_states_left: false,
+            odd_change_to_terminal_states: false,
+            terminal_state_queue: FairQueue::default(),
             placement_queue: FairQueue::default(),
             single_record_flushes_left: 0,
             reads_to_retry: Vec::new(),
@@ -228,9 +229,9 @@
 
     /// Returns the part of the changes that terminal states get while placements wait too: half of
     /// them. Of an odd number, terminal states get the larger half every other time.
-    fn half_for_completions(&mut self, changes: usize) -> usize {
-        self.odd_change_to_completions = !self.odd_change_to_completions;
-        changes / 2 + changes % 2 * usize::from(self.odd_change_to_completions)
+    fn half_for_terminal_states(&mut self, changes: usize) -> usize {
+        self.odd_change_to_terminal_states = !self.odd_change_to_terminal_states;
+        changes / 2 + changes % 2 * usize::from(self.odd_change_to_terminal_states)
     }
 
     /// Returns whether the transaction takes no more records. After the store has rejected a
@@ -261,8 +262,9 @@
     }
 
     /// Releases the machines that still hold, or may hold, a task of an aborted job half a lease
-    /// bound after the abort. The controller can't tell these machines to stop the task, so that
-    /// they are returned to the cloud with everything on them.
+    /// bound after the job was aborted, or after an aborted job was loaded into memory. The
+    /// controller can't tell these machines to stop the task, so it returns them to the cloud with
+    /// everything on them.
     pub(crate) fn fence_aborted_tasks(&mut self) {
         let now = self.context.now.steady_ms;
         // Lease proxies stop the aborted tasks on machines that can't reach this leader.
--- a/crates/core/src/storage/record_writer/flush.rs
+++ b/crates/core/src/storage/record_writer/flush.rs
@@ -72,7 +72,7 @@
         let limits =
             ChangeLimits { available: available.min(max_per_transaction), max_per_transaction };
         if limits.available == 0 {
-            let writes_left = self.record_writer.completions_left || self.any_placement_waits();
+            let writes_left = self.record_writer.terminal_states_left || self.any_placement_waits();
             return self.update_write_capacity(writes_left);
         }
         let mut draft = Draft::new(self.membership.epoch_revision());
@@ -82,8 +82,8 @@
         self.send_flush(draft);
     }
 
-    /// Returns whether to compose a transaction now. A batch of changes first fills for a while,
-    /// unless tasks could start or other jobs wait for a terminal state.
+    /// Returns whether to compose a transaction now. Changes are first gathered for a while, unless
+    /// tasks could start once a placement is recorded, or other jobs wait for a terminal state.
     fn is_flush_due(&mut self) -> bool {
         let now = self.context.now.steady_ms;
         let batch_ms = self.context.config.write_batch_ms();
@@ -105,24 +105,24 @@
     /// Returns whether placements that block task starts wait to be recorded, other than those of
     /// best-effort jobs.
     fn any_placement_waits(&self) -> bool {
-        self.record_writer.dirty_chunks.iter().any(|key| self.blocks_starts_with_quota(*key))
+        self.record_writer.dirty_chunks.iter().any(|key| self.blocks_non_best_effort_starts(*key))
     }
 
     /// Adds terminal states and placements to the transaction. While both wait, each gets half of
     /// the available changes; changes that placements do not use go to terminal states.
     fn gather_records(&mut self, limits: ChangeLimits, draft: &mut Draft) {
         let for_completions = match self.any_placement_waits() {
-            true => self.record_writer.half_for_completions(limits.available),
+            true => self.record_writer.half_for_terminal_states(limits.available),
             false => limits.available,
         };
-        let mut completions_left = self.gather_terminal_states(false, for_completions, draft);
+        let mut terminal_states_left = self.gather_terminal_states(false, for_completions, draft);
         let placements_left = self.gather_placements(limits, draft);
         if for_completions < limits.available {
-            completions_left = self.gather_terminal_states(false, limits.available, draft);
+            terminal_states_left = self.gather_terminal_states(false, limits.available, draft);
         }
-        let completions_left = completions_left && limits.is_rate_limited();
-        self.record_writer.completions_left = completions_left;
-        self.update_write_capacity(placements_left || completions_left);
+        let terminal_states_left = terminal_states_left && limits.is_rate_limited();
+        self.record_writer.terminal_states_left = terminal_states_left;
+        self.update_write_capacity(placements_left || terminal_states_left);
     }
 
     /// Adds terminal states of best-effort jobs, which use only spare changes, as their placements
--- a/crates/core/src/storage/record_writer/placements.rs
+++ b/crates/core/src/storage/record_writer/placements.rs
@@ -14,11 +14,14 @@
 /// Fraction of one second's writes that placements of tasks that could start leave to acceptances
 /// and aborts.
 const START_RESERVE: f64 = 0.4;
-/// The same for placements of best-effort jobs, which use only spare changes.
+/// Fraction of one second's writes that placements of best-effort jobs, which use only spare
+/// changes, leave to more urgent writes.
 pub(super) const BEST_EFFORT_RESERVE: f64 = 0.5;
-/// The same for completions of tasks that have been unrecorded for the maximum write delay.
+/// Fraction of one second's writes that completions of tasks leave to more urgent writes once they
+/// have been unrecorded for the maximum write delay.
 const OVERDUE_RESERVE: f64 = 0.5;
-/// The same for all other completions of tasks.
+/// Fraction of one second's writes that all other completions of tasks leave to more urgent
+/// writes.
 const DEFERRABLE_RESERVE: f64 = 0.75;
 /// Estimated size in bytes of a placement record's keys and guards in a transaction.
 const KEYS_BYTES: usize = 200;
@@ -86,8 +89,9 @@
         self.jobs.get(job).and_then(|j| j.chunks.get(&chunk)).is_some_and(|c| c.blocks_starts)
     }
 
-    /// Returns the same for jobs that are not best-effort, which may use more than spare changes.
-    pub(super) fn blocks_starts_with_quota(&self, (job, chunk): (JobIndex, u32)) -> bool {
+    /// Returns whether the chunk has tasks that could start once its placement is recorded, and its
+    /// job is not best-effort. Placements of such jobs may use more than spare changes.
+    pub(super) fn blocks_non_best_effort_starts(&self, (job, chunk): (JobIndex, u32)) -> bool {
         self.blocks_starts((job, chunk))
             && self.jobs.get(job).is_some_and(|j| !self.is_best_effort(j))
     }
@@ -105,7 +109,7 @@
                 || draft.bytes > MAX_TRANSACTION_BYTES
             {
                 return limits.is_rate_limited()
-                    && self.blocks_starts_with_quota((dirty.job, dirty.chunk));
+                    && self.blocks_non_best_effort_starts((dirty.job, dirty.chunk));
             }
             match self.chunk_action(dirty.job, dirty.chunk) {
                 ChunkAction::Discard => {
@@ -201,8 +205,9 @@
     /// another write.
     fn must_write_placement(&self, job: &Job, chunk: &Chunk) -> bool {
         let ended = matches!(job.state, JobState::Done | JobState::Finishing);
-        // The recorded placement already names every machine that may hold a task of an aborted
-        // job: nothing starts any more, and the terminal state covers the rest.
+        // The placement of an aborted job is not written if it has no keys of its own: the job's
+        // own record or its batch record already names every machine that may hold a task, nothing
+        // starts any more, and the terminal state covers the rest.
         let aborted = job.state == JobState::Aborted && chunk.revision == 0;
         // A completed chunk is folded into the job's record instead.
         let folds = || chunk.revision > 0 && chunk.is_complete() && self.may_fold(job);
--- a/crates/core/src/storage/record_writer/rereads.rs
+++ b/crates/core/src/storage/record_writer/rereads.rs
@@ -152,9 +152,9 @@
         }
     }
 
-    /// Handles a record by which the job is live. If the write of the job's abort is indeterminate,
-    /// the abort is written once more: only one of the two writes can succeed, whichever is
-    /// executed first.
+    /// Handles a reread that shows the job as live. If the write of the job's abort is
+    /// indeterminate, the abort is written once more: only one of the two writes can succeed,
+    /// whichever is executed first.
     fn on_live_reread(&mut self, job_index: JobIndex) {
         if self.jobs.get(job_index).is_some_and(|job| job.state == JobState::AbortIndeterminate) {
             if !self.record_abort(None, job_index) {
@@ -178,7 +178,10 @@
     /// overwritten.
     fn mark_unreadable(&mut self, job_index: JobIndex) {
         if let Some(job) = self.jobs.get(job_index) {
-            tracing::error!(job = %job.id, "cannot decode a record of the job; the job stops and its records are left unchanged");
+            tracing::error!(
+                job = %job.id,
+                "cannot decode a record of the job; the job stops and its records stay unchanged"
+            );
         }
         self.set_job_state(job_index, JobState::Unreadable);
     }
--- a/crates/core/src/storage/record_writer/terminal_states.rs
+++ b/crates/core/src/storage/record_writer/terminal_states.rs
@@ -54,10 +54,10 @@
 }
 
 impl Controller {
-    /// Adds terminal states and folds to the transaction: of jobs whose tasks have all completed,
-    /// and of aborted jobs that no longer occupy a machine. `best_effort` selects either the
-    /// best-effort jobs or all others. Returns whether any completion is left over for lack of
-    /// changes.
+    /// Adds terminal states and folds to the transaction: the terminal states of jobs whose tasks
+    /// have all completed and of aborted jobs that no longer occupy a machine, and the folds of
+    /// live jobs. `best_effort` selects either the best-effort jobs or all others. Returns whether
+    /// the terminal state of a completed job is left over for lack of changes.
     pub(super) fn gather_terminal_states(
         &mut self,
         best_effort: bool,
@@ -105,7 +105,7 @@
         let dirty = self.record_writer.dirty_jobs.iter().copied();
         let mut jobs: Vec<JobIndex> =
             dirty.filter(|job_index| self.is_best_effort_job(*job_index) == best_effort).collect();
-        let mut tags = self.record_writer.completion_queue.tag_assigner();
+        let mut tags = self.record_writer.terminal_state_queue.tag_assigner();
         jobs.sort_by_cached_key(|job_index| {
             let job = self.jobs.get(*job_index);
             let rank = match job {
@@ -174,7 +174,7 @@
             lease_id: None,
         });
         let before_deletions = draft.changes();
-        self.record_writer.completion_queue.record_service(job.team, &job.spec.class);
+        self.record_writer.terminal_state_queue.record_service(job.team, &job.spec.class);
         self.remove_placements(job_index, &chunks, &mut draft.transaction);
         self.record_writer.count_changes(WritePurpose::TerminalState, 1);
         self.record_writer.count_changes(WritePurpose::Cleanup, draft.changes() - before_deletions);
--- a/crates/core/src/storage/records/job.rs
+++ b/crates/core/src/storage/records/job.rs
@@ -14,7 +14,7 @@
     Live,
     /// All tasks have completed.
     Done,
-    /// The job was cancelled.
+    /// The abort of the job is recorded.
     Aborted,
 }
 
--- a/crates/feature-gates/src/gates.rs
+++ b/crates/feature-gates/src/gates.rs
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Returns whether there may be a step that this controller's operators do not withhold.
+    /// Returns whether a step may be left to activate that this controller's operators do not
+    /// withhold.
     pub fn has_consented_step(&self) -> bool {
         match &self.status {
             ActivationStatus::Unknown => true,
@@ -124,7 +125,7 @@
         ActivationStatus::Active(ActivationRecord { version, ..record })
     }
 
-    /// Adopts a status that was read at `revision`. Returns whether anything changed.
+    /// Adopts a status that was read or written at `revision`. Returns whether anything changed.
     ///
     /// Activations are never undone, so a status with fewer of them is an older read and is
     /// ignored. No other function changes the status.
--- a/crates/feature-gates/src/lib.rs
+++ b/crates/feature-gates/src/lib.rs
@@ -11,7 +11,7 @@
 //! ([`FeatureGates::set_capabilities`], [`FeatureGates::next_activation`]) and writes what is
 //! returned. The absence of a key, lease or answer never permits a step; it can only block one.
 //!
-//! Times are milliseconds of a monotonic clock; revisions are those of the state service.
+//! Times are milliseconds of a monotonic clock; revisions are those of the key-value store.
 #![warn(missing_docs)]
 
 mod activation;
--- a/crates/feature-gates/src/records.rs
+++ b/crates/feature-gates/src/records.rs
@@ -1,4 +1,4 @@
-//! Records of formats and features, stored in the state service.
+//! Records of formats and features in the key-value store.
 
 use std::collections::BTreeSet;
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// A capability record as it was read from the state service.
+/// A capability record as it was read from the key-value store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredCapabilities {
     /// The capabilities as the controller published them.
--- a/crates/feature-gates/src/table.rs
+++ b/crates/feature-gates/src/table.rs
@@ -7,7 +7,8 @@
 
 use crate::records::INITIAL_FORMAT;
 
-/// A feature whose activation code checks by this type, never by a format number.
+/// A feature. Code that depends on a feature checks whether this feature is active, and never
+/// compares format numbers.
 ///
 /// The names in `strum` attributes are stored and shown to operators, so they never change.
 #[derive(Debug, EnumSetType, EnumIter, IntoStaticStr)]
@@ -21,8 +22,8 @@
     /// The record of a completed service states that the job was a service.
     #[strum(serialize = "service-mark")]
     ServiceMark,
-    /// The announced limits of the state service are observed before they apply, because they take
-    /// effect without notice.
+    /// The announced limits of the key-value store are observed before they apply, because they
+    /// take effect without notice.
     #[strum(serialize = "low-limits")]
     AnnouncedLimits,
     /// The placement of a job with one chunk is a field of the job's own record if it fits there.
--- a/crates/feature-gates/src/validation.rs
+++ b/crates/feature-gates/src/validation.rs
@@ -8,8 +8,9 @@
 
 /// First format with an entry in the table; the initial format needs no activation.
 const FIRST_ENTRY_FORMAT: u32 = 2;
-/// Oldest format whose versions read which separately activated features are active. Versions of
-/// older formats would not notice an active feature.
+/// Oldest format that may be the minimum format of a separately activated feature. All controller
+/// versions that support this format check which of these features are active; versions that
+/// support only older formats would not notice an active feature.
 const FIRST_FORMAT_WITH_SEPARATE_FEATURES: u32 = 3;
 
 /// Error for a step name in the operators' settings that this version does not know.
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -3,7 +3,7 @@
 //! - [`RequestQueue`] decides in which order requests are served when not all of them can be, and
 //!   how long each may wait.
 //! - [`LoadMonitor`] derives the load state from these waits. In [`LoadState::Shedding`], users'
-//!   requests, except cancellations, are rejected without being queued.
+//!   requests, except aborts, are rejected without being queued.
 //! - [`RetryAdvisor`] tells rejected clients when to retry, so that they don't all return at once.
 //! - [`FairQueue`] orders work by team and class, so that no team or class starves another.
 //! - [`UnansweredJobs`] records the jobs whose status queries are not being answered, and for how
--- a/crates/overload/src/load.rs
+++ b/crates/overload/src/load.rs
@@ -8,8 +8,8 @@
     Normal,
     /// There is a standing queue: work that can be deferred gets less CPU time.
     Elevated,
-    /// Workers' heartbeats wait for too long: users' requests, except cancellations, are rejected
-    /// without being queued.
+    /// Workers' heartbeats wait for too long: users' requests, except aborts, are rejected without
+    /// being queued.
     Shedding,
 }
 
@@ -41,16 +41,18 @@
     pub to: LoadState,
 }
 
-/// Fraction 1/n of a worker's heartbeat timeout: if the oldest request waits for so long throughout
-/// a window, there is a standing queue.
+/// Divisor of a worker's heartbeat timeout. If the oldest request has always waited for at least
+/// this fraction of the timeout during a window, there is a standing queue.
 const ELEVATED_DIVISOR: u64 = 40;
-/// Fraction 1/n of a worker's heartbeat timeout: if heartbeats wait for so long, leases may expire.
+/// Divisor of a worker's heartbeat timeout. If all heartbeats in a window wait for at least this
+/// fraction of the timeout, leases may expire.
 const SHEDDING_DIVISOR: u64 = 8;
 /// Number of measuring windows in a worker's heartbeat timeout.
 const WINDOWS_PER_TIMEOUT: u64 = 16;
 /// Number of consecutive windows with a lower load that must pass before a lower state is entered.
 const WINDOWS_TO_RECOVER: u32 = 4;
-/// A state is left only when waits are below this fraction 1/n of the threshold for entering it.
+/// Divisor of the thresholds for entering a state. A state is left only when the waits are below
+/// the divided thresholds.
 const RECOVERY_DIVISOR: u64 = 2;
 
 /// Derives the load state from the *shortest* wait in each window. A long shortest wait shows a
--- a/crates/overload/src/retry_advisor.rs
+++ b/crates/overload/src/retry_advisor.rs
@@ -4,7 +4,7 @@
 
 /// Time constant of the exponential average of the rejection rate, in milliseconds.
 const RATE_WINDOW_MS: f64 = 2_000.0;
-/// Longest advised delay, in seconds; clients give up after one minute (PROTOCOL).
+/// Longest advised delay, in seconds; by the protocol, clients give up after one minute.
 const MAX_RETRY_AFTER_S: f64 = 10.0;
 /// Shortest advised delay, in seconds.
 const MIN_RETRY_AFTER_S: f64 = 1.0;
--- a/crates/overload/src/unanswered_jobs.rs
+++ b/crates/overload/src/unanswered_jobs.rs
@@ -5,7 +5,8 @@
 /// Time without a query after which a job is forgotten, in milliseconds. Users who are still
 /// waiting for an answer repeat their query more often.
 const FORGET_AFTER_MS: u64 = 30_000;
-/// Fraction 1/n of a full table that is forgotten at once: the jobs whose last query is the oldest.
+/// Divisor of the size of a full table. This fraction of the jobs, those whose last query is the
+/// oldest, is forgotten at once.
 const FORGOTTEN_DIVISOR: usize = 8;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/quartzgate/src/connections.rs
+++ b/crates/quartzgate/src/connections.rs
@@ -25,7 +25,7 @@
 const MAX_SIBLING_RATIO: f64 = 0.125;
 /// Smallest limit for the connections to one sibling.
 const MIN_SIBLING_CONNECTIONS: usize = 16;
-/// Largest number of connections to the state service.
+/// Largest number of connections to the key-value store.
 const MAX_STATE_CONNECTIONS: usize = 16;
 /// Largest number of connections to the cloud.
 const MAX_CLOUD_CONNECTIONS: usize = 4;
--- a/crates/quartzgate/src/event_loop.rs
+++ b/crates/quartzgate/src/event_loop.rs
@@ -28,7 +28,8 @@
 const TICK_INTERVAL_MS: u64 = 25;
 /// Interval between two checks for expired connections and waiting calls.
 const EXPIRY_INTERVAL_MS: u64 = 4 * TICK_INTERVAL_MS;
-/// Longest regular time between two polls of the sockets; a longer gap is a process stall.
+/// Longest regular time between two polls of the sockets. After a longer gap, for which the process
+/// must have stalled, the sockets are read before any deadline is checked.
 const MAX_POLL_GAP_MS: u64 = EXPIRY_INTERVAL_MS;
 /// Longest time for which queued requests are served before the sockets are polled again, so
 /// that more urgent requests that have arrived meanwhile overtake them.
@@ -148,7 +149,8 @@
         self.connections.wait(events, timeout)?;
         let after_ms = self.clock.steady_ms();
         schedule.record_poll(after_ms);
-        // Data that a poll without waiting finds may have arrived at any time before it.
+        // Data that a poll without waiting finds may have arrived at any time before it, so the
+        // time before the poll counts as its arrival.
         self.inbound.set_arrival(if work_queued { before_ms } else { after_ms });
         Ok(())
     }
--- a/crates/quartzgate/src/inbound.rs
+++ b/crates/quartzgate/src/inbound.rs
@@ -94,7 +94,7 @@
     open_requests: HashMap<RequestId, OpenRequest>,
     unanswered_jobs: UnansweredJobs,
     next_id: RequestId,
-    /// Earliest time at which data that is read now may have reached the sockets.
+    /// Time at which data that is read now counts as having reached the sockets.
     arrived_ms: u64,
     heartbeat_interval_ms: u64,
     next_metrics_ms: u64,
@@ -135,7 +135,7 @@
         self.queue.is_empty()
     }
 
-    /// Sets the earliest time at which data that is read from now on may have reached the sockets.
+    /// Sets the time at which data that is read from now on counts as having reached the sockets.
     pub fn set_arrival(&mut self, arrived_ms: u64) {
         self.arrived_ms = arrived_ms;
     }
--- a/crates/quartzgate/src/outbound.rs
+++ b/crates/quartzgate/src/outbound.rs
@@ -21,7 +21,7 @@
 /// Buffer capacity reserved for the head of a request in addition to its body, in bytes.
 const HEAD_CAPACITY: usize = 160;
 
-/// Addresses of the state service, of the cloud and of the other controllers, from the settings.
+/// Addresses of the key-value store, of the cloud and of the other controllers, from the settings.
 pub struct PeerAddresses {
     state: SocketAddr,
     cloud: SocketAddr,
--- a/crates/quartzgate/src/settings.rs
+++ b/crates/quartzgate/src/settings.rs
@@ -61,7 +61,12 @@
     /// of this file.
     fn invalid(self, error: SettingsError, document: &Value) -> LoadError {
         let value = quoted_value(document, &error.field);
-        LoadError::Invalid { file: self.name, field: error.field, value, allowed: error.problem }
+        LoadError::Invalid {
+            file: self.name,
+            field: error.field,
+            value,
+            allowed: error.requirement,
+        }
     }
 }
 
--- a/crates/reachability/src/duplicates.rs
+++ b/crates/reachability/src/duplicates.rs
@@ -6,7 +6,8 @@
 /// message of an earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageNumber {
-    /// Incarnation of the machine's agent; it increases whenever the agent loses its lease.
+    /// Incarnation of the machine's agent; it increases whenever the agent's lease expires or the
+    /// agent restarts.
     pub agent_epoch: u64,
     /// Sequence number within the agent epoch.
     pub sequence: u64,
@@ -51,8 +52,8 @@
         Freshness::New
     }
 
-    /// Records a status that did not arrive as a heartbeat from the machine: the answer to a
-    /// command, or a heartbeat relayed by another controller. Returns whether it is newer than
+    /// Records a status that is not a heartbeat to be answered: the answer to a command, or a
+    /// heartbeat that another controller has already answered. Returns whether it is newer than
     /// every message received so far.
     pub fn record_status(&mut self, number: MessageNumber) -> bool {
         let is_newer = number > self.newest;
--- a/crates/reachability/src/reachability.rs
+++ b/crates/reachability/src/reachability.rs
@@ -197,7 +197,7 @@
         self.lost_epochs >= LOST_EPOCHS_LIMIT
     }
 
-    /// Records the begin of an agent epoch. An agent begins a new epoch when its lease has expired,
+    /// Records the start of an agent epoch. An agent begins a new epoch when its lease has expired,
     /// so an answer to a heartbeat of the previous epoch can't have arrived in time.
     fn on_new_epoch(&mut self, now_ms: u64, timing: &Timing) {
         if self.heartbeat_answered {
--- a/crates/wire/src/msg/jobs.rs
+++ b/crates/wire/src/msg/jobs.rs
@@ -12,7 +12,7 @@
     Array,
     /// Tasks that run all at the same time or not at all.
     Gang,
-    /// Replicas that run until the job is cancelled.
+    /// Replicas that run until the job is aborted.
     Service,
 }
 
@@ -77,7 +77,7 @@
     pub zone: Option<String>,
     /// Whether all tasks must run in one zone.
     pub together: bool,
-    /// Whether the tasks are spread evenly over the zones.
+    /// Whether the tasks are spread over the zones, with at most half of them (rounded up) in each.
     pub spread: bool,
     /// Whether the tasks may run on spot machines.
     #[serde(rename = "loaners")]
@@ -202,7 +202,7 @@
 /// Status of a job, as reported to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
-    /// The job is accepted, and no task has been reported as running.
+    /// The job is accepted, and no task is known to be on a machine.
     #[serde(rename = "pending")]
     Queued,
     /// At least one task is on a machine.
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -24,7 +24,7 @@
 /// calls.
 const MIN_SOCKETS: usize = 32;
 
-/// All settings of one controller.
+/// The settings that the platform provides to one controller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Platform {
     /// Name of this controller, without spaces and slashes.
@@ -223,18 +223,18 @@
 
 /// A setting with a value that is not allowed.
 #[derive(Debug, thiserror::Error)]
-#[error("setting `{field}` {problem}")]
+#[error("setting `{field}` {requirement}")]
 pub struct SettingsError {
     /// Dotted path of the field as the file spells it. The path does not identify the entry of a
     /// list.
     pub field: String,
     /// The values that are allowed, as the end of a sentence about the field.
-    pub problem: String,
+    pub requirement: String,
 }
 
 impl SettingsError {
-    fn new(field: impl Into<String>, problem: impl Into<String>) -> Self {
-        SettingsError { field: field.into(), problem: problem.into() }
+    fn new(field: impl Into<String>, requirement: impl Into<String>) -> Self {
+        SettingsError { field: field.into(), requirement: requirement.into() }
     }
 }
 
