--- a/crates/core/src/lease_proxy/mailbox/delivery.rs
+++ b/crates/core/src/lease_proxy/mailbox/delivery.rs
@@ -20,7 +20,7 @@
         let Some(peer) = self.mailbox_sender(key) else { return };
         let Some(record) = decode::<MailboxRecord>(value) else {
             let from = &self.context.config.platform.siblings[peer].node;
-            tracing::error!(from, "cannot decode mailbox record; ignoring it");
+            tracing::error!(from, "mailbox record unreadable: ignored");
             return;
         };
         if self.is_outdated(&record) {
